--- a/packages/control/src/register/acceptor.ts
+++ b/packages/control/src/consensus/acceptor.ts
@@ -1,9 +1,9 @@
 /** The voter's part of the consensus register: promises and accepted values on this node's disk. */
-import { C, Failure, type Kernel } from '@harecross/kernel';
-import type { Store } from '@harecross/state';
-import { fromText } from '../text.js';
-import type { Value } from '../value.js';
-import type { Accepted, Prepared, ReadBack } from './ballots.js';
+import { HarecrossError, REGISTER, type Kernel } from '@harecross/kernel';
+import type { DurableState } from '@harecross/state';
+import { deserializeValue } from '../value/value-text.js';
+import type { FleetValue } from '../value/fleet-value.js';
+import type { Accepted, Prepared, VoterState } from './ballots.js';
 
 /** A value to accept under a ballot. */
 interface AcceptRequest {
@@ -21,29 +21,29 @@
  */
 export class Acceptor {
   /** What was accepted last, chosen or not, and under which ballot. */
-  accepted?: Value;
+  accepted?: FleetValue;
   acceptedBallot = '';
 
   constructor(
     private kernel: Kernel,
-    private store: Store,
+    private store: DurableState,
     readonly disk: string,
     /** The revision that this node knows to be chosen. */
     private knownRev: () => number,
   ) {
-    const saved = store.seat();
+    const saved = store.acceptorState();
     if (saved.value) {
-      this.accepted = fromText(saved.value);
+      this.accepted = deserializeValue(saved.value);
       this.acceptedBallot = saved.ballot;
     }
     kernel.on('RegPrepare', (b: { disk: string; ballot: string }) => this.prepare(b));
     kernel.on('RegAccept', (b: AcceptRequest) => this.accept(b));
-    kernel.on('RegRead', (b: { disk: string }) => this.readBack(b));
+    kernel.on('RegRead', (b: { disk: string }) => this.voterState(b));
     kernel.on('RegWho', () => ({ disk, fleet: store.get('fleet') }));
   }
 
   private mustBeOurs(disk: string, step: string): void {
-    if (disk !== this.disk) throw new Failure({ tag: 'unknown_disk', step, peer: this.kernel.self, disk });
+    if (disk !== this.disk) throw new HarecrossError({ tag: 'unknown_disk', step, peer: this.kernel.self, disk });
   }
 
   private prepare(b: { disk: string; ballot: string }): Promise<Prepared> {
@@ -51,9 +51,9 @@
     this.mustBeOurs(b.disk, 'RegPrepare');
     const at = this.kernel.host.clock.now();
     return store.db.commit((): Prepared => {
-      const saved = store.seat();
+      const saved = store.acceptorState();
       if (b.ballot <= saved.promised) return { disk, ok: false, promised: saved.promised, ballot: saved.ballot };
-      store.saveSeat({ ...saved, promised: b.ballot });
+      store.saveAcceptorState({ ...saved, promised: b.ballot });
       return { disk, ok: true, promised: b.ballot, ballot: saved.ballot, value: saved.value, at };
     });
   }
@@ -62,14 +62,14 @@
     const { store, disk } = this;
     this.mustBeOurs(b.disk, 'RegAccept');
     const answer = await store.db.commit((): Accepted => {
-      const saved = store.seat();
+      const saved = store.acceptorState();
       if (b.ballot < saved.promised || this.isLate(b)) return { disk, ok: false, promised: saved.promised };
-      store.saveSeat({ promised: b.ballot, ballot: b.ballot, value: b.value });
+      store.saveAcceptorState({ promised: b.ballot, ballot: b.ballot, value: b.value });
       return { disk, ok: true, promised: b.ballot };
     });
     // Told to nobody before it is synced: a value that a majority has accepted is chosen.
     if (answer.ok && b.ballot >= this.acceptedBallot) {
-      this.accepted = fromText(b.value);
+      this.accepted = deserializeValue(b.value);
       this.acceptedBallot = b.ballot;
     }
     return answer;
@@ -79,10 +79,10 @@
   private isLate(b: AcceptRequest): boolean {
     if (b.promisedAt === undefined) return false;
     const ageMs = this.kernel.host.clock.now() - b.promisedAt;
-    return b.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > C.promiseLifeMs;
+    return b.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseLifeMs;
   }
 
-  private readBack(b: { disk: string }): ReadBack {
+  private voterState(b: { disk: string }): VoterState {
     this.mustBeOurs(b.disk, 'RegRead');
     return { disk: this.disk, rev: this.accepted?.rev ?? 0, known: this.knownRev(), ballot: this.acceptedBallot };
   }
--- a/packages/control/src/register/ballots.ts
+++ b/packages/control/src/consensus/ballots.ts
@@ -1,6 +1,6 @@
 /** Ballots, the messages of the consensus register and the rule of majorities. */
 import type { Kernel, PeerRpc } from '@harecross/kernel';
-import type { Value } from '../value.js';
+import type { FleetValue } from '../value/fleet-value.js';
 
 /** A voter's answer to `RegPrepare`: its promise, and what it accepted last. */
 export interface Prepared {
@@ -21,7 +21,7 @@
 }
 
 /** A voter's answer to `RegRead`: the revision it accepted last with its ballot, and the one it knows to be chosen. */
-export interface ReadBack {
+export interface VoterState {
   disk: string;
   rev: number;
   known: number;
@@ -29,13 +29,13 @@
 }
 
 /** Calls a method at the node of each disk; a disk without a known address gives a rejected promise. */
-export type AskVoters = <T>(disks: string[], method: PeerRpc, body: object) => Promise<T>[];
+export type CallVoters = <T>(disks: string[], method: PeerRpc, body: object) => Promise<T>[];
 
 /** The sets of voters of which a majority each has to agree: those of the value, and those of the value before it. */
-export const voterSets = (v: Value): string[][] => [v.seats, v.prevSeats];
+export const voterSets = (v: FleetValue): string[][] => [v.voters, v.previousVoters];
 
 /** Every voter of either set, once. */
-export const allVoters = (v: Value): string[] => [...new Set([...v.seats, ...v.prevSeats])];
+export const allVoters = (v: FleetValue): string[] => [...new Set([...v.voters, ...v.previousVoters])];
 
 /**
  * Whether the disks heard from are a majority of each set.
@@ -56,7 +56,7 @@
   constructor(private kernel: Kernel) {}
 
   next(): string {
-    return `${String(++this.count).padStart(NUMBER_DIGITS, '0')}.${this.kernel.self}~${this.kernel.inst}`;
+    return `${String(++this.count).padStart(NUMBER_DIGITS, '0')}.${this.kernel.self}~${this.kernel.instanceId}`;
   }
 
   /** The next ballot is above this one. */
--- a/packages/control/src/register/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -1,21 +1,21 @@
 /** Bootstrap of the consensus register: the first value of a fleet, agreed on by all three seeds. */
-import { C, type Kernel } from '@harecross/kernel';
-import type { Board } from '../board.js';
-import { matchCopies } from '../placement.js';
-import { fromText, toText } from '../text.js';
-import { usedFor, type DiskRec, type Placement, type Value } from '../value.js';
+import { REGISTER, SHARD, type Kernel } from '@harecross/kernel';
+import type { MembershipTable } from '../membership/membership-table.js';
+import { matchCopies } from '../placement/placement.js';
+import { deserializeValue, serializeValue } from '../value/value-text.js';
+import { isUsedFor, type DiskRecord, type Placement, type FleetValue } from '../value/fleet-value.js';
 import type { Accepted, BallotSource, Prepared } from './ballots.js';
 
 /** Founds the fleet, once. */
 export class Bootstrap {
   constructor(
     private kernel: Kernel,
-    private board: Board,
+    private membership: MembershipTable,
     private ballots: BallotSource,
     /** The value that is known here, if any. */
-    private known: () => Value | undefined,
+    private known: () => FleetValue | undefined,
     /** Called with the first value once it is chosen. */
-    private learn: (v: Value) => void,
+    private learn: (v: FleetValue) => void,
   ) {}
 
   /**
@@ -24,13 +24,16 @@
    * found again; a disk that learns of its fleet marks it, with a seat or without. So a second fleet could arise only
    * if all three seeds' disks were emptied together and none had joined since.
    */
-  async found(): Promise<void> {
-    const { config, clock, rnd } = this.kernel.host;
+  async tryBootstrap(): Promise<void> {
+    const { config, clock, random } = this.kernel.host;
     if (this.known() || config.firstStart === false) return;
     const since = clock.now() - this.kernel.startedAt;
-    if (since < C.foundAfterMs) return;
-    const wanted = config.losses === undefined ? C.copiesN : 2 * config.losses + 1;
-    if (since < C.foundAnywayMs && this.board.live().filter((m) => m.diskUses?.[0] === 'copies').length < wanted)
+    if (since < REGISTER.bootstrapAfterMs) return;
+    const wanted = config.losses === undefined ? SHARD.replicaCount : 2 * config.losses + 1;
+    if (
+      since < REGISTER.bootstrapAnywayMs &&
+      this.membership.liveMembers().filter((m) => m.diskUses?.[0] === 'copies').length < wanted
+    )
       return;
     const who = await Promise.all(
       config.seeds.map((s) =>
@@ -51,9 +54,11 @@
       .filter((p) => p!.value)
       .reduce<Prepared | undefined>((a, b) => (!a || b!.ballot > a.ballot ? b : a), undefined);
     // A founding that was cut short: the same value, not another one.
-    const v = held ? fromText(held.value!) : this.genesis(seats, `${Math.floor(rnd.next() * 2 ** 48).toString(36)}`);
+    const v = held
+      ? deserializeValue(held.value!)
+      : this.genesis(seats, `${Math.floor(random.next() * 2 ** 48).toString(36)}`);
     if (v.rev !== 1) return; // a fleet that lives: the ordinary way finds it
-    const value = toText(v);
+    const value = serializeValue(v);
     const as = await Promise.all(
       seats.map((d, i) =>
         this.kernel
@@ -67,9 +72,9 @@
     }
   }
 
-  private genesis(seats: string[], fleet: string): Value {
-    const disks = new Map<string, DiskRec>();
-    for (const m of this.board.live())
+  private genesis(seats: string[], fleet: string): FleetValue {
+    const disks = new Map<string, DiskRecord>();
+    for (const m of this.membership.liveMembers())
       if (m.disk)
         disks.set(m.disk, {
           id: m.disk,
@@ -85,8 +90,8 @@
         disks.set(d, { id: d, peer: this.kernel.host.config.seeds[i]!, domain: '', state: 'active', uses: ['seat'] });
     });
     const { losses } = this.kernel.host.config;
-    const copies = losses === undefined ? C.copiesN : 2 * losses + 1;
-    const keepers = [...disks.values()].filter((d) => usedFor(d, 'copies'));
+    const copies = losses === undefined ? SHARD.replicaCount : 2 * losses + 1;
+    const keepers = [...disks.values()].filter((d) => isUsedFor(d, 'copies'));
     const shards = new Map(
       [...matchCopies(keepers, copies)].map(([s, at]) => [s, { gen: 1, copies: at }] as [number, Placement]),
     );
@@ -96,13 +101,14 @@
       version: 0,
       changeId: '',
       config: { families: [] },
-      eras: new Map(),
+      incarnations: new Map(),
       disks,
-      seats,
-      prevSeats: seats,
+      voters: seats,
+      previousVoters: seats,
       shards,
       copies,
-      seatsWanted: losses === undefined ? C.seatsN : Math.min(C.seatsN, Math.max(3, 2 * losses + 1)),
+      votersWanted:
+        losses === undefined ? REGISTER.voterCount : Math.min(REGISTER.voterCount, Math.max(3, 2 * losses + 1)),
       changes: new Map(),
       moves: new Map(),
     };
--- a/packages/control/src/register/proposer.ts
+++ b/packages/control/src/consensus/proposer.ts
@@ -1,21 +1,21 @@
 /** The proposer's part of the consensus register: changes to the agreed value by ballots. */
-import { Failure, gather, sleep, type Kernel } from '@harecross/kernel';
+import { HarecrossError, collectUntil, sleep, type Kernel } from '@harecross/kernel';
 import invariant from 'tiny-invariant';
-import { fromText, textOf, toText } from '../text.js';
-import type { Value } from '../value.js';
+import { deserializeValue, cachedText, serializeValue } from '../value/value-text.js';
+import type { FleetValue } from '../value/fleet-value.js';
 import {
   allVoters,
   isMajority,
   oneVoterChanges,
   voterSets,
   type Accepted,
-  type AskVoters,
+  type CallVoters,
   type BallotSource,
   type Prepared,
 } from './ballots.js';
 
 /** What a change makes of a value: the next one, or none to read only, and the caller's outcome. */
-export type ChangeFn<T> = (v: Value) => { next?: Value; out: T };
+export type ChangeFn<T> = (v: FleetValue) => { next?: FleetValue; out: T };
 
 /** The answers to `RegPrepare` under one ballot, come or still to come, by disk. */
 type Promises = Map<string, Promise<Prepared>>;
@@ -24,13 +24,13 @@
 
 /** What the proposer needs of the register. */
 export interface ProposerContext {
-  ask: AskVoters;
+  ask: CallVoters;
   /** The newest value known here, chosen or only accepted: whose voters are asked first. */
-  start(): Value | undefined;
+  start(): FleetValue | undefined;
   /** The disk of our own voter, if there is one. */
   ownDisk: string | undefined;
   /** Called with a value that was chosen. */
-  learn(v: Value): void;
+  learn(v: FleetValue): void;
 }
 
 /** Changes the agreed value by ballots; any node may, at any time, and the ballots keep them apart. */
@@ -43,11 +43,11 @@
 
   /** See `Register.change`. */
   async change<T>(fn: ChangeFn<T>, limitMs: number, wanted: () => boolean): Promise<T> {
-    const { clock, rnd } = this.kernel.host;
+    const { clock, random } = this.kernel.host;
     const until = clock.now() + limitMs;
     let why = 'no value known';
     for (let tries = 0; clock.now() < until && wanted(); tries++) {
-      if (tries > 0) await sleep(clock, Math.min(600, 30 * 2 ** Math.min(tries, 4)) * (0.5 + rnd.next()));
+      if (tries > 0) await sleep(clock, Math.min(600, 30 * 2 ** Math.min(tries, 4)) * (0.5 + random.next()));
       const start = this.context.start();
       if (!start || !wanted()) continue;
       const result = await this.round(start, fn, () => clock.now() < until && wanted());
@@ -59,20 +59,20 @@
           break;
       }
     }
-    this.kernel.count('register.gave_up');
-    throw new Failure({ tag: 'no_majority', step: 'change', peer: this.kernel.self, detail: why });
+    this.kernel.incrementCounter('register.gave_up');
+    throw new HarecrossError({ tag: 'no_majority', step: 'change', peer: this.kernel.self, detail: why });
   }
 
   /** One ballot. `mayAccept` says, before each value is sent to be accepted, whether the change is still to be made. */
-  private async round<T>(start: Value, fn: ChangeFn<T>, mayAccept: () => boolean): Promise<RoundResult<T>> {
+  private async round<T>(start: FleetValue, fn: ChangeFn<T>, mayAccept: () => boolean): Promise<RoundResult<T>> {
     const ballot = this.ballots.next();
     const prepared = await this.prepare(ballot, start);
     if (prepared.tag === 'again') return prepared;
     const latest = prepared.value;
     const outcome = outcomeOf(fn, latest);
     const change = outcome.tag === 'changed' ? outcome.next : undefined;
-    const next = change ? { ...change, rev: latest.rev + 1, prevSeats: latest.seats } : latest;
-    invariant(!change || oneVoterChanges(latest.seats, next.seats), 'one voter at a time');
+    const next = change ? { ...change, rev: latest.rev + 1, previousVoters: latest.voters } : latest;
+    invariant(!change || oneVoterChanges(latest.voters, next.voters), 'one voter at a time');
     const why = await this.accept(ballot, next, prepared.promises, mayAccept);
     if (why !== undefined) return { tag: 'again', why };
     this.context.learn(next);
@@ -83,8 +83,8 @@
   /** Has the ballot promised by a majority, following the voters as newer values show them; gives the latest value. */
   private async prepare(
     ballot: string,
-    start: Value,
-  ): Promise<{ tag: 'prepared'; value: Value; promises: Promises } | { tag: 'again'; why: string }> {
+    start: FleetValue,
+  ): Promise<{ tag: 'prepared'; value: FleetValue; promises: Promises } | { tag: 'again'; why: string }> {
     let latest = start;
     const promises: Promises = new Map();
     const answers = new Map<string, Prepared>();
@@ -94,7 +94,7 @@
       for (const disk of voters) if (!promises.has(disk)) promises.set(disk, this.askPrepare(disk, ballot));
       const heard = new Set<string>();
       let refused = false;
-      await gather(
+      await collectUntil(
         voters.map(async (disk) => {
           const answer = await promises.get(disk)!;
           if (answer.ok) {
@@ -112,7 +112,7 @@
         .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
       if (!top) return { tag: 'again', why: 'seats are empty' };
       // Mostly what is known here already: a large value is not read again.
-      latest = textOf(start) === top.value ? start : fromText(top.value!);
+      latest = cachedText(start) === top.value ? start : deserializeValue(top.value!);
       if (isMajority(voterSets(latest), new Set(answers.keys()))) return { tag: 'prepared', value: latest, promises };
     }
   }
@@ -129,11 +129,11 @@
    */
   private async accept(
     ballot: string,
-    next: Value,
+    next: FleetValue,
     promises: Promises,
     mayAccept: () => boolean,
   ): Promise<string | undefined> {
-    const value = toText(next);
+    const value = serializeValue(next);
     const sets = voterSets(next);
     const voters = allVoters(next);
     const own = voters.filter((d) => d === this.context.ownDisk);
@@ -151,8 +151,8 @@
       }
     };
     const withOwn = (): boolean => isMajority(sets, new Set([...heard, ...own]));
-    await gather(voters.filter((d) => !own.includes(d)).map(send), withOwn);
-    if (withOwn()) await gather(own.map(send), () => true);
+    await collectUntil(voters.filter((d) => !own.includes(d)).map(send), withOwn);
+    if (withOwn()) await collectUntil(own.map(send), () => true);
     if (isMajority(sets, heard)) return undefined;
     return refused ? 'another ballot is higher' : `only ${heard.size} of ${voters.length} seats accepted`;
   }
@@ -161,8 +161,8 @@
 /** What a change makes of a value. A refusal counts only once that value is chosen: it may have been accepted by a minority. */
 function outcomeOf<T>(
   fn: ChangeFn<T>,
-  latest: Value,
-): { tag: 'changed'; next?: Value; out: T } | { tag: 'refused'; error: unknown } {
+  latest: FleetValue,
+): { tag: 'changed'; next?: FleetValue; out: T } | { tag: 'refused'; error: unknown } {
   try {
     return { tag: 'changed', ...fn(latest) };
   } catch (error) {
--- a/packages/control/src/register/lease.ts
+++ b/packages/control/src/consensus/read-lease.ts
@@ -1,5 +1,5 @@
 /** The read lease of the agreed value: how long a node may serve by it after a majority confirmed it. */
-import { C, type Clock } from '@harecross/kernel';
+import { REGISTER, type Clock } from '@harecross/kernel';
 import { Subject } from 'rxjs';
 
 /**
@@ -17,7 +17,7 @@
     /** A change has to be in force everywhere this long after its acknowledgement. */
     applyMs: number | undefined,
   ) {
-    this.leaseMs = (applyMs ?? C.applyMs) * C.freshShare;
+    this.leaseMs = (applyMs ?? REGISTER.applyMs) * REGISTER.readLeaseShare;
   }
 
   valid(): boolean {
--- a/packages/control/src/register/reader.ts
+++ b/packages/control/src/consensus/reader.ts
@@ -1,20 +1,20 @@
 /** The reader's part of the consensus register: confirms at a majority that the value known here is the newest. */
-import { C, gather, sleep, within, type Kernel } from '@harecross/kernel';
-import type { Board } from '../board.js';
-import type { Value } from '../value.js';
+import { REGISTER, collectUntil, sleep, withTimeout, type Kernel } from '@harecross/kernel';
+import type { MembershipTable } from '../membership/membership-table.js';
+import type { FleetValue } from '../value/fleet-value.js';
 import type { Acceptor } from './acceptor.js';
-import { allVoters, isMajority, voterSets, type AskVoters, type BallotSource, type ReadBack } from './ballots.js';
-import type { ReadLease } from './lease.js';
+import { allVoters, isMajority, voterSets, type CallVoters, type BallotSource, type VoterState } from './ballots.js';
+import type { ReadLease } from './read-lease.js';
 
 /** What the reader needs of the register. */
 export interface ReaderContext {
-  ask: AskVoters;
-  value(): Value | undefined;
+  ask: CallVoters;
+  value(): FleetValue | undefined;
   peerOf(disk: string): string | undefined;
   /** Fetches a peer's value, if it has one. */
   fetch(peer: string): Promise<void>;
   /** Called with a value that was found to be chosen. */
-  learn(v: Value): void;
+  learn(v: FleetValue): void;
   /** Reads by a ballot, which finishes what hangs between accepted and chosen. */
   readByBallot(): Promise<unknown>;
 }
@@ -26,7 +26,7 @@
 
   constructor(
     private kernel: Kernel,
-    private board: Board,
+    private membership: MembershipTable,
     private ballots: BallotSource,
     private lease: ReadLease,
     private acceptor: Acceptor | undefined,
@@ -35,14 +35,14 @@
 
   /** Confirms at a majority that no newer value than ours is agreed. */
   async confirm(): Promise<boolean> {
-    const { clock, rnd } = this.kernel.host;
+    const { clock, random } = this.kernel.host;
     if (!this.context.value() && !(await this.firstValue())) return false;
     for (let i = 0; i < 3; i++) {
       const v = this.context.value()!;
       const askedAt = clock.now();
-      const { heard, got } = await this.readBacks(v);
+      const { heard, got } = await this.queryVoters(v);
       if (!isMajority(voterSets(v), heard)) {
-        this.kernel.count('register.unconfirmed');
+        this.kernel.incrementCounter('register.unconfirmed');
         return false;
       }
       const top = got.reduce((a, b) => (b.rev > a.rev ? b : a));
@@ -53,7 +53,7 @@
       }
       const knows = got.find((r) => r.known >= top.rev);
       if (knows) await this.context.fetch(this.context.peerOf(knows.disk)!);
-      else await sleep(clock, 40 + 80 * rnd.next());
+      else await sleep(clock, 40 + 80 * random.next());
     }
     // Someone's change hangs between accepted and agreed: finish it.
     if (this.finishesChanges(this.context.value()!)) await this.context.readByBallot().catch(() => undefined);
@@ -64,29 +64,29 @@
    * Whether this node finishes another's change with a ballot of its own. In a large fleet only the voters do, who see it too: were all
    * nodes to, their ballots would outbid each other and the change itself, and each brings the whole value from a majority.
    */
-  private finishesChanges(v: Value): boolean {
-    return !this.board.isLarge() || (this.acceptor !== undefined && v.seats.includes(this.acceptor.disk));
+  private finishesChanges(v: FleetValue): boolean {
+    return !this.membership.isLargeFleet() || (this.acceptor !== undefined && v.voters.includes(this.acceptor.disk));
   }
 
   /** Gets a value where none is known yet, from a peer or from our own disk; says whether there is one now. */
   private async firstValue(): Promise<boolean> {
-    const from = this.board.somePeers(1).concat(this.board.contacts());
-    await this.context.fetch(from[Math.floor(this.kernel.host.rnd.next() * from.length)]!);
+    const from = this.membership.randomPeersOrContacts(1).concat(this.membership.contactAddresses());
+    await this.context.fetch(from[Math.floor(this.kernel.host.random.next() * from.length)]!);
     const { accepted, acceptedBallot } = this.acceptor ?? {};
-    if (!this.context.value() && accepted && accepted.rev > 0) await this.recall(accepted, acceptedBallot!);
+    if (!this.context.value() && accepted && accepted.rev > 0) await this.recoverAccepted(accepted, acceptedBallot!);
     return this.context.value() !== undefined;
   }
 
   /** Asks as many voters as make a majority, in turn, and the others only when those don't answer soon. */
-  private async readBacks(v: Value): Promise<{ heard: Set<string>; got: ReadBack[] }> {
+  private async queryVoters(v: FleetValue): Promise<{ heard: Set<string>; got: VoterState[] }> {
     const heard = new Set<string>();
-    const got: ReadBack[] = [];
+    const got: VoterState[] = [];
     const enough = (): boolean => isMajority(voterSets(v), heard);
     const order = this.askingOrder(v);
     const few = new Set<string>();
     for (const d of order) if (!isMajority(voterSets(v), few)) few.add(d);
-    const calls = (disks: Iterable<string>): Promise<ReadBack>[] =>
-      this.context.ask<ReadBack>([...disks], 'RegRead', {}).map((p) =>
+    const calls = (disks: Iterable<string>): Promise<VoterState>[] =>
+      this.context.ask<VoterState>([...disks], 'RegRead', {}).map((p) =>
         p.then((r) => {
           heard.add(r.disk);
           got.push(r);
@@ -95,20 +95,23 @@
         }),
       );
     const first = calls(few);
-    const aloneMs = this.board.paced(C.confirmAloneMs, C.confirmAlonePerMemberMs);
-    await within(this.kernel.host.clock, aloneMs, gather(first, enough));
-    if (!enough()) await gather([...first, ...calls(order.filter((d) => !few.has(d)))], enough);
+    const aloneMs = this.membership.scaledPeriodMs(
+      REGISTER.confirmMajorityOnlyMs,
+      REGISTER.confirmMajorityOnlyPerMemberMs,
+    );
+    await withTimeout(this.kernel.host.clock, aloneMs, collectUntil(first, enough));
+    if (!enough()) await collectUntil([...first, ...calls(order.filter((d) => !few.has(d)))], enough);
     return { heard, got };
   }
 
   /** Our own voter first, which costs nothing; then those that are live, beginning with another one each time. */
-  private askingOrder(v: Value): string[] {
+  private askingOrder(v: FleetValue): string[] {
     const voters = allVoters(v);
     const at = this.turn++ % voters.length;
     const own = this.acceptor?.disk;
     const live = (d: string): boolean => {
       const p = this.context.peerOf(d);
-      return p !== undefined && this.board.isLive(p);
+      return p !== undefined && this.membership.isLive(p);
     };
     return [...voters.slice(at), ...voters.slice(0, at)].sort(
       (a, b) => Number(b === own) - Number(a === own) || Number(live(b)) - Number(live(a)),
@@ -119,12 +122,12 @@
    * After a restart: what our own disk accepted is agreed, and nothing newer is, if a majority of the voters has accepted it under
    * the same ballot: a newer value would be on one of them. So a fleet that comes back together needs no new ballot.
    */
-  private async recall(accepted: Value, ballot: string): Promise<void> {
+  private async recoverAccepted(accepted: FleetValue, ballot: string): Promise<void> {
     const askedAt = this.kernel.host.clock.now();
     const heard = new Set<string>();
     let otherSeen = false;
-    await gather(
-      this.context.ask<ReadBack>(allVoters(accepted), 'RegRead', {}).map((p) =>
+    await collectUntil(
+      this.context.ask<VoterState>(allVoters(accepted), 'RegRead', {}).map((p) =>
         p.then((r) => {
           if (r.ballot === ballot) heard.add(r.disk);
           else otherSeen = true;
@@ -134,7 +137,7 @@
       () => isMajority(voterSets(accepted), heard),
     );
     if (isMajority(voterSets(accepted), heard)) {
-      this.kernel.count('register.recalled');
+      this.kernel.incrementCounter('register.recalled');
       this.context.learn(accepted);
       this.lease.renew(askedAt);
     } else if (otherSeen && !this.context.value()) {
--- a/packages/control/src/packed.ts
+++ b/packages/control/src/membership/compressed-list.ts
@@ -1,7 +1,7 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 
 /** A list as it is sent: as it is, or as deflated JSON in base64. */
-export type Packed<T> = T[] | string;
+export type CompressedList<T> = T[] | string;
 
 /** Shorter lists stay as they are: there is little to gain. */
 const FROM_CHARS = 512;
@@ -15,7 +15,7 @@
  * @example
  * k.call(peer, 'Mend', { items: packed(facts) });
  */
-export function packed<T>(list: T[]): Packed<T> {
+export function compressList<T>(list: T[]): CompressedList<T> {
   const json = JSON.stringify(list);
   return json.length < FROM_CHARS ? list : deflateRawSync(json, DEFLATE).toString('base64');
 }
@@ -25,7 +25,7 @@
  * @example
  * for (const fact of unpacked(request.items)) take(fact);
  */
-export function unpacked<T>(x: Packed<T>): T[] {
+export function decompressList<T>(x: CompressedList<T>): T[] {
   if (typeof x !== 'string') return x;
   const json = inflateRawSync(Buffer.from(x, 'base64'), { maxOutputLength: INFLATED_BYTES }).toString();
   return JSON.parse(json) as T[];
--- a/packages/control/src/peer-view.ts
+++ b/packages/control/src/membership/peer-view.ts
@@ -1,4 +1,4 @@
-import { below, type Rnd } from '@harecross/kernel';
+import { randomInt, type RandomSource } from '@harecross/kernel';
 
 /**
  * A node's partial view of the membership: a few peers, drawn evenly from all, that gossip goes to. Neighbours swap parts of their
@@ -13,7 +13,7 @@
   private offered = 0;
 
   constructor(
-    private rnd: Rnd,
+    private random: RandomSource,
     private limit: number,
   ) {}
 
@@ -26,8 +26,8 @@
     this.offered++;
     if (this.ages.has(peer)) return;
     if (this.ages.size >= this.limit) {
-      if (this.rnd.next() * this.offered >= this.limit) return;
-      this.ages.delete(this.peers()[below(this.rnd, this.ages.size)]!);
+      if (this.random.next() * this.offered >= this.limit) return;
+      this.ages.delete(this.peers()[randomInt(this.random, this.ages.size)]!);
     }
     this.ages.set(peer, 0);
   }
--- a/packages/control/src/operators.ts
+++ b/packages/control/src/operators/operators.ts
@@ -1,29 +1,42 @@
 /** What operators ask of the fleet: configurations, the calendar of moves, and the emptying of disks. */
-import { C, Failure, register, retryAfter, type Kernel } from '@harecross/kernel';
+import { HarecrossError, REGISTER, REQUEST, jitteredRetryMs, registerPlugin, type Kernel } from '@harecross/kernel';
 import { configFaults, type FleetConfig, type Move, type PathFault } from '@harecross/schema';
-import type { Board } from './board.js';
-import { barTo, copiesOn, diskNamed, emptyingOrdered, isBare, moveKey } from './fleet-state.js';
+import type { MembershipTable } from '../membership/membership-table.js';
+import {
+  reasonToStay,
+  replicaCountOn,
+  findDisk,
+  isDrainOrdered,
+  holdsNothing,
+  moveKey,
+} from '../value/fleet-queries.js';
 import { OperatorAnswers } from './operator-answers.js';
-import { notReady, type Register } from './register.js';
-import { Submissions, overloaded, type Revised } from './submissions.js';
-import { withConfig, type DiskRec, type MoveState, type Outcome, type Value } from './value.js';
+import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
+import { Submissions, overloaded, type RevisionResult } from './submissions.js';
+import {
+  withConfig,
+  type DiskRecord,
+  type MoveState,
+  type ChangeOutcomeRecord,
+  type FleetValue,
+} from '../value/fleet-value.js';
 
 declare module '@harecross/kernel' {
-  interface Faces {
+  interface ServiceRegistry {
     operators: Operators;
   }
 }
 
 /** What a disk is told to have, as operators are answered. */
-interface DiskTold {
+interface DiskStatus {
   disk: string;
   state: string;
   copies: number;
   seat: boolean;
 }
 type DiskOutcome =
-  { tag: 'done'; told: DiskTold } | { tag: 'unknown' } | { tag: 'refused'; why: string } | { tag: 'unclear' };
-type ChangeOutcome = Outcome | { tag: 'invalid'; faults: PathFault[] } | { tag: 'forgotten' };
+  { tag: 'done'; told: DiskStatus } | { tag: 'unknown' } | { tag: 'refused'; why: string } | { tag: 'unclear' };
+type ChangeOutcome = ChangeOutcomeRecord | { tag: 'invalid'; faults: PathFault[] } | { tag: 'forgotten' };
 
 /**
  * What operators ask of the register.
@@ -35,23 +48,23 @@
   private readonly submissions: Submissions;
   private readonly answers: OperatorAnswers;
   /** Changes by change id that are under way at this node. */
-  private changing = 0;
+  private changesInFlight = 0;
 
   constructor(
-    private k: Kernel,
-    private board: Board,
-    private reg: Register,
+    private kernel: Kernel,
+    private membership: MembershipTable,
+    private register: ConsensusRegister,
   ) {
-    this.answers = new OperatorAnswers(k, reg);
-    this.submissions = new Submissions(k, reg, (value, config) => this.machineFaults(value, config));
+    this.answers = new OperatorAnswers(kernel, register);
+    this.submissions = new Submissions(kernel, register, (value, config) => this.machineFaults(value, config));
   }
 
   /**
    * Takes a configuration. With a revision the highest holds: what is not above it is answered with the one in force, and fails with
    * `conflict` where another configuration came into force under its revision. Without one the first outcome of its changeId is
    * given. Fails with `invalid_config`, `conflict`, `overloaded` (too many at once), `outcome_unknown` (its outcome is forgotten), and
-   * with `not_ready` or `no_majority`: within C.operatorAnswerMs where no majority answers, else after C.submitMs. One that failed so
-   * may still come into force, up to C.submitMs after it was last sent to this node.
+   * with `not_ready` or `no_majority`: within REGISTER.operatorAnswerMs where no majority answers, else after REGISTER.submitMs. One that failed so
+   * may still come into force, up to REGISTER.submitMs after it was last sent to this node.
    */
   async submit(request: {
     changeId?: string;
@@ -59,11 +72,11 @@
     revision?: number;
     document?: unknown;
     config: unknown;
-  }): Promise<{ version: number } | Revised> {
+  }): Promise<{ version: number } | RevisionResult> {
     const { revision, changeId, config } = request;
-    this.answers.mustBeNew('SubmitConfig');
+    this.answers.rejectIfStale('SubmitConfig');
     if (revision !== undefined)
-      return this.answers.inTime('SubmitConfig', this.submissions.submit({ ...request, revision }));
+      return this.answers.withinAnswerTime('SubmitConfig', this.submissions.submit({ ...request, revision }));
     const document = request.document === undefined ? undefined : JSON.stringify(request.document);
     return this.change('SubmitConfig', changeId!, request.expect, () => ({ config, document }));
   }
@@ -80,18 +93,21 @@
     step: string,
     changeId: string,
     expect: number | undefined,
-    make: (value: Value) => { config: unknown; document?: string },
+    make: (value: FleetValue) => { config: unknown; document?: string },
   ): Promise<{ version: number }> {
-    this.answers.mustBeNew(step);
-    if (!this.reg.value) throw notReady(this.k, step);
-    if (this.changing >= C.changesAtOnceN) throw overloaded(this.k, step);
-    this.changing++;
+    this.answers.rejectIfStale(step);
+    if (!this.register.value) throw notReady(this.kernel, step);
+    if (this.changesInFlight >= REGISTER.concurrentChangeLimit) throw overloaded(this.kernel, step);
+    this.changesInFlight++;
     try {
-      const changed = this.reg.change((value) => this.changed(value, changeId, expect, make(value)), C.submitMs);
-      const outcome = await this.answers.inTime(step, changed);
+      const changed = this.register.change(
+        (value) => this.applyChange(value, changeId, expect, make(value)),
+        REGISTER.submitMs,
+      );
+      const outcome = await this.answers.withinAnswerTime(step, changed);
       return this.versionOf(step, outcome);
     } finally {
-      this.changing--;
+      this.changesInFlight--;
     }
   }
 
@@ -99,53 +115,53 @@
    * The outcome of a change by its id, and the value with it. Refusals are outcomes too, not thrown here: the register then has the
    * value that they were judged by accepted anew, so that an earlier try of the same change can't come into force after them.
    */
-  private changed(
-    value: Value,
+  private applyChange(
+    value: FleetValue,
     changeId: string,
     expect: number | undefined,
     change: { config: unknown; document?: string },
-  ): { next?: Value; out: ChangeOutcome } {
+  ): { next?: FleetValue; out: ChangeOutcome } {
     const first = value.changes.get(changeId);
     if (first) return { out: first };
     if (expect !== undefined && expect !== value.version) {
       // Its first try may be one of those that are forgotten: neither refused nor taken is true then for sure.
       if (expect <= (value.changesForgottenTo ?? -1)) return { out: { tag: 'forgotten' } };
       const out = { tag: 'conflict' as const, version: value.version };
-      return { next: { ...value, ...withChange(value, changeId, out) }, out };
+      return { next: { ...value, ...withChangeOutcome(value, changeId, out) }, out };
     }
     const faults = configFaults(change.config);
     if (!faults.length) faults.push(...this.machineFaults(value, change.config as FleetConfig));
     if (faults.length) return { out: { tag: 'invalid', faults } };
     const next = withConfig(value, { changeId, config: change.config as FleetConfig, document: change.document });
     const out = { tag: 'taken' as const, version: next.version };
-    return { next: { ...next, ...withChange(value, changeId, out) }, out };
+    return { next: { ...next, ...withChangeOutcome(value, changeId, out) }, out };
   }
 
   private versionOf(step: string, outcome: ChangeOutcome): { version: number } {
-    const peer = this.k.self;
+    const peer = this.kernel.self;
     switch (outcome.tag) {
       case 'taken':
         return { version: outcome.version };
       case 'conflict':
-        throw new Failure({ tag: 'conflict', step, peer, version: outcome.version });
+        throw new HarecrossError({ tag: 'conflict', step, peer, version: outcome.version });
       case 'invalid':
-        throw new Failure({ tag: 'invalid_config', step, peer, faults: outcome.faults });
+        throw new HarecrossError({ tag: 'invalid_config', step, peer, faults: outcome.faults });
       case 'forgotten': {
-        const retryAfterMs = retryAfter(this.k.host.rnd, C.retryMs);
-        throw new Failure({ tag: 'outcome_unknown', step, peer, retryAfterMs });
+        const retryAfterMs = jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
+        throw new HarecrossError({ tag: 'outcome_unknown', step, peer, retryAfterMs });
       }
     }
   }
 
   /** Faults of what a configuration says of machines; moves that are already in force are not judged again. */
-  private machineFaults(v: Value, c: FleetConfig): { path: string; fault: string }[] {
-    const now = this.k.host.clock.wall();
+  private machineFaults(v: FleetValue, c: FleetConfig): { path: string; fault: string }[] {
+    const now = this.kernel.host.clock.wall();
     const had = new Set((v.config.moves ?? []).map((m) => JSON.stringify(m)));
     const out: { path: string; fault: string }[] = [];
     (c.moves ?? []).forEach((m, i) => {
       if (had.has(JSON.stringify(m))) return;
       if (m.until <= now) out.push({ path: `/moves/${i}/until`, fault: 'is in the past' });
-      const known = this.board.members.has(m.node) || [...v.disks.values()].some((d) => d.peer === m.node);
+      const known = this.membership.members.has(m.node) || [...v.disks.values()].some((d) => d.peer === m.node);
       if (m.kind !== 'add' && !known) out.push({ path: `/moves/${i}/node`, fault: `no machine '${m.node}' is known` });
     });
     (c.placement ?? []).forEach((p, i) => {
@@ -180,52 +196,57 @@
    * Begins or takes back the emptying of a disk. An order that was taken is answered again, whatever has become of the disk since. With a
    * change id, an order that was carried out is not carried out again, however late its repeat comes: another may have been given since.
    */
-  async setDisk(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskTold> {
-    this.answers.mustBeNew(step);
-    if (!this.reg.value) throw notReady(this.k, step);
-    const changed = this.reg.change((value) => this.diskSetOnce(value, disk, state, changeId), C.submitMs);
-    const outcome = await this.answers.inTime(step, changed);
-    const peer = this.k.self;
+  async setDisk(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
+    this.answers.rejectIfStale(step);
+    if (!this.register.value) throw notReady(this.kernel, step);
+    const changed = this.register.change((value) => this.setDiskOnce(value, disk, state, changeId), REGISTER.submitMs);
+    const outcome = await this.answers.withinAnswerTime(step, changed);
+    const peer = this.kernel.self;
     switch (outcome.tag) {
       case 'done':
         return outcome.told;
       case 'unknown':
-        throw new Failure({ tag: 'unknown_disk', step, peer, disk });
+        throw new HarecrossError({ tag: 'unknown_disk', step, peer, disk });
       case 'refused':
-        throw new Failure({ tag: 'wont_hold', step, peer, detail: outcome.why });
+        throw new HarecrossError({ tag: 'wont_hold', step, peer, detail: outcome.why });
       case 'unclear':
-        throw notReady(this.k, step);
+        throw notReady(this.kernel, step);
     }
   }
 
   /** What becomes of an order on a disk, at most once for a change id. */
-  private diskSetOnce(
-    value: Value,
+  private setDiskOnce(
+    value: FleetValue,
     disk: string,
     state: 'active' | 'emptying',
     changeId: string | undefined,
-  ): { next?: Value; out: DiskOutcome } {
-    if (changeId === undefined) return this.diskSet(value, disk, state);
-    const found = diskNamed(value, disk);
-    if (found && value.changes.has(changeId)) return { out: { tag: 'done', told: toldOf(value, found, found.state) } };
-    const made = this.diskSet(value, disk, state);
+  ): { next?: FleetValue; out: DiskOutcome } {
+    if (changeId === undefined) return this.applyDiskState(value, disk, state);
+    const found = findDisk(value, disk);
+    if (found && value.changes.has(changeId))
+      return { out: { tag: 'done', told: diskStatusOf(value, found, found.state) } };
+    const made = this.applyDiskState(value, disk, state);
     if (made.out.tag !== 'done') return made;
-    const outcome: Outcome = { tag: 'taken', version: value.version };
-    return { next: { ...(made.next ?? value), ...withChange(value, changeId, outcome) }, out: made.out };
+    const outcome: ChangeOutcomeRecord = { tag: 'taken', version: value.version };
+    return { next: { ...(made.next ?? value), ...withChangeOutcome(value, changeId, outcome) }, out: made.out };
   }
 
   /** What becomes of an order on a disk. As with changes, refusals are outcomes. */
-  private diskSet(value: Value, disk: string, state: 'active' | 'emptying'): { next?: Value; out: DiskOutcome } {
-    const found = diskNamed(value, disk);
+  private applyDiskState(
+    value: FleetValue,
+    disk: string,
+    state: 'active' | 'emptying',
+  ): { next?: FleetValue; out: DiskOutcome } {
+    const found = findDisk(value, disk);
     if (!found) return { out: { tag: 'unknown' } };
-    const told = toldOf(value, found, state);
+    const told = diskStatusOf(value, found, state);
     if (found.state === state) return { out: { tag: 'done', told } };
-    const repeated = state === 'emptying' && emptyingOrdered(value, disk);
+    const repeated = state === 'emptying' && isDrainOrdered(value, disk);
     if (found.state === 'lost') {
       if (repeated) return { out: { tag: 'done', told: { ...told, state: found.state } } };
       return { out: { tag: 'refused', why: `disk ${disk} is lost` } };
     }
-    const bar = state === 'emptying' ? barTo(value, { kind: 'empty' }, found, this.board) : undefined;
+    const bar = state === 'emptying' ? reasonToStay(value, { kind: 'empty' }, found, this.membership) : undefined;
     // Taken before, for a disk that was replaced since: it is begun again as soon as that holds.
     if (bar !== undefined) return { out: repeated ? { tag: 'unclear' } : { tag: 'refused', why: bar } };
     const emptyingTaken = state === 'emptying' ? true : undefined;
@@ -234,16 +255,16 @@
   }
 
   /** How far the emptying of a disk has come, confirmed at a majority: a machine that is said to be emptied is taken away. */
-  async emptyStatus(disk: string): Promise<DiskTold> {
+  async emptyStatus(disk: string): Promise<DiskStatus> {
     const v = await this.answers.confirmedValue('EmptyStatus');
-    const d = diskNamed(v, disk);
-    if (!d) throw new Failure({ tag: 'unknown_disk', step: 'EmptyStatus', peer: this.k.self, disk });
+    const d = findDisk(v, disk);
+    if (!d) throw new HarecrossError({ tag: 'unknown_disk', step: 'EmptyStatus', peer: this.kernel.self, disk });
     const { id } = d;
     return {
       disk: id,
-      state: d.state === 'emptying' && isBare(v, id) ? 'emptied' : d.state,
-      copies: copiesOn(v, id),
-      seat: v.seats.includes(id),
+      state: d.state === 'emptying' && holdsNothing(v, id) ? 'emptied' : d.state,
+      copies: replicaCountOn(v, id),
+      seat: v.voters.includes(id),
     };
   }
 
@@ -257,27 +278,31 @@
   }
 }
 
-const toldOf = (value: Value, disk: DiskRec, state: string): DiskTold => ({
+const diskStatusOf = (value: FleetValue, disk: DiskRecord, state: string): DiskStatus => ({
   disk: disk.id,
   state,
-  copies: copiesOn(value, disk.id),
-  seat: value.seats.includes(disk.id),
+  copies: replicaCountOn(value, disk.id),
+  seat: value.voters.includes(disk.id),
 });
 
 /** The changes of a value with one more outcome; the oldest beyond the bound are forgotten. */
-function withChange(value: Value, changeId: string, outcome: Outcome): Pick<Value, 'changes' | 'changesForgottenTo'> {
+function withChangeOutcome(
+  value: FleetValue,
+  changeId: string,
+  outcome: ChangeOutcomeRecord,
+): Pick<FleetValue, 'changes' | 'changesForgottenTo'> {
   const changes = new Map(value.changes).set(changeId, outcome);
   let { changesForgottenTo } = value;
   for (const [oldest, { version }] of changes) {
-    if (changes.size <= C.changeIdsN) break;
+    if (changes.size <= REGISTER.changeIdLimit) break;
     changes.delete(oldest);
     changesForgottenTo = version;
   }
   return { changes, changesForgottenTo };
 }
 
-register({
+registerPlugin({
   name: 'operators',
-  needs: ['board', 'register'],
-  setup: (k) => new Operators(k, k.use('board'), k.use('register')),
+  needs: ['membership', 'register'],
+  setup: (k) => new Operators(k, k.use('membership'), k.use('register')),
 });
--- a/packages/control/src/placement.ts
+++ b/packages/control/src/placement/placement.ts
@@ -1,6 +1,6 @@
-import { C, rank } from '@harecross/kernel';
+import { PLACEMENT, SHARD, rendezvousOrder } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
-import { firstFor, type DiskRec, type Placement, type Value } from './value.js';
+import { isPrimarilyFor, type DiskRecord, type Placement, type FleetValue } from '../value/fleet-value.js';
 
 /**
  * Copies a shard gets: odd, so that one more copy never costs a larger majority without bearing one more loss.
@@ -17,7 +17,7 @@
  * @example
  * wantedCopies({ families: [], copies: 5 }, 7); // 5
  */
-export function wantedCopies(c: FleetConfig, shard: number, copies: number = C.copiesN): number {
+export function wantedCopies(c: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
   return c.placement?.find((p) => p.shard === shard)?.nodes.length ?? c.copies ?? copies;
 }
 
@@ -26,16 +26,16 @@
  * @example
  * quickOf(disks) // none, unless the stores' disks are slow
  */
-export function quickOf(disks: DiskRec[]): Set<string> {
+export function quickOf(disks: DiskRecord[]): Set<string> {
   const ms = disks
-    .filter((d) => firstFor(d, 'copies') && d.ms !== undefined)
+    .filter((d) => isPrimarilyFor(d, 'copies') && d.ms !== undefined)
     .map((d) => d.ms!)
     .sort((a, b) => a - b);
   const typical = ms[Math.floor(ms.length / 2)];
   return new Set(
     typical === undefined
       ? []
-      : disks.filter((d) => d.ms !== undefined && d.ms * C.quickDiskX <= typical).map((d) => d.id),
+      : disks.filter((d) => d.ms !== undefined && d.ms * PLACEMENT.quickDiskFactor <= typical).map((d) => d.id),
   );
 }
 
@@ -44,8 +44,8 @@
  * @example
  * copyDisks(active, quickOf(active)).length
  */
-export function copyDisks(disks: DiskRec[], quick: Set<string>): DiskRec[] {
-  const out = disks.filter((d) => firstFor(d, 'copies') || quick.has(d.id));
+export function copyDisks(disks: DiskRecord[], quick: Set<string>): DiskRecord[] {
+  const out = disks.filter((d) => isPrimarilyFor(d, 'copies') || quick.has(d.id));
   return out.length ? out : disks;
 }
 
@@ -83,16 +83,20 @@
  * @example
  * matchCopies(disks, 5).get(3); // ['disk-a', 'disk-f', ...]
  */
-export function matchCopies(all: DiskRec[], copies: number, shardsN: number = C.shardsN): Map<number, string[]> {
+export function matchCopies(
+  all: DiskRecord[],
+  copies: number,
+  shardCount: number = SHARD.shardCount,
+): Map<number, string[]> {
   const quick = quickOf(all);
   const disks = copyDisks(all, quick);
   const n = copiesFor(copies, disks.length);
   const most = Math.floor(n / 2) + 1;
-  const cap = Math.ceil(((shardsN * n) / Math.max(1, disks.length)) * C.copiesSlack);
+  const cap = Math.ceil(((shardCount * n) / Math.max(1, disks.length)) * SHARD.replicaSlack);
   const weight = new Map<string, number>();
   const out = new Map<number, string[]>();
-  for (let s = 0; s < shardsN; s++) {
-    const left = rank(`copy/${s}`, disks, (d) => d.id);
+  for (let s = 0; s < shardCount; s++) {
+    const left = rendezvousOrder(`copy/${s}`, disks, (d) => d.id);
     const used = new Map<string, number>();
     const got: string[] = [];
     while (got.length < n) {
@@ -122,11 +126,11 @@
  */
 export function matchOwners(shards: Map<number, Placement>, able: (disk: string) => boolean): Map<number, string> {
   const disks = new Set([...new Set([...shards.values()].flatMap((p) => p.copies))].filter(able));
-  const cap = Math.ceil((shards.size / Math.max(1, disks.size)) * C.ownersSlack);
+  const cap = Math.ceil((shards.size / Math.max(1, disks.size)) * SHARD.ownerSlack);
   const weight = new Map<string, number>();
   const out = new Map<number, string>();
   for (const [s, p] of [...shards].sort((a, b) => a[0] - b[0])) {
-    const order = rank(
+    const order = rendezvousOrder(
       `key/${s}`,
       p.copies.filter((d) => disks.has(d)),
     );
@@ -144,12 +148,16 @@
  * @example
  * targetsOf(value.config, activeDisks).get(3);
  */
-export function targetsOf(c: FleetConfig, active: DiskRec[], copies: number = C.copiesN): Map<number, string[]> {
+export function targetsOf(
+  c: FleetConfig,
+  active: DiskRecord[],
+  copies: number = SHARD.replicaCount,
+): Map<number, string[]> {
   const out = matchCopies(active, c.copies ?? copies);
   const at = new Map(active.map((d) => [d.peer, d.id]));
   for (const p of c.placement ?? []) {
     const found = p.nodes.map((n) => at.get(n)).filter((d) => d !== undefined);
-    const fill = rank(`copy/${p.shard}`, active, (d) => d.id)
+    const fill = rendezvousOrder(`copy/${p.shard}`, active, (d) => d.id)
       .map((d) => d.id)
       .filter((d) => !found.includes(d));
     if (out.has(p.shard)) out.set(p.shard, [...found, ...fill].slice(0, copiesFor(p.nodes.length, active.length)));
@@ -163,7 +171,7 @@
  * @example
  * awaitsSuccessor(value, value.seats, 3); // true with three voters of which one is lost
  */
-export function awaitsSuccessor(value: Value, set: string[], wanted: number): boolean {
+export function awaitsSuccessor(value: FleetValue, set: string[], wanted: number): boolean {
   const there = set.filter((disk) => value.disks.get(disk)?.state !== 'lost');
   return (
     there.length < set.length && there.length < Math.min(copiesFor(set.length, set.length), copiesFor(wanted, wanted))
--- a/packages/control/src/forget.ts
+++ b/packages/control/src/reconcile/forget-planner.ts
@@ -2,13 +2,13 @@
  * Bounds the agreed value: records of disks that are gone and hold nothing are forgotten, so that replacing machines for years
  * leaves the value as large as the fleet, not as its past.
  */
-import { C, type Kernel } from '@harecross/kernel';
-import type { Store } from '@harecross/state';
-import type { Board } from './board.js';
+import { PLACEMENT, type Kernel } from '@harecross/kernel';
+import type { DurableState } from '@harecross/state';
+import type { MembershipTable } from '../membership/membership-table.js';
 import type { Step } from './planner.js';
-import { isBare } from './fleet-state.js';
-import type { Register } from './register.js';
-import type { DiskRec, Value } from './value.js';
+import { holdsNothing } from '../value/fleet-queries.js';
+import type { ConsensusRegister } from '../consensus/consensus-register.js';
+import type { DiskRecord, FleetValue } from '../value/fleet-value.js';
 
 /** The key under which a disk keeps that it was emptied. */
 const EMPTIED_ROW = 'emptied';
@@ -21,15 +21,15 @@
  * a lost disk with its record would. What it has on disk is fenced: its promises stay there, a replica's entries are compared with the
  * shard's history before they count, and its accepted value has a lower ballot than what a majority of the voters has accepted since.
  */
-export function isForgettable(value: Value, disk: DiskRec): boolean {
+export function isForgettable(value: FleetValue, disk: DiskRecord): boolean {
   if (disk.state === 'active') return false;
-  if (!isBare(value, disk.id)) return false;
+  if (!holdsNothing(value, disk.id)) return false;
   return !(value.config.moves ?? []).some((move) => move.node === disk.peer);
 }
 
 /**
- * Chooses the records that are forgotten: after `C.forgetDiskMs` without the machine, by this controller's own observation, so that
- * an operator who asks for the outcome of an emptying is still answered; sooner when more than `C.forgettableN` are waiting.
+ * Chooses the records that are forgotten: after `PLACEMENT.forgetDiskMs` without the machine, by this controller's own observation, so that
+ * an operator who asks for the outcome of an emptying is still answered; sooner when more than `PLACEMENT.forgettableRecordLimit` are waiting.
  * @example
  * const next = forgetting.plan(value); // undefined when nothing is due
  */
@@ -39,16 +39,16 @@
 
   constructor(
     private kernel: Kernel,
-    private board: Board,
+    private membership: MembershipTable,
   ) {}
 
   /** The value without the records that are due, and the disks' ids; undefined when none is. */
-  plan(value: Value): { next: Value; forgotten: string[] } | undefined {
+  plan(value: FleetValue): { next: FleetValue; forgotten: string[] } | undefined {
     this.observe(value);
     const now = this.kernel.host.clock.now();
-    const surplus = this.since.size - C.forgettableN;
+    const surplus = this.since.size - PLACEMENT.forgettableRecordLimit;
     const forgotten = [...this.since]
-      .filter(([, since], index) => index < surplus || now - since >= C.forgetDiskMs)
+      .filter(([, since], index) => index < surplus || now - since >= PLACEMENT.forgetDiskMs)
       .map(([id]) => id);
     if (!forgotten.length) return undefined;
     const disks = new Map(value.disks);
@@ -57,12 +57,12 @@
   }
 
   /** What is due as a step of the controller. */
-  step(value: Value): Step | undefined {
+  step(value: FleetValue): Step | undefined {
     const due = this.plan(value);
     return due && { next: due.next, why: `records of ${due.forgotten.join(', ')} are forgotten` };
   }
 
-  private observe(value: Value): void {
+  private observe(value: FleetValue): void {
     const now = this.kernel.host.clock.now();
     const waiting = [...value.disks.values()].filter((disk) => isForgettable(value, disk) && !this.isThere(disk));
     const ids = new Set(waiting.map((disk) => disk.id));
@@ -71,8 +71,8 @@
   }
 
   /** A machine that may still be running with this disk: suspected is not gone. */
-  private isThere(disk: DiskRec): boolean {
-    const member = this.board.ofDisk(disk.id);
+  private isThere(disk: DiskRecord): boolean {
+    const member = this.membership.memberOfDisk(disk.id);
     return member?.state === 'live' || member?.state === 'suspect';
   }
 }
@@ -81,10 +81,15 @@
  * A disk keeps by itself that it was emptied, and its member says so: long after its record was forgotten it joins as an emptied disk,
  * which takes no replica and no vote, until an operator takes the emptying back. Follows the agreed value.
  */
-export function rememberEmptied(kernel: Kernel, board: Board, register: Register, store: Store): void {
+export function rememberEmptied(
+  kernel: Kernel,
+  membership: MembershipTable,
+  register: ConsensusRegister,
+  store: DurableState,
+): void {
   let emptied = store.get(EMPTIED_ROW) === 'yes';
-  board.say({ emptied });
-  const follow = (value: Value | undefined): void => {
+  membership.updateOwnState({ emptied });
+  const follow = (value: FleetValue | undefined): void => {
     const state = register.disk === undefined ? undefined : value?.disks.get(register.disk)?.state;
     if (state === undefined || state === 'lost') return;
     if (emptied === (state === 'emptying')) return;
@@ -93,9 +98,9 @@
     store.db
       .commit(() => store.set(EMPTIED_ROW, saved ? 'yes' : 'no'))
       .then(
-        () => board.say({ emptied: saved }),
-        () => kernel.count('forget.unsaved'),
+        () => membership.updateOwnState({ emptied: saved }),
+        () => kernel.incrementCounter('forget.unsaved'),
       );
   };
-  kernel.keep(register.value$.subscribe(follow));
+  kernel.addSubscription(register.value$.subscribe(follow));
 }
--- a/packages/control/src/plan-disks.ts
+++ b/packages/control/src/reconcile/plan-disks.ts
@@ -1,12 +1,12 @@
 /** Lets disks into the fleet, and declares those lost whose machine is gone. */
-import { C } from '@harecross/kernel';
-import type { Member } from './board.js';
-import { isBare, waitsFor } from './fleet-state.js';
+import { PLACEMENT, SHARD } from '@harecross/kernel';
+import type { Member } from '../membership/member.js';
+import { holdsNothing, plannedJoinTime } from '../value/fleet-queries.js';
 import { liveMember, silentFor, type FleetView, type Step } from './planner.js';
-import { usedFor, type DiskRec, type DiskState, type Value } from './value.js';
+import { isUsedFor, type DiskRecord, type DiskState, type FleetValue } from '../value/fleet-value.js';
 
 /** Disks that joined, came back or were lost, in one step. */
-export function planDisks(value: Value, fleet: FleetView): Step | undefined {
+export function planDisks(value: FleetValue, fleet: FleetView): Step | undefined {
   const disks = new Map(value.disks);
   const said: string[] = [];
   letIn(value, fleet, disks, said);
@@ -15,10 +15,10 @@
   return { next: { ...value, disks }, why: said.join(', ') };
 }
 
-function letIn(value: Value, fleet: FleetView, disks: Map<string, DiskRec>, said: string[]): void {
-  for (const member of fleet.board.live()) {
-    if (!member.disk || fleet.now - member.liveSince < C.joinAfterMs) continue;
-    if (fleet.wall < waitsFor(value, member.peer)) continue;
+function letIn(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
+  for (const member of fleet.membership.liveMembers()) {
+    if (!member.disk || fleet.now - member.liveSince < PLACEMENT.joinAfterMs) continue;
+    if (fleet.wall < plannedJoinTime(value, member.peer)) continue;
     const known = disks.get(member.disk);
     if (!known) {
       disks.set(member.disk, {
@@ -49,16 +49,16 @@
   return member.emptied ? 'emptying' : 'active';
 }
 
-function giveUpLost(value: Value, fleet: FleetView, disks: Map<string, DiskRec>, said: string[]): void {
+function giveUpLost(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
   for (const disk of value.disks.values()) {
     if (disk.state !== 'active' || disks.get(disk.id)!.state === 'lost') continue;
     const silent = silentFor(fleet, disk);
     if (silent === 0) continue;
-    const spare = isBare(value, disk.id) ? undefined : spareFor(value, fleet, disk, disks, silent);
+    const spare = holdsNothing(value, disk.id) ? undefined : spareFor(value, fleet, disk, disks, silent);
     if (spare !== undefined) {
       disks.set(disk.id, { ...disk, state: 'lost' });
       said.push(`disk ${disk.id} gives its place to ${spare}`);
-    } else if (silent > C.replaceAfterMs) {
+    } else if (silent > PLACEMENT.replaceAfterMs) {
       disks.set(disk.id, { ...disk, state: 'lost' });
       said.push(`disk ${disk.id} is lost`);
     }
@@ -70,52 +70,53 @@
  * silent is its successor and is taken sooner than one that has been there: that machine may only be restarting.
  */
 function spareFor(
-  value: Value,
+  value: FleetValue,
   fleet: FleetView,
-  gone: DiskRec,
-  disks: Map<string, DiskRec>,
+  gone: DiskRecord,
+  disks: Map<string, DiskRecord>,
   silent: number,
 ): string | undefined {
   const spares = [...disks.values()].filter(
     (disk) =>
       disk.state === 'active' &&
       sameUses(disk, gone) &&
-      isBare(value, disk.id) &&
-      fleet.board.ofDisk(disk.id)?.state === 'live',
+      holdsNothing(value, disk.id) &&
+      fleet.membership.memberOfDisk(disk.id)?.state === 'live',
   );
   const waiting = [...disks.values()].filter(
-    (disk) => disk.state === 'lost' && sameUses(disk, gone) && !isBare(value, disk.id),
+    (disk) => disk.state === 'lost' && sameUses(disk, gone) && !holdsNothing(value, disk.id),
   );
   if (spares.length <= waiting.length)
-    return silent > C.spareAfterMs ? laterNeighbour(value, fleet, gone)?.id : undefined;
+    return silent > PLACEMENT.spareAfterMs ? laterNeighbour(value, fleet, gone)?.id : undefined;
   const successor = spares.find((disk) => succeeds(fleet, disk, gone));
-  if (successor && silent > C.successorAfterMs) return successor.id;
-  return silent > C.spareAfterMs ? spares[waiting.length]!.id : undefined;
+  if (successor && silent > PLACEMENT.successorAfterMs) return successor.id;
+  return silent > PLACEMENT.spareAfterMs ? spares[waiting.length]!.id : undefined;
 }
 
 /**
  * A live disk of the same uses that came to the same domain after this one did, where the copies have room without this one: where a
  * machine is replaced by plan, the new one comes first and has copies before the old one goes. Nothing else will come in its place.
  */
-function laterNeighbour(value: Value, fleet: FleetView, gone: DiskRec): DiskRec | undefined {
-  const cameAt = fleet.board.ofDisk(gone.id)?.liveSince;
-  if (cameAt === undefined || !usedFor(gone, 'copies')) return undefined;
+function laterNeighbour(value: FleetValue, fleet: FleetView, gone: DiskRecord): DiskRecord | undefined {
+  const cameAt = fleet.membership.memberOfDisk(gone.id)?.liveSince;
+  if (cameAt === undefined || !isUsedFor(gone, 'copies')) return undefined;
   const there = [...value.disks.values()].filter(
     (disk) => disk.id !== gone.id && disk.state === 'active' && sameUses(disk, gone) && liveMember(fleet, disk.id),
   );
-  if (there.length < (value.config.copies ?? value.copies ?? C.copiesN)) return undefined;
+  if (there.length < (value.config.copies ?? value.copies ?? SHARD.replicaCount)) return undefined;
   return there.find(
-    (disk) => disk.domain === gone.domain && liveMember(fleet, disk.id)!.liveSince > cameAt + C.successorAfterMs,
+    (disk) =>
+      disk.domain === gone.domain && liveMember(fleet, disk.id)!.liveSince > cameAt + PLACEMENT.successorAfterMs,
   );
 }
 
-function sameUses(one: DiskRec, other: DiskRec): boolean {
-  return (['seat', 'copies'] as const).every((use) => usedFor(one, use) === usedFor(other, use));
+function sameUses(one: DiskRecord, other: DiskRecord): boolean {
+  return (['seat', 'copies'] as const).every((use) => isUsedFor(one, use) === isUsedFor(other, use));
 }
 
 /** Whether a disk came, in the same domain, after the other's machine was last heard of. */
-function succeeds(fleet: FleetView, spare: DiskRec, gone: DiskRec): boolean {
+function succeeds(fleet: FleetView, spare: DiskRecord, gone: DiskRecord): boolean {
   const member = liveMember(fleet, spare.id);
-  const lastSeen = fleet.board.ofDisk(gone.id)?.seenAt;
+  const lastSeen = fleet.membership.memberOfDisk(gone.id)?.seenAt;
   return member !== undefined && lastSeen !== undefined && spare.domain === gone.domain && member.liveSince > lastSeen;
 }
--- a/packages/control/src/plan-replicas.ts
+++ b/packages/control/src/reconcile/plan-replicas.ts
@@ -2,11 +2,11 @@
  * Brings the replicas of each shard to where they belong. A lost copy is replaced by a new one in one step: with the lost one kept
  * beside the new (three of four needed), one more loss would end the majority.
  */
-import { C } from '@harecross/kernel';
-import type { KeyRec } from './keeper.js';
-import { awaitsSuccessor, majoritiesMeet, targetsOf, wantedCopies } from './placement.js';
+import { PLACEMENT } from '@harecross/kernel';
+import type { ShardOwnerRecord } from './controller.js';
+import { awaitsSuccessor, majoritiesMeet, targetsOf, wantedCopies } from '../placement/placement.js';
 import { liveMember, type FleetView, type Step } from './planner.js';
-import { usedFor, type Placement, type Value } from './value.js';
+import { isUsedFor, type Placement, type FleetValue } from '../value/fleet-value.js';
 
 /** A shard with what its owner says, and where its copies should be. */
 interface ShardView {
@@ -14,19 +14,19 @@
   placement: Placement;
   target: string[];
   /** The owner's record, if an owner has served under this generation: the generation is established. */
-  owner: KeyRec | undefined;
+  owner: ShardOwnerRecord | undefined;
 }
 
 /** The steps of all shards that are due now, in one change. */
-export function planReplicas(value: Value, fleet: FleetView): Step | undefined {
-  const active = [...value.disks.values()].filter((disk) => disk.state === 'active' && usedFor(disk, 'copies'));
+export function planReplicas(value: FleetValue, fleet: FleetView): Step | undefined {
+  const active = [...value.disks.values()].filter((disk) => disk.state === 'active' && isUsedFor(disk, 'copies'));
   if (!active.length) return undefined;
   const targets = targetsOf(value.config, active, value.copies);
   const planner = new ReplicaPlanner(value, fleet);
   const shards = new Map(value.shards);
   let steps = 0;
   for (const [shard, placement] of value.shards) {
-    const record = fleet.board.get(`key/${shard}`) as KeyRec | undefined;
+    const record = fleet.membership.get(`key/${shard}`) as ShardOwnerRecord | undefined;
     const owner = record?.gen === placement.gen ? record : undefined;
     const next = planner.next({ shard, placement, target: targets.get(shard)!, owner });
     if (!next) continue;
@@ -45,13 +45,13 @@
   private readonly jointFences: boolean;
 
   constructor(
-    private value: Value,
+    private value: FleetValue,
     private fleet: FleetView,
   ) {
     const held = new Set([...value.shards.values()].flatMap((placement) => placement.copies));
     const active = [...held].filter((disk) => value.disks.get(disk)?.state === 'active');
     this.allLive = active.every((disk) => liveMember(fleet, disk));
-    this.jointFences = fleet.board.live().every((member) => !member.disk || member.jointFences === true);
+    this.jointFences = fleet.membership.liveMembers().every((member) => !member.disk || member.jointFences === true);
   }
 
   next(view: ShardView): Placement | undefined {
@@ -64,7 +64,7 @@
     if (settled && !lost) return settled;
     const pending = placement.previous !== undefined || placement.retained !== undefined;
     if (!missing.length && !extra.length && !pending) return undefined;
-    if (!lost && ++this.moving > C.movingN) return undefined;
+    if (!lost && ++this.moving > PLACEMENT.movingShardLimit) return undefined;
     // The last step must be established before the next: the majorities of just two generations are heeded.
     if (!owner) return undefined;
     const fresh = missing.filter((disk) => liveMember(this.fleet, disk));
@@ -81,7 +81,7 @@
   /** Whether these copies have the shard's history now, by what its owner says. One whose owner is not there is not known to. */
   private inSync(view: ShardView, disks: string[]): boolean {
     const { owner } = view;
-    if (!owner || !this.fleet.board.isLive(owner.peer)) return false;
+    if (!owner || !this.fleet.membership.isLive(owner.peer)) return false;
     return disks.every((disk) => liveMember(this.fleet, disk) && !owner.behind.includes(disk));
   }
 
--- a/packages/control/src/fleet-state.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -2,33 +2,33 @@
  * Questions about the agreed value that the planners and the operators' calls share: which machine a name means, what a disk
  * still holds, and whether a machine may leave.
  */
-import { C } from '@harecross/kernel';
+import { SHARD } from '@harecross/kernel';
 import type { Move } from '@harecross/schema';
-import type { Board } from './board.js';
-import { copiesFor, copyDisks, quickOf } from './placement.js';
-import { moveKey, usedFor, type DiskRec, type Value } from './value.js';
+import type { MembershipTable } from '../membership/membership-table.js';
+import { copiesFor, copyDisks, quickOf } from '../placement/placement.js';
+import { moveKey, isUsedFor, type DiskRecord, type FleetValue } from './fleet-value.js';
 
 /** A disk by its id, or by the name of the machine it is in. */
-export const diskNamed = (v: Value, x: string): DiskRec | undefined => {
+export const findDisk = (v: FleetValue, x: string): DiskRecord | undefined => {
   const there = [...v.disks.values()].filter((d) => d.name === x);
   return v.disks.get(x) ?? there.find((d) => d.state !== 'lost') ?? there[0];
 };
-export { moveKey } from './value.js';
+export { moveKey } from './fleet-value.js';
 /**
  * Copies that a disk still has, those among them that it keeps until the one in its place has the history.
  * @example
  * copiesOn(value, 'd1k'); // 12
  */
-export const copiesOn = (v: Value, disk: string): number =>
+export const replicaCountOn = (v: FleetValue, disk: string): number =>
   [...v.shards.values()].filter((p) => p.copies.includes(disk) || p.retained?.includes(disk)).length;
 /** Whether an order to empty a disk, or a machine by its name, was taken and not taken back: also of a disk that was there before. */
-export const emptyingOrdered = (v: Value, x: string): boolean =>
+export const isDrainOrdered = (v: FleetValue, x: string): boolean =>
   [...v.disks.values()].some((d) => (d.id === x || d.name === x) && (d.emptyingTaken ?? d.state === 'emptying'));
 /** Whether nothing of the fleet is left on a disk: it is in no majority that is still needed, and has no copy. */
-export const isBare = (v: Value, disk: string): boolean =>
-  copiesOn(v, disk) === 0 && !v.seats.includes(disk) && !v.prevSeats.includes(disk);
+export const holdsNothing = (v: FleetValue, disk: string): boolean =>
+  replicaCountOn(v, disk) === 0 && !v.voters.includes(disk) && !v.previousVoters.includes(disk);
 /** A machine that the calendar adds later is not let in before. */
-export const waitsFor = (v: Value, peer: string): number =>
+export const plannedJoinTime = (v: FleetValue, peer: string): number =>
   Math.max(
     0,
     ...(v.config.moves ?? [])
@@ -45,28 +45,33 @@
 /**
  * Whether the calendar has this machine out for a restart now.
  * @example
- * awayNow(reg.value, k.self); // true from a restart's `from` to its `until`
+ * awayNow(register.value, k.self); // true from a restart's `from` to its `until`
  */
-export const awayNow = (v: Value | undefined, peer: string): boolean =>
+export const isInPlannedRestart = (v: FleetValue | undefined, peer: string): boolean =>
   v !== undefined &&
   (v.config.moves ?? []).some(
     (m) => m.kind === 'restart' && m.node === peer && v.moves.get(moveKey(m))?.state === 'running',
   );
 
 /** What keeps a machine from leaving now: a majority that would break, or copies that would have no place. */
-export function barTo(v: Value, m: Pick<Move, 'kind'>, disk: DiskRec | undefined, board: Board): string | undefined {
+export function reasonToStay(
+  v: FleetValue,
+  m: Pick<Move, 'kind'>,
+  disk: DiskRecord | undefined,
+  membership: MembershipTable,
+): string | undefined {
   if (!disk) return undefined;
   const live = (d: string): boolean => {
-    const x = board.ofDisk(d);
-    return d !== disk.id && x !== undefined && board.isLive(x.peer);
+    const x = membership.memberOfDisk(d);
+    return d !== disk.id && x !== undefined && membership.isLive(x.peer);
   };
   const short = (set: string[]): boolean => set.filter(live).length * 2 <= set.length;
-  if (short(v.seats)) return 'the register would lose its majority';
+  if (short(v.voters)) return 'the register would lose its majority';
   for (const [s, p] of v.shards) if (short(p.copies)) return `shard ${s} would lose its majority`;
   if (m.kind === 'restart') return undefined;
-  const all = [...v.disks.values()].filter((d) => d.state === 'active' && usedFor(d, 'copies'));
+  const all = [...v.disks.values()].filter((d) => d.state === 'active' && isUsedFor(d, 'copies'));
   const active = copyDisks(all, quickOf(all));
-  const now = copiesFor(v.config.copies ?? v.copies ?? C.copiesN, active.length);
+  const now = copiesFor(v.config.copies ?? v.copies ?? SHARD.replicaCount, active.length);
   const left = active.filter((d) => d.id !== disk.id && live(d.id));
   if (left.length < now) return `${left.length} active live disks would be left for ${now} copies`;
   return undefined;
--- a/packages/control/src/value.ts
+++ b/packages/control/src/value/fleet-value.ts
@@ -1,12 +1,12 @@
 /** The one value that the fleet agrees on, and the records in it. */
 import type { DiskUse } from '@harecross/kernel';
 import type { FleetConfig, Move } from '@harecross/schema';
-import { erasAfter, type Eras } from './eras.js';
+import { incarnationsAfter, type TopicIncarnations } from './topic-incarnations.js';
 import { withRevision, type RevisionOrder, type RevisionOutcomes } from './revision-outcomes.js';
 
 export type DiskState = 'active' | 'emptying' | 'lost';
 /** `ms`: how long it took when it was first opened. `uses`: what the disk is for; a record of before there was a choice has none and is for everything. */
-export interface DiskRec {
+export interface DiskRecord {
   id: string;
   peer: string;
   domain: string;
@@ -22,13 +22,13 @@
  * @example
  * firstFor(disk, 'copies') // false for a control node's, though it may take copies too
  */
-export const firstFor = (d: DiskRec, use: DiskUse): boolean => (d.uses?.[0] ?? 'copies') === use;
+export const isPrimarilyFor = (d: DiskRecord, use: DiskUse): boolean => (d.uses?.[0] ?? 'copies') === use;
 /**
  * Whether a disk is for this.
  * @example
  * usedFor(disk, 'copies') // false for a control node's
  */
-export const usedFor = (d: DiskRec, use: DiskUse): boolean => d.uses?.includes(use) ?? true;
+export const isUsedFor = (d: DiskRecord, use: DiskUse): boolean => d.uses?.includes(use) ?? true;
 /**
  * Where the replicas of a shard are, under one generation. A generation is established once an owner serves under it: a majority
  * of its copies has the whole history then.
@@ -46,14 +46,14 @@
 }
 export type MoveState = 'running' | 'late' | 'done' | 'missed' | 'refused';
 /** How far a planned move has come; only moves that have begun (or never will) are here. */
-export interface MoveRec {
+export interface MoveRecord {
   state: MoveState;
   why: string;
 }
-export type Outcome = { tag: 'taken'; version: number } | { tag: 'conflict'; version: number };
+export type ChangeOutcomeRecord = { tag: 'taken'; version: number } | { tag: 'conflict'; version: number };
 
 /** The one value the fleet agrees on. rev counts every change, version only the operators'. */
-export interface Value {
+export interface FleetValue {
   fleet: string;
   rev: number;
   version: number;
@@ -66,21 +66,21 @@
   /** What came into force under which revision. Unknown in a value of before outcomes were kept by content. */
   revisionOutcomes?: RevisionOutcomes;
   /** Since which version the topics of a pattern have been there without a break. */
-  eras: Eras;
-  disks: Map<string, DiskRec>;
-  seats: string[];
-  prevSeats: string[];
+  incarnations: TopicIncarnations;
+  disks: Map<string, DiskRecord>;
+  voters: string[];
+  previousVoters: string[];
   shards: Map<number, Placement>;
   /** Copies of a shard where the configuration says nothing: as many as bear the losses that the founder was told. */
   copies: number;
   /** Seats wanted, likewise: as many as bear those losses. Unknown in a value of before there was a choice. */
-  seatsWanted?: number;
-  /** First outcomes by change id, the oldest first; C.changeIdsN at most. */
-  changes: Map<string, Outcome>;
+  votersWanted?: number;
+  /** First outcomes by change id, the oldest first; REGISTER.changeIdLimit at most. */
+  changes: Map<string, ChangeOutcomeRecord>;
   /** The version told by the newest outcome that was forgotten: nothing is known of a change id that expects no more than this. */
   changesForgottenTo?: number;
   /** Key: id@from. */
-  moves: Map<string, MoveRec>;
+  moves: Map<string, MoveRecord>;
 }
 
 /** The key of a move in the value's record of moves. */
@@ -92,9 +92,9 @@
  * withConfig(value, { changeId: 'c1', config }).version // value.version + 1
  */
 export function withConfig(
-  value: Value,
+  value: FleetValue,
   change: { changeId: string; config: FleetConfig; document?: string; revised?: RevisionOrder },
-): Value {
+): FleetValue {
   const { changeId, config, document, revised } = change;
   const version = value.version + 1;
   const planned = new Set((config.moves ?? []).map(moveKey));
@@ -104,7 +104,7 @@
     changeId,
     config,
     document,
-    eras: erasAfter(value.eras, config, version),
+    incarnations: incarnationsAfter(value.incarnations, config, version),
     moves: new Map([...value.moves].filter(([key]) => planned.has(key))),
   };
   if (!revised) return next;
--- a/packages/control/src/revision-outcomes.ts
+++ b/packages/control/src/value/revision-outcomes.ts
@@ -3,9 +3,9 @@
  * node, restarted or new, gives the same outcome. Invariant: a revision is recorded once, with one digest, and revisions are
  * recorded in rising order, in the same step that brings the configuration into force.
  */
-import { C } from '@harecross/kernel';
+import { REGISTER } from '@harecross/kernel';
 import { createHash } from 'node:crypto';
-import type { Value } from './value.js';
+import type { FleetValue } from './fleet-value.js';
 
 /** 66 bits: two configurations that differ under one revision have equal digests once in 10^19 cases. */
 const DIGEST_CHARS = 11;
@@ -14,7 +14,7 @@
 export interface RevisionOutcomes {
   /** From here on a revision that is not in `digests` never came into force; below it outcomes are forgotten. */
   knownFrom: number;
-  /** The digest of what came into force, by revision, lowest first; C.revisionOutcomesN at most. */
+  /** The digest of what came into force, by revision, lowest first; REGISTER.revisionOutcomeLimit at most. */
   digests: Map<number, string>;
 }
 
@@ -54,7 +54,7 @@
  * The digests of a value written before there were any. If the last change is the one that brought the revision, what is in force
  * tells the digest; else a later change without a revision has altered it, and the outcome is forgotten.
  */
-function recomputed(value: Value): RevisionOutcomes {
+function recomputed(value: FleetValue): RevisionOutcomes {
   const { revision } = value;
   if (revision === undefined) return { knownFrom: 0, digests: new Map() };
   if (value.changeId !== `revision-${revision}`) return { knownFrom: revision + 1, digests: new Map() };
@@ -63,7 +63,7 @@
 }
 
 /** The record of a value; of one whose last revision was brought by a node that keeps no record, what can be told of that one. */
-function recordOf(value: Value): RevisionOutcomes {
+function recordOf(value: FleetValue): RevisionOutcomes {
   const { revision, revisionOutcomes } = value;
   if (!revisionOutcomes) return recomputed(value);
   if (revision === undefined || revision < revisionOutcomes.knownFrom || revisionOutcomes.digests.has(revision))
@@ -76,7 +76,7 @@
  * @example
  * revisionOutcome(value, { revision: 50, digest }) // 'conflict'
  */
-export function revisionOutcome(value: Value, order: RevisionOrder): RevisionOutcome {
+export function revisionOutcome(value: FleetValue, order: RevisionOrder): RevisionOutcome {
   const record = recordOf(value);
   const digest = record.digests.get(order.revision);
   if (digest !== undefined) return digest === order.digest ? 'accepted' : 'conflict';
@@ -89,12 +89,12 @@
  * @example
  * next.revisionOutcomes = withRevision(value, { revision: 51, digest });
  */
-export function withRevision(value: Value, order: RevisionOrder): RevisionOutcomes {
+export function withRevision(value: FleetValue, order: RevisionOrder): RevisionOutcomes {
   const record = recordOf(value);
   const digests = new Map(record.digests).set(order.revision, order.digest);
   let { knownFrom } = record;
   for (const revision of digests.keys()) {
-    if (digests.size <= C.revisionOutcomesN) break;
+    if (digests.size <= REGISTER.revisionOutcomeLimit) break;
     digests.delete(revision);
     knownFrom = revision + 1;
   }
--- a/packages/control/src/eras.ts
+++ b/packages/control/src/value/topic-incarnations.ts
@@ -1,17 +1,20 @@
 import { Patterns, type FleetConfig } from '@harecross/schema';
 
-/** A topic's era is the version since which it has been there without a break. Regions of topics, by pattern, with their eras. */
-export type Eras = Map<string, number>;
+/**
+ * Incarnations by topic pattern. The incarnation of a topic is the configuration version since which some family has held it without a
+ * gap; a topic that was removed and added again is another incarnation and shows none of the earlier messages.
+ */
+export type TopicIncarnations = Map<string, number>;
 
 /**
- * The eras after a configuration took the place of the one before. What a topic keeps follows from its being there, whatever its family
+ * The incarnations after a configuration replaced the one before. What a topic keeps follows from its being there, whatever its family
  * is called and whichever pattern it is found by: a family may be renamed, cut into two or lie inside a new one, and its topics lose
  * nothing. A topic that no pattern held for even one version begins anew. Patterns that are gone stay as regions only where what holds
  * their topics now is younger than they are.
  * @example
- * erasAfter(new Map([['a.*', 1]]), { families: [{ topics: ['a.b.*', 'c.*'], ... }] }, 2); // a.b.* 1, c.* 2
+ * incarnationsAfter(new Map([['a.*', 1]]), { families: [{ topics: ['a.b.*', 'c.*'], ... }] }, 2); // a.b.* 1, c.* 2
  */
-export function erasAfter(before: Eras, config: FleetConfig, version: number): Eras {
+export function incarnationsAfter(before: TopicIncarnations, config: FleetConfig, version: number): TopicIncarnations {
   const patterns = config.families.flatMap((f) => f.topics);
   const had = new Patterns(before);
   const has = new Patterns(patterns.map((p): [string, true] => [p, true]));
@@ -36,18 +39,18 @@
   return x.within(prefix === undefined ? pattern : prefix.slice(0, -1));
 }
 
-const tables = new WeakMap<Eras, Patterns<number>>();
+const tables = new WeakMap<TopicIncarnations, Patterns<number>>();
 
 /**
  * Since which version a topic has been there without a break. Only for topics that a family holds.
  * @example
- * eraOf(reg.value!.eras, 'pay/77'); // 4
+ * incarnationOf(register.value!.incarnations, 'pay/77'); // 4
  */
-export function eraOf(eras: Eras, topic: string): number | undefined {
-  let t = tables.get(eras);
+export function incarnationOf(incarnations: TopicIncarnations, topic: string): number | undefined {
+  let t = tables.get(incarnations);
   if (!t) {
-    t = new Patterns(eras);
-    tables.set(eras, t);
+    t = new Patterns(incarnations);
+    tables.set(incarnations, t);
   }
   return t.find(topic);
 }
--- a/packages/data/src/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -1,26 +1,34 @@
 import {
-  C,
-  Failure,
-  Holding,
+  BoundedQueue,
+  HarecrossError,
   Kernel,
-  addr,
-  faultOf,
-  never,
-  register,
-  retryAfter,
-  within,
-  type Fault,
+  MEMBERSHIP,
+  PROCESS,
+  REQUEST,
+  assertNever,
+  jitteredRetryMs,
+  parseAddress,
+  registerPlugin,
+  toErrorDetails,
+  withTimeout,
+  type ErrorDetails,
 } from '@harecross/kernel';
-import { awayNow, notReady, type Board, type Operators, type Register } from '@harecross/control';
+import {
+  isInPlannedRestart,
+  notReady,
+  type MembershipTable,
+  type Operators,
+  type ConsensusRegister,
+} from '@harecross/control';
 import { Rpcs, configFaults, familyOf, isUrgent, visitFault, type Method, type Visit } from '@harecross/schema';
 import type { FastifyError, FastifyReply } from 'fastify';
 import { firstValueFrom } from 'rxjs';
-import { frameLines, type Sink } from './outgoing.js';
-import type { Route } from './route.js';
-import type { Sessions } from './sessions.js';
+import { frameLines, type Sink } from '../sessions/outgoing.js';
+import type { Route } from '../routing/route.js';
+import type { Sessions } from '../sessions/sessions.js';
 
 declare module '@harecross/kernel' {
-  interface Faces {
+  interface ServiceRegistry {
     edge: Edge;
   }
 }
@@ -32,8 +40,8 @@
 
 /** Body of a reply: the method's own answer, or why there is none. */
 export interface ReplyBody {
-  error?: Fault & { retryAfterMs?: number };
-  rejected?: { reason: Fault['tag']; final: boolean; retryAfterMs: number };
+  error?: ErrorDetails & { retryAfterMs?: number };
+  rejected?: { reason: ErrorDetails['tag']; final: boolean; retryAfterMs: number };
   [field: string]: unknown;
 }
 
@@ -45,7 +53,7 @@
  * @example
  * statusOf({ tag: 'overloaded', step: 'Attach', peer, retryAfterMs: 500 }); // 503
  */
-export function statusOf(f: Fault): number {
+export function statusOf(f: ErrorDetails): number {
   switch (f.tag) {
     case 'bad_visit':
     case 'invalid_config':
@@ -79,7 +87,7 @@
     case 'internal':
       return 500;
     default:
-      return never(f);
+      return assertNever(f);
   }
 }
 
@@ -89,19 +97,19 @@
  * await edge.visit('Probe', { conn }); // { status: 200, body: {} }
  */
 export class Edge {
-  private holding: Holding<Request, Reply>;
+  private holding: BoundedQueue<Request, Reply>;
   private sessions?: Sessions;
 
   constructor(
-    private k: Kernel,
-    private board: Board,
-    private reg: Register,
+    private kernel: Kernel,
+    private membership: MembershipTable,
+    private register: ConsensusRegister,
     private route: Route,
     private ops: Operators,
   ) {
-    this.holding = new Holding(C.edgeHoldingN, C.edgeHoldingN, (v) => this.serve(v));
-    if (k.has('sessions')) this.sessions = k.use('sessions');
-    k.on('Pass', (b: { m: string; body: unknown }) => this.visit(b.m, b.body));
+    this.holding = new BoundedQueue(REQUEST.gatewayQueueLimit, REQUEST.gatewayQueueLimit, (v) => this.serve(v));
+    if (kernel.has('sessions')) this.sessions = kernel.use('sessions');
+    kernel.on('Pass', (b: { m: string; body: unknown }) => this.visit(b.m, b.body));
   }
 
   /** Whether the platform may send us conns. */
@@ -111,12 +119,19 @@
 
   /** Whether a conn that comes all the same is better taken and sent on than refused. */
   private takes(): boolean {
-    return this.ready() || (this.reg.fresh() && (this.k.phase === 'running' || this.k.phase === 'draining'));
+    return (
+      this.ready() ||
+      (this.register.hasReadLease() && (this.kernel.phase === 'running' || this.kernel.phase === 'draining'))
+    );
   }
 
   /** Whether this node truly does its work; a store has no conns but serves. */
   serving(): boolean {
-    return this.k.phase === 'running' && this.reg.fresh() && !awayNow(this.reg.value, this.k.self);
+    return (
+      this.kernel.phase === 'running' &&
+      this.register.hasReadLease() &&
+      !isInPlannedRestart(this.register.value, this.kernel.self)
+    );
   }
 
   /** Checks an Attach and opens its conn. */
@@ -125,7 +140,7 @@
       const bad = visitFault('Attach', body);
       if (bad) throw this.bad('Attach', bad);
       if (!this.sessions) throw this.bad('Attach', 'this node is a store and takes no conns');
-      if (!this.takes()) throw notReady(this.k, 'Attach');
+      if (!this.takes()) throw notReady(this.kernel, 'Attach');
       const b = body as Visit<'Attach'>;
       return { id: this.sessions.attach(b.consumer, b.pingS, sink) };
     } catch (e) {
@@ -137,12 +152,20 @@
    * Undefined when there is nothing to wait for.
    */
   starting(): Promise<void> | undefined {
-    const left = this.k.startedAt + C.startWaitMs - this.k.host.clock.now();
-    if (this.takes() || left <= 0 || !this.sessions || this.k.phase === 'draining' || this.k.phase === 'stopped')
+    const left = this.kernel.startedAt + PROCESS.startWaitMs - this.kernel.host.clock.now();
+    if (
+      this.takes() ||
+      left <= 0 ||
+      !this.sessions ||
+      this.kernel.phase === 'draining' ||
+      this.kernel.phase === 'stopped'
+    )
       return undefined;
-    return within(this.k.host.clock, left, firstValueFrom(this.reg.fresh$, { defaultValue: undefined })).then(
-      () => undefined,
-    );
+    return withTimeout(
+      this.kernel.host.clock,
+      left,
+      firstValueFrom(this.register.readLeaseBegun$, { defaultValue: undefined }),
+    ).then(() => undefined);
   }
   /** Any word of a consumer is a sign of life of its conn. */
   heard(id: string): void {
@@ -157,23 +180,23 @@
 
   async visit(m: string, body: unknown): Promise<Reply> {
     if (!Object.hasOwn(Rpcs, m) || m === 'Attach')
-      return this.failed(m, new Failure({ tag: 'unknown_method', step: m, peer: this.k.self, method: m }));
+      return this.failed(m, new HarecrossError({ tag: 'unknown_method', step: m, peer: this.kernel.self, method: m }));
     const method = m as Method;
     const bad = visitFault(method, body);
     if (bad) return this.failed(m, this.bad(m, bad));
-    if (this.k.phase === 'stopped') return this.failed(m, notReady(this.k, m));
-    this.k.count(`visit.${m}`);
+    if (this.kernel.phase === 'stopped') return this.failed(m, notReady(this.kernel, m));
+    this.kernel.incrementCounter(`visit.${m}`);
     const request = { m: method, body } as Request;
     const p = this.holding.offer(request, this.urgent(request));
     if (!p && m === 'Publish') this.route.turnAway(body as Visit<'Publish'>);
     if (!p)
       return this.failed(
         m,
-        new Failure({
+        new HarecrossError({
           tag: 'overloaded',
           step: m,
-          peer: this.k.self,
-          retryAfterMs: retryAfter(this.k.host.rnd, C.retryMs),
+          peer: this.kernel.self,
+          retryAfterMs: jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs),
         }),
       );
     return p;
@@ -182,7 +205,7 @@
   private urgent({ m, body }: Request): boolean {
     switch (m) {
       case 'Publish':
-        return this.reg.value !== undefined && isUrgent(this.reg.value.config, body.topic);
+        return this.register.value !== undefined && isUrgent(this.register.value.config, body.topic);
       case 'Listeners':
         return false;
       default:
@@ -190,22 +213,23 @@
     }
   }
 
-  private bad(step: string, detail: string): Failure {
-    return new Failure({ tag: 'bad_visit', step, peer: this.k.self, detail });
+  private bad(step: string, detail: string): HarecrossError {
+    return new HarecrossError({ tag: 'bad_visit', step, peer: this.kernel.self, detail });
   }
 
   private failed(m: string, e: unknown): Reply {
-    const f = faultOf(e, m, this.k.self);
+    const f = toErrorDetails(e, m, this.kernel.self);
     if (f.tag === 'internal')
-      this.k.host.log.warn('visit failed', { fault: f, stack: e instanceof Error ? e.stack : undefined });
-    this.k.count(`fault.${f.tag}`);
+      this.kernel.host.log.warn('visit failed', { fault: f, stack: e instanceof Error ? e.stack : undefined });
+    this.kernel.incrementCounter(`fault.${f.tag}`);
     // A try that surely stored nothing is told so in the words of the schema. Earlier tries of its number are another matter: may be one
     // is on its way. Only the owner's final no speaks of them too.
     if (
       m === 'Publish' &&
       (f.tag === 'not_ready' || f.tag === 'overloaded' || f.tag === 'unreachable' || f.tag === 'not_owner')
     ) {
-      const retryAfterMs = 'retryAfterMs' in f ? f.retryAfterMs : retryAfter(this.k.host.rnd, C.retryMs);
+      const retryAfterMs =
+        'retryAfterMs' in f ? f.retryAfterMs : jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
       return { status: 503, body: { rejected: { reason: f.tag, final: false, retryAfterMs } } };
     }
     if (m === 'Publish' && f.tag === 'stale_seq')
@@ -213,7 +237,7 @@
     const status = statusOf(f);
     let retryAfterMs: number | undefined;
     if ('retryAfterMs' in f) retryAfterMs = f.retryAfterMs;
-    else if (status === 503 || status === 504) retryAfterMs = retryAfter(this.k.host.rnd, C.retryMs);
+    else if (status === 503 || status === 504) retryAfterMs = jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
     return { status, body: { error: retryAfterMs === undefined ? f : { ...f, retryAfterMs } } };
   }
 
@@ -221,7 +245,7 @@
     try {
       if ('conn' in request.body) {
         const peer = request.body.conn.split('/')[0]!;
-        if (peer !== this.k.self) return await this.pass(peer, request);
+        if (peer !== this.kernel.self) return await this.pass(peer, request);
       }
       return { status: 200, body: (await this.answer(request)) as ReplyBody };
     } catch (e) {
@@ -231,18 +255,23 @@
 
   /** Passes a visit to the relay that has the conn. */
   private async pass(peer: string, { m, body }: Request): Promise<Reply> {
-    const known = this.board.members.get(peer);
+    const known = this.membership.members.get(peer);
     if (!known || known.role !== 'relay' || known.state === 'dead' || known.state === 'left') {
       // A conn's id names its relay only if there is one by that name.
-      throw new Failure({ tag: 'unknown_conn', step: m, peer: known ? peer : this.k.self });
+      throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: known ? peer : this.kernel.self });
     }
-    const fam = m === 'Subscribe' && this.reg.value ? familyOf(this.reg.value.config, body.topic) : undefined;
+    const fam = m === 'Subscribe' && this.register.value ? familyOf(this.register.value.config, body.topic) : undefined;
     try {
-      return await this.k.reach<Reply>(peer, 'Pass', { m, body }, fam ? fam.patienceMs + C.callMs : C.callMs);
+      return await this.kernel.callAnyPath<Reply>(
+        peer,
+        'Pass',
+        { m, body },
+        fam ? fam.patienceMs + MEMBERSHIP.callMs : MEMBERSHIP.callMs,
+      );
     } catch (e) {
-      const f = faultOf(e, m, peer);
+      const f = toErrorDetails(e, m, peer);
       // Nobody is there. That a helper on an indirect path was not there says nothing of the connection.
-      if (f.tag === 'unreachable' && f.peer === peer) throw new Failure({ tag: 'unknown_conn', step: m, peer });
+      if (f.tag === 'unreachable' && f.peer === peer) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer });
       throw e;
     }
   }
@@ -263,12 +292,12 @@
       case 'Unsubscribe':
         return { left: this.conns(m).unsubscribe(body.conn, body.topic) };
       case 'Publish': {
-        if (!this.reg.fresh()) this.route.turnAway(body);
+        if (!this.register.hasReadLease()) this.route.turnAway(body);
         this.mustServe(m);
         const fam = this.family(m, body.topic);
-        const limit = fam.limits?.bodyBytes ?? C.bodyBytes;
+        const limit = fam.limits?.bodyBytes ?? REQUEST.bodyBytes;
         if (Buffer.byteLength(body.body) > limit)
-          throw new Failure({ tag: 'too_large', step: m, peer: this.k.self, limit });
+          throw new HarecrossError({ tag: 'too_large', step: m, peer: this.kernel.self, limit });
         return { accepted: await this.route.publish(body, fam.patienceMs) };
       }
       case 'Listeners': {
@@ -279,7 +308,7 @@
       case 'SubmitConfig':
         return this.ops.submit(body);
       case 'CheckConfig':
-        return { version: this.reg.value?.version ?? 0, faults: configFaults(body.config) };
+        return { version: this.register.value?.version ?? 0, faults: configFaults(body.config) };
       case 'ReadConfig':
         return this.ops.readConfig();
       case 'EmptyDisk':
@@ -299,33 +328,33 @@
       case 'Attach':
         throw this.bad(m, 'Attach is a stream');
       default:
-        return never(m);
+        return assertNever(m);
     }
   }
 
   private mustServe(m: string): void {
-    if (!this.reg.fresh()) throw notReady(this.k, m);
+    if (!this.register.hasReadLease()) throw notReady(this.kernel, m);
   }
   private conns(m: string): Sessions {
-    if (!this.sessions) throw new Failure({ tag: 'unknown_conn', step: m, peer: this.k.self });
+    if (!this.sessions) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: this.kernel.self });
     return this.sessions;
   }
   private family(m: string, topic: string) {
-    const f = familyOf(this.reg.value!.config, topic);
-    if (!f) throw new Failure({ tag: 'unknown_topic', step: m, peer: this.k.self, topic });
+    const f = familyOf(this.register.value!.config, topic);
+    if (!f) throw new HarecrossError({ tag: 'unknown_topic', step: m, peer: this.kernel.self, topic });
     return f;
   }
 
   private fleet(): unknown {
-    const v = this.reg.value;
-    const now = this.k.host.clock.now();
+    const v = this.register.value;
+    const now = this.kernel.host.clock.now();
     return {
-      at: this.k.self,
-      fresh: this.reg.fresh(),
+      at: this.kernel.self,
+      fresh: this.register.hasReadLease(),
       rev: v?.rev ?? 0,
       version: v?.version ?? 0,
       fleet: v?.fleet,
-      members: [...this.board.members.values()].map((m) => ({
+      members: [...this.membership.members.values()].map((m) => ({
         peer: m.peer,
         name: m.name,
         client: m.client,
@@ -335,12 +364,12 @@
         state: m.state,
         condition: m.condition,
         weight: m.weight,
-        ageMs: m.peer === this.k.self ? 0 : Math.round(now - m.seenAt),
+        ageMs: m.peer === this.kernel.self ? 0 : Math.round(now - m.seenAt),
       })),
       disks: v
         ? [...v.disks.values()].map((d) => ({
             ...d,
-            seat: v.seats.includes(d.id),
+            seat: v.voters.includes(d.id),
             copies: [...v.shards.values()].filter((p) => p.copies.includes(d.id)).length,
           }))
         : [],
@@ -349,7 +378,7 @@
             shard: s,
             gen: p.gen,
             copies: p.copies,
-            ...(this.board.get(`key/${s}`) as object | undefined),
+            ...(this.membership.get(`key/${s}`) as object | undefined),
           }))
         : [],
     };
@@ -357,22 +386,22 @@
 
   private node(): unknown {
     return {
-      peer: this.k.self,
-      inst: this.k.inst,
-      phase: this.k.phase,
+      peer: this.kernel.self,
+      inst: this.kernel.instanceId,
+      phase: this.kernel.phase,
       // Before the first confirmation nothing is in force here: no version, rather than an old one.
-      ...(this.reg.confirmed() ? { version: this.reg.value!.version } : {}),
-      rev: this.k.rev,
-      fresh: this.reg.fresh(),
+      ...(this.register.wasEverConfirmed() ? { version: this.register.value!.version } : {}),
+      rev: this.kernel.rev,
+      fresh: this.register.hasReadLease(),
       holdings: [
-        this.holding.told('edge'),
-        ...(this.k.has('owner') ? this.k.use('owner').holdings() : []),
+        this.holding.describe('edge'),
+        ...(this.kernel.has('owner') ? this.kernel.use('owner').queues() : []),
         ...(this.sessions?.queues() ?? []),
       ],
-      counters: Object.fromEntries([...this.k.counters].sort(([a], [b]) => (a < b ? -1 : 1))),
-      keys: this.k.has('owner') ? this.k.use('owner').owned() : [],
-      copies: this.k.has('copies') ? this.k.use('copies').table() : [],
-      interest: this.k.has('owner') ? this.k.use('owner').interestTable() : [],
+      counters: Object.fromEntries([...this.kernel.counters].sort(([a], [b]) => (a < b ? -1 : 1))),
+      keys: this.kernel.has('owner') ? this.kernel.use('owner').ownedShards() : [],
+      copies: this.kernel.has('copies') ? this.kernel.use('copies').table() : [],
+      interest: this.kernel.has('owner') ? this.kernel.use('owner').interestTable() : [],
       holds: this.sessions?.table() ?? [],
       conns: this.sessions?.size ?? 0,
     };
@@ -384,7 +413,7 @@
  * @example
  * const close = await serveHttp(edge, '127.0.0.1:7001');
  */
-export async function serveHttp(k: Kernel, edge: Edge, at: string): Promise<() => Promise<void>> {
+export async function serveHttp(kernel: Kernel, edge: Edge, at: string): Promise<() => Promise<void>> {
   // Loaded only where it serves: a node that is reached otherwise starts without it.
   const { default: fastify } = await import('fastify');
   const app = fastify({ bodyLimit: 2 * 1024 * 1024, keepAliveTimeout: 30_000 });
@@ -395,9 +424,9 @@
   };
   app.setErrorHandler((e: FastifyError, _req, reply) => {
     const status = e.statusCode && e.statusCode < 500 ? e.statusCode : 500;
-    let fault: Fault = { tag: 'internal', step: 'read', peer: k.self, detail: e.message };
-    if (status === 413) fault = { tag: 'too_large', step: 'read', peer: k.self, limit: 2 * 1024 * 1024 };
-    else if (status < 500) fault = { tag: 'bad_visit', step: 'read', peer: k.self, detail: e.message };
+    let fault: ErrorDetails = { tag: 'internal', step: 'read', peer: kernel.self, detail: e.message };
+    if (status === 413) fault = { tag: 'too_large', step: 'read', peer: kernel.self, limit: 2 * 1024 * 1024 };
+    else if (status < 500) fault = { tag: 'bad_visit', step: 'read', peer: kernel.self, detail: e.message };
     return reply.code(status).send({ error: fault });
   });
   app.setNotFoundHandler((req, reply) =>
@@ -405,15 +434,16 @@
       error: {
         tag: 'unknown_method',
         step: 'read',
-        peer: k.self,
+        peer: kernel.self,
         method: `${req.method} ${req.url}`,
-      } satisfies Fault,
+      } satisfies ErrorDetails,
     }),
   );
   app.get('/condition', (_req, reply) => {
     if (edge.serving()) return reply.code(200).send({ condition: 'ready' });
-    let condition: string = k.phase;
-    if (k.phase === 'running') condition = awayNow(k.use('register').value, k.self) ? 'away' : 'joining';
+    let condition: string = kernel.phase;
+    if (kernel.phase === 'running')
+      condition = isInPlannedRestart(kernel.use('register').value, kernel.self) ? 'away' : 'joining';
     return reply.code(503).send({ condition });
   });
   app.post('/rpc/Attach', async (req, reply) => {
@@ -428,7 +458,7 @@
         over = true;
         raw.end();
         // A consumer that reads no more would keep the socket and what waits in it for many minutes.
-        setTimeout(() => raw.destroy(), C.closeGraceMs).unref();
+        setTimeout(() => raw.destroy(), PROCESS.closeGraceMs).unref();
       },
     };
     const head = (): void => {
@@ -454,15 +484,15 @@
   app.post('/rpc/:method', async (req, reply) =>
     send(reply, await edge.visit((req.params as { method: string }).method, req.body ?? {})),
   );
-  await app.listen(addr(at));
+  await app.listen(parseAddress(at));
   return async () => {
     app.server.closeAllConnections();
     await app.close();
   };
 }
 
-register({
+registerPlugin({
   name: 'edge',
-  needs: ['board', 'register', 'route', 'operators'],
-  setup: (k) => new Edge(k, k.use('board'), k.use('register'), k.use('route'), k.use('operators')),
+  needs: ['membership', 'register', 'route', 'operators'],
+  setup: (k) => new Edge(k, k.use('membership'), k.use('register'), k.use('route'), k.use('operators')),
 });
--- a/packages/data/src/interest.ts
+++ b/packages/data/src/interest/interest-table.ts
@@ -1,5 +1,5 @@
-import type { Board } from '@harecross/control';
-import { SESSION, SHARD, type HoldingInfo, type Kernel, faultOf, hash, shardOf } from '@harecross/kernel';
+import type { MembershipTable } from '@harecross/control';
+import { SESSION, SHARD, type QueueInfo, type Kernel, toErrorDetails, hash, shardOf } from '@harecross/kernel';
 import type { Entry } from '@harecross/state';
 
 /** What a relay tells the owner of a topic: a deadline, never who or how many. */
@@ -65,7 +65,7 @@
  * @example
  * sum = (sum + placeSum(hash('pay/7'), 41)) | 0
  */
-export function placeSum(mark: number, off: number): number {
+export function positionChecksum(mark: number, off: number): number {
   const x = Math.imul(mark ^ Math.imul(off, 0x9e3779b1), 0x85ebca6b);
   return Math.imul(x ^ (x >>> 15), 0xc2b2ae35);
 }
@@ -76,38 +76,38 @@
  * @example
  * for (const e of agreed) interests.fan(e);
  */
-export class Interests {
+export class InterestTable {
   private interest = new Map<string, { inst: string; topics: Map<string, Interest> }>();
-  private fanMost = 0;
-  private fanOut = new Map<string, { frames: FanFrame[]; flying: boolean }>();
+  private peakQueueLength = 0;
+  private fanOutQueues = new Map<string, { frames: FanFrame[]; flying: boolean }>();
 
   constructor(
-    private k: Kernel,
-    private board: Board,
+    private kernel: Kernel,
+    private membership: MembershipTable,
   ) {}
 
   table(): { relay: string; topics: number }[] {
     return [...this.interest].map(([relay, i]) => ({ relay, topics: i.topics.size }));
   }
   /** Frames held for the relay that has most of them. */
-  holding(): HoldingInfo {
-    const length = Math.max(0, ...[...this.fanOut.values()].map((o) => o.frames.length));
-    return { name: 'fan', length, most: this.fanMost, bound: SHARD.fanHoldingN };
+  queueInfo(): QueueInfo {
+    const length = Math.max(0, ...[...this.fanOutQueues.values()].map((o) => o.frames.length));
+    return { name: 'fan', length, most: this.peakQueueLength, bound: SHARD.fanOutQueueLimit };
   }
 
   /** Ended interest is kept for a while so that a late older revision is still known to be old. */
   trim(): void {
-    const past = this.k.host.clock.now() - SESSION.holdTtlMs;
+    const past = this.kernel.host.clock.now() - SESSION.leaseTtlMs;
     for (const [relay, r] of this.interest) {
       for (const [t, i] of r.topics) if (i.deadline < past) r.topics.delete(t);
-      if (!r.topics.size && !this.board.isLive(relay)) {
+      if (!r.topics.size && !this.membership.isLive(relay)) {
         this.interest.delete(relay);
-        this.fanOut.delete(relay);
+        this.fanOutQueues.delete(relay);
       }
     }
   }
 
-  hear(relay: string, inst: string, items: InterestItem[], toLocal: (t: number) => number): true {
+  receive(relay: string, inst: string, items: InterestItem[], toLocal: (t: number) => number): true {
     let r = this.interest.get(relay);
     if (r && inst < r.inst) return true;
     if (!r || r.inst !== inst) {
@@ -117,7 +117,7 @@
     for (const i of items) {
       const old = r.topics.get(i.topic);
       if (old && old.rev >= i.rev) {
-        this.k.count('interest.stale');
+        this.kernel.incrementCounter('interest.stale');
         continue;
       }
       r.topics.set(i.topic, {
@@ -125,21 +125,21 @@
         gen: i.gen,
         shard: old?.shard ?? shardOf(i.topic),
         mark: old?.mark ?? hash(i.topic),
-        deadline: i.expiresAt === 0 ? this.k.host.clock.now() : toLocal(i.expiresAt) + SESSION.holdSkewMs,
+        deadline: i.expiresAt === 0 ? this.kernel.host.clock.now() : toLocal(i.expiresAt) + SESSION.leaseSkewMs,
       });
     }
     return true;
   }
 
   /** The topics of a shard in which a relay's interest is live, each with its mark. */
-  *liveIn(relay: string, shard: number): Generator<[string, number]> {
-    const now = this.k.host.clock.now();
+  *liveTopicsIn(relay: string, shard: number): Generator<[string, number]> {
+    const now = this.kernel.host.clock.now();
     for (const [t, i] of this.interest.get(relay)?.topics ?? [])
       if (i.shard === shard && i.deadline > now) yield [t, i.mark];
   }
 
-  interested(topic: string): [string, Interest][] {
-    const now = this.k.host.clock.now();
+  interestedRelays(topic: string): [string, Interest][] {
+    const now = this.kernel.host.clock.now();
     const out: [string, Interest][] = [];
     for (const [relay, r] of this.interest) {
       const i = r.topics.get(topic);
@@ -153,58 +153,58 @@
    * Passes a frame towards every relay with live interest. One call at a time goes to a relay, so that frames
    * arrive in order and gather while it is under way; what does not fit in is mended from history by the relay.
    */
-  fan(e: Entry): void {
-    for (const [relay, i] of this.interested(e.topic)) {
-      let o = this.fanOut.get(relay);
+  fanOut(e: Entry): void {
+    for (const [relay, i] of this.interestedRelays(e.topic)) {
+      let o = this.fanOutQueues.get(relay);
       if (!o) {
         o = { frames: [], flying: false };
-        this.fanOut.set(relay, o);
+        this.fanOutQueues.set(relay, o);
       }
-      if (o.frames.length >= SHARD.fanHoldingN) {
-        this.k.count('fan.lost');
+      if (o.frames.length >= SHARD.fanOutQueueLimit) {
+        this.kernel.incrementCounter('fan.lost');
         continue;
       }
       o.frames.push({ topic: e.topic, gen: i.gen, off: e.off, sender: e.sender, seq: e.seq, body: e.body });
-      this.fanMost = Math.max(this.fanMost, o.frames.length);
-      if (!o.flying) queueMicrotask(() => void this.fanTo(relay, o));
+      this.peakQueueLength = Math.max(this.peakQueueLength, o.frames.length);
+      if (!o.flying) queueMicrotask(() => void this.sendTo(relay, o));
     }
   }
 
-  private async fanTo(relay: string, o: { frames: FanFrame[]; flying: boolean }): Promise<void> {
+  private async sendTo(relay: string, o: { frames: FanFrame[]; flying: boolean }): Promise<void> {
     if (o.flying) return;
     o.flying = true;
     while (o.frames.length) {
       const frames = o.frames.splice(0);
-      this.k.count('fan.frames', frames.length);
+      this.kernel.incrementCounter('fan.frames', frames.length);
       try {
-        await this.k.reach(relay, 'Fan', { frames: frames.map(fanRow) });
+        await this.kernel.callAnyPath(relay, 'Fan', { frames: frames.map(fanRow) });
       } catch {
-        this.k.count('fan.lost', frames.length);
+        this.kernel.incrementCounter('fan.lost', frames.length);
       }
     }
     o.flying = false;
   }
 
   async countListeners(topic: string, takenAt: number): Promise<{ count: number; partial: boolean }> {
-    const asked = new Set(this.interested(topic).map(([relay]) => relay));
+    const asked = new Set(this.interestedRelays(topic).map(([relay]) => relay));
     // A process that began this lately may not have heard of every relay.
-    const young = this.k.host.clock.now() - this.k.startedAt < SESSION.countAllMs;
+    const young = this.kernel.host.clock.now() - this.kernel.startedAt < SESSION.countAllMs;
     // A new owner has not heard of every interest yet: it asks all relays.
-    if (this.k.host.clock.now() - takenAt < SESSION.countAllMs)
-      for (const m of this.board.live()) if (m.role === 'relay') asked.add(m.peer);
+    if (this.kernel.host.clock.now() - takenAt < SESSION.countAllMs)
+      for (const m of this.membership.liveMembers()) if (m.role === 'relay') asked.add(m.peer);
     // One that is suspected may have listeners of whom it could not tell us; one that is dead has sent them elsewhere.
-    for (const m of this.board.members.values()) {
+    for (const m of this.membership.members.values()) {
       if (m.role === 'relay' && m.state === 'suspect') asked.add(m.peer);
       else if (m.state === 'dead') asked.delete(m.peer);
     }
     const got = await Promise.all(
       [...asked].map(async (relay) => {
         try {
-          return await this.k.reach<number>(relay, 'CountHolds', { topic }, SESSION.countWaitMs);
+          return await this.kernel.callAnyPath<number>(relay, 'CountHolds', { topic }, SESSION.countWaitMs);
         } catch (e) {
           // No process there: it has no listeners any more. One that is there and silent, or to which no way leads,
           // makes the answer partial.
-          const f = faultOf(e, 'CountHolds', relay);
+          const f = toErrorDetails(e, 'CountHolds', relay);
           return f.tag === 'unreachable' && f.detail !== 'ETIMEDOUT' ? 0 : 'silent';
         }
       }),
--- a/packages/data/src/lease-table.ts
+++ b/packages/data/src/interest/lease-table.ts
@@ -1,9 +1,9 @@
 /** Interest leases of a relay's clients by topic, and what the owners of the topics are told of them. */
 import { SESSION, hash, shardOf, type Kernel } from '@harecross/kernel';
-import { interestRow, placeSum, type InterestItem } from './interest.js';
-import type { HeadsAnswer } from './owner.js';
-import type { Route } from './route.js';
-import type { Session, Subscription } from './session.js';
+import { interestRow, positionChecksum, type InterestItem } from './interest-table.js';
+import type { HeadsAnswer } from '../ownership/topic-history.js';
+import type { Route } from '../routing/route.js';
+import type { Session, Subscription } from '../sessions/session.js';
 
 /** The leases of all our subscribers on one topic; the owner learns only the latest deadline. */
 export interface TopicLease {
@@ -54,7 +54,7 @@
     private nextNumber: () => number,
     private events: LeaseEvents,
   ) {
-    this.generationBase = Math.floor(kernel.host.rnd.next() * 2 ** 32).toString(36);
+    this.generationBase = Math.floor(kernel.host.random.next() * 2 ** 32).toString(36);
   }
 
   get(topic: string): TopicLease | undefined {
@@ -101,9 +101,9 @@
   /** Renews the leases of a session that gave a sign of life, those that are due. */
   renew(session: Session, now: number): void {
     for (const subscription of session.subscriptions.values()) {
-      if (now - subscription.renewedAt < SESSION.holdRenewMs) continue;
+      if (now - subscription.renewedAt < SESSION.leaseRenewMs) continue;
       subscription.renewedAt = now;
-      subscription.expiresAt = now + SESSION.holdTtlMs;
+      subscription.expiresAt = now + SESSION.leaseTtlMs;
       this.dirty.add(subscription.topic);
     }
   }
@@ -166,9 +166,9 @@
   }
 
   private async sendInterest(owner: string, items: InterestItem[]): Promise<void> {
-    this.kernel.count('interest.said', items.length);
+    this.kernel.incrementCounter('interest.said', items.length);
     try {
-      await this.kernel.reach(owner, 'Interest', { items: items.map(interestRow) });
+      await this.kernel.callAnyPath(owner, 'Interest', { items: items.map(interestRow) });
     } catch {
       for (const { topic } of items) {
         const lease = this.topics.get(topic);
@@ -219,7 +219,7 @@
         continue;
       }
       const sums = byOwner.get(owner) ?? [];
-      sums.push([shard, ofShard.reduce((sum, lease) => (sum + placeSum(lease.mark, lease.head)) | 0, 0)]);
+      sums.push([shard, ofShard.reduce((sum, lease) => (sum + positionChecksum(lease.mark, lease.head)) | 0, 0)]);
       byOwner.set(owner, sums);
     }
     await Promise.all([...byOwner].map(([owner, sums]) => this.askHeads(owner, sums, byShard)));
@@ -231,7 +231,7 @@
     byShard: Map<number, TopicLease[]>,
   ): Promise<void> {
     try {
-      const answer = await this.kernel.reach<HeadsAnswer>(owner, 'Heads', { sums });
+      const answer = await this.kernel.callAnyPath<HeadsAnswer>(owner, 'Heads', { sums });
       for (const shard of answer.elsewhere) this.route.seek(shard);
       for (const [shard, heads] of answer.heads) this.takeHeads(byShard.get(shard) ?? [], new Map(heads));
     } catch {
@@ -241,7 +241,7 @@
 
   /** The owner's heads of a shard in which it differs from us. */
   private takeHeads(leases: TopicLease[], heads: Map<string, number>): void {
-    this.kernel.count('heads.differ');
+    this.kernel.incrementCounter('heads.differ');
     for (const lease of leases) {
       const head = heads.get(lease.topic);
       // The owner does not know that we listen: it is told again.
--- a/packages/data/src/run.ts
+++ b/packages/data/src/node/run.ts
@@ -1,16 +1,16 @@
 import { watchFile, unwatchFile } from 'node:fs';
 import {
-  C,
+  PROCESS,
   readNodeConfig,
-  realHost,
-  within,
   realClock,
+  realHost,
+  withTimeout,
   type Host,
   type Kernel,
   type NodeConfig,
   type Role,
 } from '@harecross/kernel';
-import { serveHttp, type Edge } from './edge.js';
+import { serveHttp, type Edge } from '../gateway/edge.js';
 import { startNode } from './node.js';
 
 /** A node's process: where its config comes from, and who it listens to. */
@@ -22,7 +22,7 @@
   /** Throws an Error with one clear line. */
   read(): NodeConfig;
   /** Begins to serve the outside; gives what ends it. */
-  listen(k: Kernel, edge: Edge, config: NodeConfig): Promise<() => void | Promise<void>>;
+  listen(kernel: Kernel, edge: Edge, config: NodeConfig): Promise<() => void | Promise<void>>;
 }
 
 /**
@@ -97,18 +97,18 @@
       const changed = JSON.stringify(next) !== JSON.stringify(config);
       // The host's config object is what every plug-in reads.
       Object.assign(config, next);
-      if (changed) kernel.use('board').sayMine();
+      if (changed) kernel.use('membership').publishOwnRecord();
       host.log.info(changed ? 'config reread' : 'config reread, nothing changed', { why });
-      kernel.count('config.reread');
+      kernel.incrementCounter('config.reread');
     } catch (e) {
-      kernel.count('config.bad');
+      kernel.incrementCounter('config.bad');
       host.log.warn(`config kept as it was: ${e instanceof Error ? e.message : String(e)}`, { why });
     }
   };
   heard = () => reread('signal');
   if (early) heard();
   if (file) {
-    watchFile(file, { interval: C.rereadMs }, (a, b) => {
+    watchFile(file, { interval: PROCESS.rereadMs }, (a, b) => {
       if (a.mtimeMs !== b.mtimeMs || a.size !== b.size || a.ino !== b.ino) reread('file changed');
     });
   }
@@ -119,7 +119,7 @@
     leaving = true;
     host.log.info(`leaving on ${sig}`);
     if (file) unwatchFile(file);
-    void within(realClock, config.stopMs ?? C.stopMs, kernel.stop()).then(() => {
+    void withTimeout(realClock, config.stopMs ?? PROCESS.stopMs, kernel.stop()).then(() => {
       void closeListeners();
       host.log.info('left', { counters: Object.fromEntries(kernel.counters) });
       process.exit(0);
--- /dev/null
+++ b/packages/data/src/ownership/ownership-check.ts
@@ -0,0 +1,226 @@
+/** The periodic check of ownership: takes shards that are assigned to this node, and lets go of those that are placed elsewhere. */
+import {
+  peerOfMemberKey,
+  type ConsensusRegister,
+  type MembershipTable,
+  type Placement,
+  type ShardOwnerRecord,
+} from '@harecross/control';
+import { REQUEST, SHARD, runPeriodically, type Kernel } from '@harecross/kernel';
+import { parseFence, type Fence } from '@harecross/state';
+import type { ReplicaStore } from '../replication/replica-store.js';
+import type { HandOver } from './hand-over.js';
+import type { ShardAssignment } from './shard-assignment.js';
+import type { ShardElection } from './shard-election.js';
+import type { ShardState } from './shard-state.js';
+import type { ShardTable } from './shard-table.js';
+
+/** Compares who owns each shard with who should, each period and whenever a member or the placement changes. */
+export class OwnershipCheck {
+  /** When this process first had a read lease (steady clock, ms). */
+  private servingSince = Infinity;
+  /** Whether each member with a disk was available when it last changed. */
+  private readonly wasAvailable = new Map<string, boolean>();
+  private isScheduled = false;
+
+  constructor(
+    private readonly kernel: Kernel,
+    private readonly membership: MembershipTable,
+    private readonly register: ConsensusRegister,
+    private readonly replicas: ReplicaStore,
+    private readonly shards: ShardTable,
+    private readonly assignment: ShardAssignment,
+    private readonly election: ShardElection,
+    private readonly handOver: HandOver,
+  ) {}
+
+  /** Starts the periodic check, and the checks at once when a member, the agreed value or the read lease changes. */
+  start(): void {
+    const { clock, random } = this.kernel.host;
+    const { kernel, membership, register } = this;
+    kernel.addSubscription(runPeriodically(clock, SHARD.ownershipCheckMs, random, () => this.check()));
+    const memberRecordChanged = membership.factChanged$.subscribe((key) => {
+      const peer = peerOfMemberKey(key);
+      if (peer !== undefined) this.memberChanged(peer);
+    });
+    kernel.addSubscription(memberRecordChanged);
+    kernel.addSubscription(membership.memberStateChanged$.subscribe((member) => this.memberChanged(member.peer)));
+    // A new generation is taken when it is heard of: until then the replicas that came with it bear no loss.
+    kernel.addSubscription(register.value$.subscribe(() => this.schedule()));
+    const leaseBegun = register.readLeaseBegun$.subscribe(() => {
+      this.servingSince = Math.min(this.servingSince, clock.now());
+    });
+    kernel.addSubscription(leaseBegun);
+  }
+
+  /** Drops what is known of members that are gone. */
+  forgetGoneMembers(): void {
+    for (const peer of this.wasAvailable.keys()) if (!this.membership.members.has(peer)) this.wasAvailable.delete(peer);
+  }
+
+  /** Checks at once when a member became available or unavailable. */
+  private memberChanged(peer: string): void {
+    const isAvailable = this.membership.isAvailable(peer);
+    // A node without a disk never owns shards.
+    if (this.wasAvailable.get(peer) === isAvailable || this.membership.members.get(peer)?.disk === undefined) return;
+    this.wasAvailable.set(peer, isAvailable);
+    if (!isAvailable) {
+      for (const shard of this.shards.all())
+        if (this.shards.announcedOwner(shard.id)?.peer === peer) shard.lastElectionAt = -Infinity;
+    }
+    this.schedule();
+  }
+
+  private schedule(): void {
+    if (this.isScheduled) return;
+    this.isScheduled = true;
+    this.kernel.host.clock.after(0, () => {
+      this.isScheduled = false;
+      void this.check();
+    });
+  }
+
+  private async check(): Promise<void> {
+    if (!this.register.hasReadLease() || this.kernel.phase !== 'running') return;
+    const now = this.kernel.host.clock.now();
+    const { shards: placements } = this.register.value!;
+    const assigned = this.assignment.owners({ includeStarting: now - this.servingSince < SHARD.startupGraceMs });
+    const released: number[] = [];
+    const ownerUnknown: ShardState[] = [];
+    for (const shard of this.shards.all()) {
+      const placement = placements.get(shard.id);
+      if (!placement) continue;
+      const record = this.shards.announcedOwner(shard.id);
+      if (!placement.copies.includes(this.replicas.disk)) {
+        if (shard.phase === 'none' && this.mayRelease(shard.id, placement, record)) released.push(shard.id);
+        this.checkPlacedElsewhere(shard, placement, record, assigned.get(shard.id));
+      } else if (this.checkPlacedHere(shard, placement, record, assigned.get(shard.id), now) === 'owner unknown') {
+        ownerUnknown.push(shard);
+      }
+    }
+    if (ownerUnknown.length) void this.resolveUnknownOwners(ownerUnknown);
+    if (released.length) await this.replicas.release(released);
+  }
+
+  /** A shard that has no replica here any more: another must take it where we still own it. */
+  private checkPlacedElsewhere(
+    shard: ShardState,
+    placement: Placement,
+    record: ShardOwnerRecord | undefined,
+    assigned: string | undefined,
+  ): void {
+    if (shard.phase === 'owner' && record && record.gen >= placement.gen && record.peer !== this.kernel.self)
+      this.shards.setPhase(shard, 'none');
+    if (shard.phase !== 'owner' || shard.gen === placement.gen) return;
+    // Still the owner under an older placement: the new replicas must take the shard.
+    const next = this.assignment.availablePeer(assigned ?? '');
+    if (next) this.handOver.offer(shard, next);
+  }
+
+  private checkPlacedHere(
+    shard: ShardState,
+    placement: Placement,
+    record: ShardOwnerRecord | undefined,
+    assigned: string | undefined,
+    now: number,
+  ): 'done' | 'owner unknown' {
+    switch (shard.phase) {
+      case 'owner':
+        shard.assignedSince = undefined;
+        if (shard.gen !== placement.gen) void this.election.run(shard);
+        else this.shards.announce(shard);
+        return 'done';
+      case 'none':
+        if (assigned === this.replicas.disk) return this.takeAssigned(shard, record, now);
+        shard.assignedSince = undefined;
+        return 'done';
+      case 'taking':
+      case 'confirming':
+        return 'done';
+    }
+  }
+
+  /** Takes a shard that is assigned to us, from its owner if it has one. */
+  private takeAssigned(shard: ShardState, record: ShardOwnerRecord | undefined, now: number): 'done' | 'owner unknown' {
+    const owner = record && this.isRunningElsewhere(record) ? record.peer : undefined;
+    const ownerServes = owner !== undefined && this.membership.isAvailable(owner);
+    // An owner that serves is asked only once it is sure that the shard stays assigned to us: each change costs callers a moment.
+    if (ownerServes) {
+      shard.assignedSince ??= now;
+      if (now - shard.assignedSince < SHARD.steadyAssignmentMs) return 'done';
+    }
+    if (this.handOver.wasJustPromisedAway(shard, now)) return 'done';
+    if (now - shard.lastElectionAt < SHARD.electionRetryMs) return 'done';
+    shard.lastElectionAt = now;
+    if (!record || this.replicas.get(shard.id).promised > record.fence) return 'owner unknown';
+    // An owner that calls itself unable is not asked; we take the shard, the fence decides.
+    void (ownerServes ? this.requestOnceReachable(shard, owner) : this.election.run(shard));
+    return 'done';
+  }
+
+  private isRunningElsewhere(record: ShardOwnerRecord): boolean {
+    return (
+      record.peer !== this.kernel.self &&
+      this.membership.isLive(record.peer) &&
+      this.membership.members.get(record.peer)?.inst === record.inst
+    );
+  }
+
+  /** Whether a replica that is not placed here any more may go: another owner serves under this placement, and all its replicas have the history. */
+  private mayRelease(shardId: number, placement: Placement, record: ShardOwnerRecord | undefined): boolean {
+    const replica = this.replicas.all.get(shardId);
+    if (!replica || (!replica.entries.length && !replica.base.idx)) return false;
+    if (placement.retained?.includes(this.replicas.disk)) return false;
+    return record !== undefined && record.gen === placement.gen && record.behind.length === 0;
+  }
+
+  /** Asks the owner of a better assigned shard whether we may take it: only once we know that we can. */
+  private async requestOnceReachable(shard: ShardState, owner: string): Promise<void> {
+    if ((await this.askPromisedOwners([shard])).size) await this.handOver.request(shard, owner);
+  }
+
+  /** Shards whose owner nobody announced, or of which our replica knows more, as after a start: an owner that serves must not lose them for that. */
+  private async resolveUnknownOwners(shards: ShardState[]): Promise<void> {
+    for (const [shard, owner] of await this.askPromisedOwners(shards)) {
+      if (shard.phase !== 'none') continue;
+      const member = this.membership.members.get(owner);
+      const isGone = !owner || owner === this.kernel.self || (member !== undefined && member.state !== 'live');
+      void (isGone ? this.election.run(shard) : this.handOver.request(shard, owner));
+    }
+  }
+
+  /** To whom each shard was last promised, as a majority of its replicas knows; one call to each node for all shards. */
+  private async askPromisedOwners(shards: ShardState[]): Promise<Map<ShardState, string>> {
+    const highest = new Map<ShardState, { answers: number; fence: Fence }>();
+    const calls = [...this.shardsByPeer(shards)].map(async ([peer, theirs]) => {
+      const request = { shards: theirs.map((shard) => shard.id) };
+      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.whoMs).catch(() => []);
+      fences.forEach((fence, i) => {
+        const known = highest.get(theirs[i]!);
+        const higher = known && known.fence > fence ? known.fence : fence;
+        highest.set(theirs[i]!, { answers: (known?.answers ?? 0) + 1, fence: higher });
+      });
+    });
+    await Promise.all(calls);
+    const owners = new Map<ShardState, string>();
+    for (const [shard, { answers, fence }] of highest) {
+      const replicaCount = this.register.value!.shards.get(shard.id)?.copies.length ?? Infinity;
+      if (answers * 2 > replicaCount) owners.set(shard, parseFence(fence).peer);
+    }
+    return owners;
+  }
+
+  private shardsByPeer(shards: ShardState[]): Map<string, ShardState[]> {
+    const byPeer = new Map<string, ShardState[]>();
+    for (const shard of shards) {
+      for (const disk of this.register.value!.shards.get(shard.id)?.copies ?? []) {
+        const peer = this.register.peerOf(disk);
+        if (!peer) continue;
+        const known = byPeer.get(peer);
+        if (known) known.push(shard);
+        else byPeer.set(peer, [shard]);
+      }
+    }
+    return byPeer;
+  }
+}
--- a/packages/data/src/copies.ts
+++ b/packages/data/src/replication/replica-store.ts
@@ -1,15 +1,15 @@
-import { C, Failure, Kernel, register } from '@harecross/kernel';
+import { HarecrossError, Kernel, SHARD, registerPlugin } from '@harecross/kernel';
 import {
   fenceAt,
   lastFence,
   lastIdx,
   NO_FENCE,
-  readFence,
-  type Base,
-  type Copy,
+  parseFence,
+  type TrimmedBase,
+  type Replica,
   type Entry,
   type Fence,
-  type Store,
+  type DurableState,
 } from '@harecross/state';
 import { Subject } from 'rxjs';
 
@@ -18,18 +18,18 @@
 export interface WireBase {
   idx: number;
   fence: Fence;
-  topics: Base['topics'];
+  topics: TrimmedBase['topics'];
   senders: Map<string, { seq: number; off: number; age: number }>;
 }
 
-export type Promised =
+export type FenceAnswer =
   | { ok: true; disk: string; lastIdx: number; lastFence: Fence; baseIdx: number }
   | { ok: false; disk: string; promised: Fence };
-export type Appended =
+export type AppendAnswer =
   | { tag: 'ok'; disk: string; match: number }
   | { tag: 'fenced'; disk: string; promised: Fence }
   | { tag: 'behind'; disk: string; last: number };
-export interface Append {
+export interface AppendRequest {
   disk: string;
   shard: number;
   fence: Fence;
@@ -39,20 +39,20 @@
   trimTo: number;
 }
 /** An owner's sign of life for one shard, towards a copy that has all it knows of. */
-export type Beat = [shard: number, fence: Fence, prevIdx: number, prevFence: Fence, trimTo: number];
-export interface Install {
+export type HeartbeatRow = [shard: number, fence: Fence, prevIdx: number, prevFence: Fence, trimTo: number];
+export interface InstallRequest {
   disk: string;
   shard: number;
   fence: Fence;
   base: WireBase;
   entries: WireEntry[];
 }
-export type Fetched =
+export type FetchAnswer =
   { tag: 'follow'; entries: WireEntry[] } | { tag: 'snapshot'; base: WireBase; entries: WireEntry[] };
 
 declare module '@harecross/kernel' {
-  interface Faces {
-    copies: Copies;
+  interface ServiceRegistry {
+    copies: ReplicaStore;
   }
 }
 
@@ -83,7 +83,7 @@
  * @example
  * { base: packBase(key.base, clock.now()) }
  */
-export function packBase(b: Base, now: number): WireBase {
+export function packBase(b: TrimmedBase, now: number): WireBase {
   return {
     idx: b.idx,
     fence: b.fence,
@@ -96,7 +96,7 @@
  * @example
  * st.install(c, unpackBase(b.base, clock.now()), entries)
  */
-export function unpackBase(b: WireBase, now: number): Base {
+export function unpackBase(b: WireBase, now: number): TrimmedBase {
   return {
     idx: b.idx,
     fence: b.fence,
@@ -111,28 +111,28 @@
  * @example
  * await k.call(peer, 'Append', { disk, shard, fence, prevIdx, prevFence, entries, trimTo });
  */
-export class Copies {
-  readonly all: Map<number, Copy>;
+export class ReplicaStore {
+  readonly all: Map<number, Replica>;
   readonly disk: string;
   private trimmedAt = new Map<number, number>();
   /** A shard whose copy here has promised a higher fence, asked for by its taker. */
-  readonly promised$ = new Subject<number>();
+  readonly fencePromised$ = new Subject<number>();
 
   constructor(
-    private k: Kernel,
-    private st: Store,
+    private kernel: Kernel,
+    private state: DurableState,
   ) {
-    this.all = st.copies(k.host.clock.now());
-    this.disk = st.get('disk')!;
-    k.on('Fence', (b: { disk: string; items: { shard: number; fence: Fence }[] }) => this.fence(b));
-    k.on('Append', (b: Append) => this.append(b));
-    k.on('Beats', (b: { disk: string; beats: Beat[] }) => this.beats(b));
-    k.on('Install', (b: Install) => this.install(b));
-    k.on('Fetch', (b: { disk: string; shard: number; from: number; fromFence: Fence }) => this.fetch(b));
-    k.on('Who', (b: { shards: number[] }) => b.shards.map((s) => this.all.get(s)?.promised ?? NO_FENCE));
+    this.all = state.loadReplicas(kernel.host.clock.now());
+    this.disk = state.get('disk')!;
+    kernel.on('Fence', (b: { disk: string; items: { shard: number; fence: Fence }[] }) => this.promiseFences(b));
+    kernel.on('Append', (b: AppendRequest) => this.handleAppend(b));
+    kernel.on('Beats', (b: { disk: string; beats: HeartbeatRow[] }) => this.handleHeartbeats(b));
+    kernel.on('Install', (b: InstallRequest) => this.handleInstall(b));
+    kernel.on('Fetch', (b: { disk: string; shard: number; from: number; fromFence: Fence }) => this.handleFetch(b));
+    kernel.on('Who', (b: { shards: number[] }) => b.shards.map((s) => this.all.get(s)?.promised ?? NO_FENCE));
   }
 
-  get(shard: number): Copy {
+  get(shard: number): Replica {
     let c = this.all.get(shard);
     if (!c) {
       c = {
@@ -150,47 +150,47 @@
     return [...this.all.values()]
       .filter((c) => c.promised !== NO_FENCE)
       .map((c) => {
-        const f = readFence(c.promised);
+        const f = parseFence(c.promised);
         return { shard: c.shard, last: lastIdx(c), kept: c.entries.length, gen: f.gen, number: f.n, by: f.peer };
       });
   }
 
-  private mine(disk: string, step: string): void {
-    if (disk !== this.disk) throw new Failure({ tag: 'unknown_disk', step, peer: this.k.self, disk });
+  private requireOwnDisk(disk: string, step: string): void {
+    if (disk !== this.disk) throw new HarecrossError({ tag: 'unknown_disk', step, peer: this.kernel.self, disk });
   }
 
   /** Promises many fences in one synced step; in the order they were asked for. */
-  private async fence(b: { disk: string; items: { shard: number; fence: Fence }[] }): Promise<Promised[]> {
-    this.mine(b.disk, 'Fence');
-    const out = await this.st.db.commit(() =>
-      b.items.map(({ shard, fence }): Promised => {
+  private async promiseFences(b: { disk: string; items: { shard: number; fence: Fence }[] }): Promise<FenceAnswer[]> {
+    this.requireOwnDisk(b.disk, 'Fence');
+    const out = await this.state.db.commit(() =>
+      b.items.map(({ shard, fence }): FenceAnswer => {
         const c = this.get(shard);
         if (fence <= c.promised) return { ok: false, disk: this.disk, promised: c.promised };
-        this.st.promise(c, fence);
+        this.state.savePromise(c, fence);
         return { ok: true, disk: this.disk, lastIdx: lastIdx(c), lastFence: lastFence(c), baseIdx: c.base.idx };
       }),
     );
     out.forEach((p, i) => {
-      if (p.ok) this.promised$.next(b.items[i]!.shard);
+      if (p.ok) this.fencePromised$.next(b.items[i]!.shard);
     });
     return out;
   }
 
-  private async append(b: Append): Promise<Appended> {
-    this.mine(b.disk, 'Append');
-    if (!b.entries.length && !this.changes(b)) {
-      const r = this.match(b);
+  private async handleAppend(b: AppendRequest): Promise<AppendAnswer> {
+    this.requireOwnDisk(b.disk, 'Append');
+    if (!b.entries.length && !this.needsWrite(b)) {
+      const r = this.mismatchOf(b);
       // What it says may still be on its way to the disk.
-      await this.st.db.settled();
+      await this.state.db.settled();
       return r ?? { tag: 'ok', disk: this.disk, match: b.prevIdx };
     }
-    return this.st.db.commit(() => this.appendNow(b));
+    return this.state.db.commit(() => this.applyAppend(b));
   }
 
   /** All shards of one owner at once. Answers what is not `ok`; nothing is written unless something changes. */
-  private async beats(b: { disk: string; beats: Beat[] }): Promise<[number, Appended][]> {
-    this.mine(b.disk, 'Beats');
-    const all = b.beats.map(([shard, fence, prevIdx, prevFence, trimTo]): Append => ({
+  private async handleHeartbeats(b: { disk: string; beats: HeartbeatRow[] }): Promise<[number, AppendAnswer][]> {
+    this.requireOwnDisk(b.disk, 'Beats');
+    const all = b.beats.map(([shard, fence, prevIdx, prevFence, trimTo]): AppendRequest => ({
       disk: b.disk,
       shard,
       fence,
@@ -199,31 +199,36 @@
       entries: [],
       trimTo,
     }));
-    const write = all.filter((a) => this.changes(a));
-    const not = all.flatMap((a): [number, Appended][] => {
-      const r = this.changes(a) ? undefined : this.match(a);
+    const write = all.filter((a) => this.needsWrite(a));
+    const not = all.flatMap((a): [number, AppendAnswer][] => {
+      const r = this.needsWrite(a) ? undefined : this.mismatchOf(a);
       return r ? [[a.shard, r]] : [];
     });
     if (write.length) {
-      const got = await this.st.db.commit(() => write.map((a) => [a.shard, this.appendNow(a)] as [number, Appended]));
+      const got = await this.state.db.commit(() =>
+        write.map((a) => [a.shard, this.applyAppend(a)] as [number, AppendAnswer]),
+      );
       not.push(...got.filter(([, r]) => r.tag !== 'ok'));
-    } else await this.st.db.settled();
+    } else await this.state.db.settled();
     return not;
   }
 
   /** Whether an append without entries has something to write: a promise, or a trim. */
-  private changes(b: Append): boolean {
+  private needsWrite(b: AppendRequest): boolean {
     const c = this.get(b.shard);
-    return b.fence > c.promised || (b.fence === c.promised && this.trimDue(c, b.trimTo));
+    return b.fence > c.promised || (b.fence === c.promised && this.isTrimDue(c, b.trimTo));
   }
 
   /** A trim rewrites as many pages as the appends did: not each time for a few entries. */
-  private trimDue(c: Copy, to: number): boolean {
-    return to > c.base.idx && this.k.host.clock.now() - (this.trimmedAt.get(c.shard) ?? -Infinity) >= C.trimCopyMs;
+  private isTrimDue(c: Replica, to: number): boolean {
+    return (
+      to > c.base.idx &&
+      this.kernel.host.clock.now() - (this.trimmedAt.get(c.shard) ?? -Infinity) >= SHARD.trimReplicaMs
+    );
   }
 
   /** Why an append does not go on from what the copy has; undefined when it does. */
-  private match(b: Append): Exclude<Appended, { tag: 'ok' }> | undefined {
+  private mismatchOf(b: AppendRequest): Exclude<AppendAnswer, { tag: 'ok' }> | undefined {
     const c = this.get(b.shard);
     if (b.fence < c.promised) return { tag: 'fenced', disk: this.disk, promised: c.promised };
     if (b.prevIdx > lastIdx(c)) return { tag: 'behind', disk: this.disk, last: lastIdx(c) };
@@ -237,46 +242,46 @@
     return undefined;
   }
 
-  private appendNow(b: Append): Appended {
-    const now = this.k.host.clock.now();
+  private applyAppend(b: AppendRequest): AppendAnswer {
+    const now = this.kernel.host.clock.now();
     const c = this.get(b.shard);
-    if (b.fence > c.promised) this.st.promise(c, b.fence);
-    const not = this.match(b);
+    if (b.fence > c.promised) this.state.savePromise(c, b.fence);
+    const not = this.mismatchOf(b);
     if (not) return not;
     for (const w of b.entries) {
       if (w.idx <= c.base.idx) continue;
       const have = fenceAt(c, w.idx);
       if (have === w.fence) continue;
       if (have !== undefined) {
-        this.st.cut(c, w.idx);
-        this.k.count('copy.cut');
+        this.state.truncateFrom(c, w.idx);
+        this.kernel.incrementCounter('copy.cut');
       }
-      this.st.add(c, unpackEntry(now)(w));
+      this.state.appendEntry(c, unpackEntry(now)(w));
     }
     const match = b.prevIdx + b.entries.length;
-    if (this.trimDue(c, b.trimTo)) {
+    if (this.isTrimDue(c, b.trimTo)) {
       this.trimmedAt.set(c.shard, now);
-      this.st.trim(c, Math.min(b.trimTo, match), now - C.dedupeKeepMs);
+      this.state.trim(c, Math.min(b.trimTo, match), now - SHARD.dedupeKeepMs);
     }
     return { tag: 'ok', disk: this.disk, match };
   }
 
-  private install(b: Install): Promise<Appended> {
-    this.mine(b.disk, 'Install');
-    return this.st.db.commit((): Appended => {
-      const now = this.k.host.clock.now();
+  private handleInstall(b: InstallRequest): Promise<AppendAnswer> {
+    this.requireOwnDisk(b.disk, 'Install');
+    return this.state.db.commit((): AppendAnswer => {
+      const now = this.kernel.host.clock.now();
       const c = this.get(b.shard);
       if (b.fence < c.promised) return { tag: 'fenced', disk: this.disk, promised: c.promised };
-      if (b.fence > c.promised) this.st.promise(c, b.fence);
-      this.st.install(c, unpackBase(b.base, now), b.entries.map(unpackEntry(now)));
-      this.k.count('copy.snapshots');
+      if (b.fence > c.promised) this.state.savePromise(c, b.fence);
+      this.state.installSnapshot(c, unpackBase(b.base, now), b.entries.map(unpackEntry(now)));
+      this.kernel.incrementCounter('copy.snapshots');
       return { tag: 'ok', disk: this.disk, match: lastIdx(c) };
     });
   }
 
-  private fetch(b: { disk: string; shard: number; from: number; fromFence: Fence }): Fetched {
-    this.mine(b.disk, 'Fetch');
-    const now = this.k.host.clock.now();
+  private handleFetch(b: { disk: string; shard: number; from: number; fromFence: Fence }): FetchAnswer {
+    this.requireOwnDisk(b.disk, 'Fetch');
+    const now = this.kernel.host.clock.now();
     const c = this.get(b.shard);
     if (b.from >= c.base.idx && fenceAt(c, b.from) === b.fromFence) {
       return { tag: 'follow', entries: c.entries.slice(b.from - c.base.idx).map(packEntry(now)) };
@@ -285,19 +290,19 @@
   }
 
   /** Takes history from another copy as it is, under a fence we hold ourselves; false when it was lost meanwhile. */
-  take(shard: number, fence: Fence, f: Fetched, from: number): Promise<boolean> {
-    return this.st.db.commit(() => {
-      const now = this.k.host.clock.now();
+  adopt(shard: number, fence: Fence, f: FetchAnswer, from: number): Promise<boolean> {
+    return this.state.db.commit(() => {
+      const now = this.kernel.host.clock.now();
       const c = this.get(shard);
       if (c.promised !== fence) return false;
       switch (f.tag) {
         case 'follow':
-          this.st.cut(c, from + 1);
-          for (const e of f.entries) this.st.add(c, unpackEntry(now)(e));
+          this.state.truncateFrom(c, from + 1);
+          for (const e of f.entries) this.state.appendEntry(c, unpackEntry(now)(e));
           break;
         case 'snapshot':
-          this.st.install(c, unpackBase(f.base, now), f.entries.map(unpackEntry(now)));
-          this.k.count('copy.snapshots');
+          this.state.installSnapshot(c, unpackBase(f.base, now), f.entries.map(unpackEntry(now)));
+          this.kernel.incrementCounter('copy.snapshots');
           break;
       }
       return true;
@@ -306,10 +311,10 @@
 
   /** Lets go of copies that are no longer placed here. */
   async release(shards: number[]): Promise<void> {
-    await this.st.db.commit(() => {
-      for (const s of shards) this.st.release(this.get(s));
+    await this.state.db.commit(() => {
+      for (const s of shards) this.state.releaseReplica(this.get(s));
     });
   }
 }
 
-register({ name: 'copies', needs: ['state'], setup: (k) => new Copies(k, k.use('state')) });
+registerPlugin({ name: 'copies', needs: ['state'], setup: (k) => new ReplicaStore(k, k.use('state')) });
--- a/packages/data/src/route.ts
+++ b/packages/data/src/routing/route.ts
@@ -1,25 +1,25 @@
 import {
-  C,
-  Failure,
+  HarecrossError,
   Kernel,
+  REQUEST,
   RetryBudget,
-  faultOf,
+  jitteredRetryMs,
   mustBeRepeatable,
-  register,
-  retryAfter,
+  registerPlugin,
   shardOf,
-  within,
-  type Fault,
+  toErrorDetails,
+  withTimeout,
+  type ErrorDetails,
   type RepeatablePeerRpc,
 } from '@harecross/kernel';
-import { notReady, type Board, type KeyRec, type Register } from '@harecross/control';
+import { notReady, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
 import { familyOf, urgencyOf } from '@harecross/schema';
-import { readFence, senderKey, type Fence } from '@harecross/state';
+import { parseFence, senderKey, type Fence } from '@harecross/state';
 import { Subject } from 'rxjs';
-import { FORGOTTEN } from './key.js';
+import { FORGOTTEN } from '../ownership/shard-state.js';
 
 declare module '@harecross/kernel' {
-  interface Faces {
+  interface ServiceRegistry {
     route: Route;
   }
 }
@@ -47,22 +47,26 @@
   private sent = new Map<string, Set<Sent>>();
   /** Publishes that were turned away, by sender and topic, and until when later ones were on their way before that was known. */
   private turned = new Map<string, { seq: number; until: number }>();
-  /** When a slow owner was last looked at; older times than `C.slowAgainMs` are dropped with the next. */
+  /** When a slow owner was last looked at; older times than `REQUEST.slowAgainMs` are dropped with the next. */
   private doubted = new Map<string, number>();
   private budget: RetryBudget;
   /** A shard whose owner changed, as far as we know. */
   readonly moved$ = new Subject<number>();
 
   constructor(
-    private k: Kernel,
-    private board: Board,
-    private reg: Register,
+    private kernel: Kernel,
+    private membership: MembershipTable,
+    private register: ConsensusRegister,
   ) {
-    this.budget = new RetryBudget(k.host.clock, { perS: C.retriesPerS, share: C.retriesShare, burst: C.retriesBurstN });
-    k.keep(
-      board.changed$.subscribe((key) => {
+    this.budget = new RetryBudget(kernel.host.clock, {
+      perS: REQUEST.retriesPerS,
+      share: REQUEST.retriesShare,
+      burst: REQUEST.retryBurstLimit,
+    });
+    kernel.addSubscription(
+      membership.factChanged$.subscribe((key) => {
         if (!key.startsWith('key/')) return;
-        const r = board.get(key) as KeyRec;
+        const r = membership.get(key) as ShardOwnerRecord;
         this.hint(Number(key.slice(4)), r.fence, r.peer);
       }),
     );
@@ -77,7 +81,7 @@
 
   owner(shard: number): string | undefined {
     const h = this.hints.get(shard);
-    return h && this.board.isLive(h.peer) ? h.peer : undefined;
+    return h && this.membership.isLive(h.peer) ? h.peer : undefined;
   }
 
   /** Looks for an owner in the background: one round for all shards that are sought in one moment. */
@@ -85,8 +89,8 @@
     this.sought.add(shard);
     if (this.seeking) return;
     this.seeking = true;
-    const { clock } = this.k.host;
-    clock.after(Math.max(0, this.soughtAt + C.ownerRetryMs - clock.now()), () => {
+    const { clock } = this.kernel.host;
+    clock.after(Math.max(0, this.soughtAt + REQUEST.ownerRetryMs - clock.now()), () => {
       this.seeking = false;
       this.soughtAt = clock.now();
       this.ask();
@@ -97,9 +101,9 @@
   private ask(): void {
     const byPeer = new Map<string, number[]>();
     for (const shard of this.sought) {
-      for (const d of this.reg.value?.shards.get(shard)?.copies ?? []) {
-        const peer = this.reg.peerOf(d);
-        if (!peer || !this.board.isLive(peer)) continue;
+      for (const d of this.register.value?.shards.get(shard)?.copies ?? []) {
+        const peer = this.register.peerOf(d);
+        if (!peer || !this.membership.isLive(peer)) continue;
         const l = byPeer.get(peer);
         if (l) l.push(shard);
         else byPeer.set(peer, [shard]);
@@ -107,8 +111,8 @@
     }
     this.sought.clear();
     for (const [peer, shards] of byPeer) {
-      this.k.call<Fence[]>(peer, 'Who', { shards }, C.whoMs).then(
-        (fs) => fs.forEach((f, i) => this.hint(shards[i]!, f, readFence(f).peer)),
+      this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.whoMs).then(
+        (fs) => fs.forEach((f, i) => this.hint(shards[i]!, f, parseFence(f).peer)),
         () => undefined, // others answer
       );
     }
@@ -122,7 +126,7 @@
         sub.unsubscribe();
         res();
       };
-      const cancel = this.k.host.clock.after(ms, over);
+      const cancel = this.kernel.host.clock.after(ms, over);
       const sub = this.moved$.subscribe((s) => {
         if (s === shard) over();
       });
@@ -131,25 +135,25 @@
 
   /** A visit at an owner, given up as soon as another is known to have the key: what became of it is then not known. */
   private unlessMoved<T>(shard: number, peer: string, step: string, visit: Promise<T>): Promise<T> {
-    const { clock } = this.k.host;
+    const { clock } = this.kernel.host;
     return new Promise((res, rej) => {
       let left = false;
       const leave = (): void => {
         if (left) return;
         left = true;
-        this.k.count('route.left');
+        this.kernel.incrementCounter('route.left');
         // What was answered before the news stands.
-        clock.after(C.movedGraceMs, () => rej(new Failure({ tag: 'timeout', step, peer })));
+        clock.after(REQUEST.movedGraceMs, () => rej(new HarecrossError({ tag: 'timeout', step, peer })));
       };
       const sub = this.moved$.subscribe((s) => {
         if (s === shard && this.hints.get(shard)?.peer !== peer) leave();
       });
       sub.add(
-        this.k.broken$.subscribe((p) => {
+        this.kernel.linkBroken$.subscribe((p) => {
           if (p === peer) leave();
         }),
       );
-      const slow = clock.after(C.slowVisitMs, () => this.doubt(peer));
+      const slow = clock.after(REQUEST.slowVisitMs, () => this.doubt(peer));
       visit.then(res, rej).finally(() => {
         slow();
         sub.unsubscribe();
@@ -159,12 +163,12 @@
 
   /** An owner that takes long to answer: others should have its keys soon if it is gone. */
   private doubt(peer: string): void {
-    const now = this.k.host.clock.now();
-    if (peer === this.k.self || now - (this.doubted.get(peer) ?? -Infinity) < C.slowAgainMs) return;
-    for (const [p, at] of this.doubted) if (now - at >= C.slowAgainMs) this.doubted.delete(p);
+    const now = this.kernel.host.clock.now();
+    if (peer === this.kernel.self || now - (this.doubted.get(peer) ?? -Infinity) < REQUEST.slowAgainMs) return;
+    for (const [p, at] of this.doubted) if (now - at >= REQUEST.slowAgainMs) this.doubted.delete(p);
     this.doubted.set(peer, now);
-    this.k.count('route.slow');
-    this.board.doubt(peer);
+    this.kernel.incrementCounter('route.slow');
+    this.membership.probeNow(peer);
   }
 
   /**
@@ -179,8 +183,8 @@
     const k = senderKey(b.topic, b.sender);
     const turned = this.turned.get(k);
     if (turned && b.seq <= turned.seq) this.turned.delete(k);
-    else if (turned && this.k.host.clock.now() < turned.until) throw notReady(this.k, 'Publish');
-    const { clock } = this.k.host;
+    else if (turned && this.kernel.host.clock.now() < turned.until) throw notReady(this.kernel, 'Publish');
+    const { clock } = this.kernel.host;
     const until = clock.now() + patienceMs;
     const all = this.sent.get(k) ?? new Set();
     this.sent.set(k, all);
@@ -206,7 +210,7 @@
         mine,
       );
     } catch (e) {
-      const f = faultOf(e, 'Publish', this.k.self);
+      const f = toErrorDetails(e, 'Publish', this.kernel.self);
       switch (f.tag) {
         case 'not_ready':
         case 'overloaded':
@@ -215,9 +219,9 @@
           if (f.step === FORGOTTEN) break;
           this.turnAway(b);
           // Told in order, so that they come again in order.
-          await within(
+          await withTimeout(
             clock,
-            Math.max(0, Math.min(C.inOrderMs, until - clock.now())),
+            Math.max(0, Math.min(REQUEST.inOrderMs, until - clock.now())),
             Promise.all([...all].filter((s) => s.seq < b.seq).map((s) => s.over)),
           );
           break;
@@ -236,10 +240,10 @@
   turnAway(b: { sender: string; topic: string; seq: number }): void {
     const k = senderKey(b.topic, b.sender);
     for (const s of this.sent.get(k) ?? []) if (s.seq > b.seq) s.dropped = true;
-    const { clock } = this.k.host;
-    const x = { seq: Math.min(b.seq, this.turned.get(k)?.seq ?? Infinity), until: clock.now() + C.onTheWayMs };
+    const { clock } = this.kernel.host;
+    const x = { seq: Math.min(b.seq, this.turned.get(k)?.seq ?? Infinity), until: clock.now() + REQUEST.onTheWayMs };
     this.turned.set(k, x);
-    clock.after(C.onTheWayMs, () => {
+    clock.after(REQUEST.onTheWayMs, () => {
       if (this.turned.get(k) === x) this.turned.delete(k);
     });
   }
@@ -256,17 +260,17 @@
     sent?: Sent,
   ): Promise<T> {
     mustBeRepeatable(m);
-    const { clock, rnd } = this.k.host;
+    const { clock, random } = this.kernel.host;
     const shard = shardOf(topic);
     const until = clock.now() + patienceMs;
     let lostSince: number | undefined;
     let perhaps = false;
-    const family = this.reg.value && familyOf(this.reg.value.config, topic);
-    const urgent = family !== undefined && urgencyOf(this.reg.value!.config, family) === 'urgent';
-    this.budget.first();
+    const family = this.register.value && familyOf(this.register.value.config, topic);
+    const urgent = family !== undefined && urgencyOf(this.register.value!.config, family) === 'urgent';
+    this.budget.recordFirstAttempt();
     const again = (): boolean => {
-      const may = this.budget.retry(urgent);
-      if (!may) this.k.count('route.budget');
+      const may = this.budget.tryRetry(urgent);
+      if (!may) this.kernel.incrementCounter('route.budget');
       return may;
     };
     for (;;) {
@@ -274,31 +278,36 @@
       if (left <= 0) break;
       const peer = this.owner(shard);
       // Nobody owned the key for a while: give up now rather than hold the caller to its deadline.
-      if (lostSince !== undefined && clock.now() - lostSince > C.noOwnerMs) break;
+      if (lostSince !== undefined && clock.now() - lostSince > REQUEST.noOwnerMs) break;
       if (sent?.dropped) break;
       if (!peer) {
         lostSince ??= clock.now();
         this.seek(shard);
-        await this.news(shard, Math.min(left, C.ownerRetryMs));
+        await this.news(shard, Math.min(left, REQUEST.ownerRetryMs));
         continue;
       }
       const { fence } = this.hints.get(shard)!;
-      let f: Fault;
+      let f: ErrorDetails;
       try {
-        return await this.unlessMoved(shard, peer, m, this.k.reach<T>(peer, m, body(), Math.min(C.ownerTryMs, left)));
+        return await this.unlessMoved(
+          shard,
+          peer,
+          m,
+          this.kernel.callAnyPath<T>(peer, m, body(), Math.min(REQUEST.ownerTryMs, left)),
+        );
       } catch (e) {
-        f = faultOf(e, m, peer);
+        f = toErrorDetails(e, m, peer);
       }
       // Whatever the last try was told, an earlier one may have been stored.
-      const end = (): Failure =>
-        new Failure(
+      const end = (): HarecrossError =>
+        new HarecrossError(
           perhaps && m === 'Publish'
-            ? { tag: 'outcome_unknown', step: m, peer, retryAfterMs: retryAfter(rnd, C.retryMs) }
+            ? { tag: 'outcome_unknown', step: m, peer, retryAfterMs: jitteredRetryMs(random, REQUEST.retryMs) }
             : f,
         );
       // An owner answers by a configuration that is at least as new as ours. Where ours still has the topic, we do not say that it is
       // gone before we have that one too: another owner, as far as we are, would take it back.
-      const newer = f.tag === 'unknown_topic' && familyOf(this.reg.value!.config, topic) !== undefined;
+      const newer = f.tag === 'unknown_topic' && familyOf(this.register.value!.config, topic) !== undefined;
       switch (newer ? 'not_ready' : f.tag) {
         case 'unreachable':
         case 'not_ready':
@@ -306,10 +315,10 @@
           break;
         case 'not_owner':
           lostSince ??= clock.now();
-          if (f.tag === 'not_owner' && f.hint) this.hint(shard, f.hint, readFence(f.hint).peer);
+          if (f.tag === 'not_owner' && f.hint) this.hint(shard, f.hint, parseFence(f.hint).peer);
           break;
         case 'fenced':
-          if (f.tag === 'fenced') this.hint(shard, f.fence, readFence(f.fence).peer);
+          if (f.tag === 'fenced') this.hint(shard, f.fence, parseFence(f.fence).peer);
           lostSince = undefined;
           perhaps = true;
           break;
@@ -322,28 +331,28 @@
           break;
         case 'stale_seq':
           // Final, also for earlier tries: a higher number is committed, and this one is not in the history.
-          throw new Failure(f);
+          throw new HarecrossError(f);
         default:
           throw end();
       }
       if (!again()) break;
       // Another is known to have the key: there at once.
       if (this.hints.get(shard)!.fence !== fence) continue;
-      if (until - clock.now() <= C.ownerRetryMs) break;
+      if (until - clock.now() <= REQUEST.ownerRetryMs) break;
       if (!newer) this.seek(shard);
-      await this.news(shard, C.ownerRetryMs);
+      await this.news(shard, REQUEST.ownerRetryMs);
     }
-    const retryAfterMs = retryAfter(rnd, C.retryMs);
-    throw new Failure(
+    const retryAfterMs = jitteredRetryMs(random, REQUEST.retryMs);
+    throw new HarecrossError(
       perhaps
-        ? { tag: 'outcome_unknown', step: m, peer: this.k.self, retryAfterMs }
-        : { tag: 'not_ready', step: m, peer: this.k.self, retryAfterMs },
+        ? { tag: 'outcome_unknown', step: m, peer: this.kernel.self, retryAfterMs }
+        : { tag: 'not_ready', step: m, peer: this.kernel.self, retryAfterMs },
     );
   }
 }
 
-register({
+registerPlugin({
   name: 'route',
-  needs: ['board', 'register'],
-  setup: (k) => new Route(k, k.use('board'), k.use('register')),
+  needs: ['membership', 'register'],
+  setup: (k) => new Route(k, k.use('membership'), k.use('register')),
 });
--- a/packages/data/src/delivery.ts
+++ b/packages/data/src/sessions/delivery.ts
@@ -2,14 +2,14 @@
  * Delivery of messages to a relay's sessions: their bounded buffers, the final send, and catching up from the owner's
  * history.
  */
-import { REQUEST, SESSION, type HoldingInfo, type Kernel } from '@harecross/kernel';
-import type { Register } from '@harecross/control';
+import { REQUEST, SESSION, type QueueInfo, type Kernel } from '@harecross/kernel';
+import type { ConsensusRegister } from '@harecross/control';
 import { familyOf, urgencyOf } from '@harecross/schema';
-import type { FanFrame } from './interest.js';
-import type { LeaseTable, TopicLease } from './lease-table.js';
+import type { FanFrame } from '../interest/interest-table.js';
+import type { LeaseTable, TopicLease } from '../interest/lease-table.js';
 import type { ControlFrame, Message, Outgoing } from './outgoing.js';
-import type { HistoryAnswer } from './owner.js';
-import type { Route } from './route.js';
+import type { HistoryAnswer } from '../ownership/topic-history.js';
+import type { Route } from '../routing/route.js';
 import type { LeaveReason, QueuedFrame, Session, Subscription } from './session.js';
 
 /** Pages of history that one reader takes before it stops; the next heads begin another. */
@@ -28,7 +28,7 @@
 
   constructor(
     private kernel: Kernel,
-    private register: Register,
+    private register: ConsensusRegister,
     private route: Route,
     private leases: LeaseTable,
     /** Ends a session that does not read as fast as its messages come. */
@@ -41,7 +41,7 @@
     if (!lease) return;
     lease.head = Math.max(lease.head, frame.off);
     if (lease.generation !== frame.gen) {
-      this.kernel.count('frame.old_generation');
+      this.kernel.incrementCounter('frame.old_generation');
       if (lease.subscriptions.size) this.catchUp(lease);
       return;
     }
@@ -127,10 +127,10 @@
           REQUEST.ownerTryMs * 2,
         );
       } catch {
-        this.kernel.count('pull.fail');
+        this.kernel.incrementCounter('pull.fail');
         return; // tried again with the next heads, within a second
       }
-      this.kernel.count('pull');
+      this.kernel.incrementCounter('pull');
       if (answer.tag === 'gone') return;
       lease.head = Math.max(lease.head, answer.head);
       for (const subscription of Array.from(lease.subscriptions)) {
@@ -200,7 +200,7 @@
   flush(session: Session): void {
     if (session.state === 'closed' || session.blocked || !session.queue.length) return;
     const now = this.kernel.host.clock.now();
-    const confirmed = this.register.fresh();
+    const confirmed = this.register.hasReadLease();
     const out: Outgoing[] = [];
     const kept: QueuedFrame[] = [];
     for (const queued of session.queue) {
@@ -211,11 +211,11 @@
           continue;
         }
         if (!this.maySend(subscription, queued.generation, now)) {
-          this.kernel.count('frame.lapsed');
+          this.kernel.incrementCounter('frame.lapsed');
           release(session, queued);
           continue;
         }
-        this.kernel.count('deliver');
+        this.kernel.incrementCounter('deliver');
       }
       release(session, queued);
       out.push(queued.frame);
@@ -252,7 +252,7 @@
   }
 
   /** Bytes held for the session that has most of them, in each lane. */
-  queues(sessions: Iterable<Session>): HoldingInfo[] {
+  queues(sessions: Iterable<Session>): QueueInfo[] {
     const all = [...sessions];
     return [
       {
--- a/packages/data/src/relocation.ts
+++ b/packages/data/src/sessions/relocation.ts
@@ -1,6 +1,6 @@
 /** Sends a relay's clients to other relays, before a planned restart or a stop. */
-import type { Board } from '@harecross/control';
-import { SESSION, sample, type Kernel } from '@harecross/kernel';
+import type { MembershipTable } from '@harecross/control';
+import { SESSION, randomSample, type Kernel } from '@harecross/kernel';
 import type { ControlFrame } from './outgoing.js';
 import type { Session } from './session.js';
 
@@ -14,15 +14,15 @@
 
   constructor(
     private kernel: Kernel,
-    private board: Board,
+    private membership: MembershipTable,
     private send: (session: Session, frame: ControlFrame) => void,
   ) {}
 
   /** Sends all of these away within `spreadMs`. */
   begin(sessions: Iterable<Session>, spreadMs: number): void {
-    const { clock, rnd } = this.kernel.host;
+    const { clock, random } = this.kernel.host;
     this.underWay = true;
-    for (const session of sessions) clock.after(rnd.next() * spreadMs, () => this.sendAway(session));
+    for (const session of sessions) clock.after(random.next() * spreadMs, () => this.sendAway(session));
   }
 
   /** Clients may stay again. */
@@ -42,12 +42,12 @@
 
   /** A relay that takes sessions: in our domain if there is one, the emptier of two by chance. */
   private otherRelay(): string | undefined {
-    const { rnd, config } = this.kernel.host;
-    const open = this.board
-      .live()
+    const { random, config } = this.kernel.host;
+    const open = this.membership
+      .liveMembers()
       .filter((m) => m.role === 'relay' && m.peer !== this.kernel.self && m.condition === 'ready');
     const near = open.filter((m) => m.domain === config.domain);
-    const two = sample(rnd, near.length ? near : open, 2);
+    const two = randomSample(random, near.length ? near : open, 2);
     return two.sort((a, b) => a.weight - b.weight)[0]?.client;
   }
 }
--- a/packages/data/src/session-homes.ts
+++ b/packages/data/src/sessions/session-homes.ts
@@ -1,6 +1,6 @@
 /** One session a client: which of its sessions, at whatever relay, is the latest. */
-import type { Board } from '@harecross/control';
-import { SESSION, rank, type From, type Kernel } from '@harecross/kernel';
+import type { MembershipTable } from '@harecross/control';
+import { SESSION, rendezvousOrder, type RequestContext, type Kernel } from '@harecross/kernel';
 import type { Session } from './session.js';
 
 /** A session as its home is told of it. Names and units as they are sent: `age` in milliseconds. */
@@ -24,7 +24,7 @@
 
   constructor(
     private kernel: Kernel,
-    private board: Board,
+    private membership: MembershipTable,
   ) {}
 
   /** Relays came or went; homes are told with the next `tellMoved`. */
@@ -33,8 +33,8 @@
   }
 
   private homeOf(consumer: string): { peer: string; id: string } | undefined {
-    const relays = this.board.live().filter((m) => m.role === 'relay' && m.condition !== 'draining');
-    const home = rank(`home/${consumer}`, relays, (m) => m.peer)[0];
+    const relays = this.membership.liveMembers().filter((m) => m.role === 'relay' && m.condition !== 'draining');
+    const home = rendezvousOrder(`home/${consumer}`, relays, (m) => m.peer)[0];
     return home && { peer: home.peer, id: `${home.peer}~${home.inst}` };
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** As a home: sessions that a relay has. Of two of one client the one opened last stays, in whatever order news of them comes. */
-  hear(notices: SessionNotice[], { peer: relay, sentAt }: From): true {
+  hear(notices: SessionNotice[], { peer: relay, sentAt }: RequestContext): true {
     const now = this.kernel.host.clock.now();
     for (const notice of notices) {
       const at = sentAt - notice.age;
@@ -73,7 +73,7 @@
       }
       this.latest.set(notice.consumer, { conn: notice.conn, peer: relay, at, seenAt: now });
     }
-    if (this.latest.size > SESSION.connsN * 2) this.forget(now);
+    if (this.latest.size > SESSION.connectionLimit * 2) this.forget(now);
     return true;
   }
 
--- a/packages/data/src/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -1,30 +1,30 @@
 /** The relay's sessions: opening and closing them, subscriptions, signs of life, and sending clients elsewhere. */
-import { awayNow, type Board, type Register } from '@harecross/control';
+import { isInPlannedRestart, type MembershipTable, type ConsensusRegister } from '@harecross/control';
 import {
   REQUEST,
   SESSION,
-  Failure,
-  faultOf,
-  loop,
-  register,
-  retryAfter,
+  HarecrossError,
+  toErrorDetails,
+  runPeriodically,
+  registerPlugin,
+  jitteredRetryMs,
   sleep,
-  type HoldingInfo,
+  type QueueInfo,
   type Kernel,
 } from '@harecross/kernel';
 import { familyOf } from '@harecross/schema';
 import { distinctUntilChanged, map } from 'rxjs';
 import { Delivery } from './delivery.js';
-import { readFanRow, type FanRow } from './interest.js';
-import { LeaseTable, type TopicLease } from './lease-table.js';
+import { readFanRow, type FanRow } from '../interest/interest-table.js';
+import { LeaseTable, type TopicLease } from '../interest/lease-table.js';
 import type { Sink } from './outgoing.js';
 import { Relocation } from './relocation.js';
-import type { Route } from './route.js';
+import type { Route } from '../routing/route.js';
 import { SessionHomes } from './session-homes.js';
 import { Session, type CloseReason, type Subscription } from './session.js';
 
 declare module '@harecross/kernel' {
-  interface Faces {
+  interface ServiceRegistry {
     sessions: Sessions;
   }
 }
@@ -62,8 +62,8 @@
 
   constructor(
     private kernel: Kernel,
-    private board: Board,
-    private register: Register,
+    private membership: MembershipTable,
+    private register: ConsensusRegister,
     private route: Route,
   ) {
     this.freshAt = kernel.host.clock.now();
@@ -72,8 +72,8 @@
       ended: (subscription) => this.delivery.drop(subscription),
     });
     this.delivery = new Delivery(kernel, register, route, this.leases, (session) => this.close(session, 'saturated'));
-    this.homes = new SessionHomes(kernel, board);
-    this.relocation = new Relocation(kernel, board, (session, frame) => this.delivery.send(session, frame));
+    this.homes = new SessionHomes(kernel, membership);
+    this.relocation = new Relocation(kernel, membership, (session, frame) => this.delivery.send(session, frame));
     this.answerPeers();
     this.beginLoops();
     this.watch();
@@ -107,35 +107,37 @@
 
   private beginLoops(): void {
     const { kernel } = this;
-    const { clock, rnd } = kernel.host;
-    kernel.keep(loop(clock, TICK_MS, rnd, () => this.tick()));
-    kernel.keep(loop(clock, SESSION.headsMs, rnd, () => this.leases.checkHeads()));
-    kernel.keep(loop(clock, SESSION.homeRenewMs, rnd, async () => this.homes.tell(this.byId.values())));
+    const { clock, random } = kernel.host;
+    kernel.addSubscription(runPeriodically(clock, TICK_MS, random, () => this.tick()));
+    kernel.addSubscription(runPeriodically(clock, SESSION.headsMs, random, () => this.leases.checkHeads()));
+    kernel.addSubscription(
+      runPeriodically(clock, SESSION.homeRenewMs, random, async () => this.homes.tell(this.byId.values())),
+    );
   }
 
   private watch(): void {
     const { kernel, register: agreed } = this;
-    kernel.keep(
-      this.board.state$.subscribe((member) => {
+    kernel.addSubscription(
+      this.membership.memberStateChanged$.subscribe((member) => {
         if (member.role === 'relay') this.homes.relaysChanged();
       }),
     );
     // While we slept, clients may have probed: the silence was ours, not theirs. Deadlines of leases stay.
-    kernel.keep(
-      kernel.thawed$.subscribe((ms) => {
+    kernel.addSubscription(
+      kernel.loopResumed$.subscribe((ms) => {
         for (const session of this.byId.values()) session.heardAt += ms;
       }),
     );
-    kernel.keep(this.route.moved$.subscribe((shard) => this.leases.ownerChanged(shard)));
-    kernel.keep(agreed.value$.subscribe(() => this.endRemovedTopics()));
-    kernel.keep(
+    kernel.addSubscription(this.route.moved$.subscribe((shard) => this.leases.ownerChanged(shard)));
+    kernel.addSubscription(agreed.value$.subscribe(() => this.endRemovedTopics()));
+    kernel.addSubscription(
       agreed.value$
         .pipe(
-          map((value) => awayNow(value, kernel.self)),
+          map((value) => isInPlannedRestart(value, kernel.self)),
           distinctUntilChanged(),
         )
         .subscribe((away) => {
-          if (away) this.relocation.begin(this.byId.values(), SESSION.awaySpreadMs);
+          if (away) this.relocation.begin(this.byId.values(), SESSION.plannedDrainSpreadMs);
           else this.relocation.end();
         }),
     );
@@ -153,41 +155,41 @@
   /** Opens a session and gives its id. Throws `overloaded` beyond the number that a relay may have. */
   attach(consumer: string, pingS: number | undefined, sink: Sink): string {
     const { clock } = this.kernel.host;
-    if (this.byId.size >= SESSION.connsN) throw this.overloaded('Attach');
+    if (this.byId.size >= SESSION.connectionLimit) throw this.overloaded('Attach');
     // The client may ask for longer silence, but is told the ping by which it is counted.
     const ping = pingS ?? SESSION.pingS;
-    const id = `${this.kernel.self}/${this.kernel.inst}/${this.nextNumber()}`;
+    const id = `${this.kernel.self}/${this.kernel.instanceId}/${this.nextNumber()}`;
     const session = new Session(id, consumer, ping * 1000, sink, clock.now());
     const older = this.byConsumer.get(consumer);
     if (older) this.close(older, 'replaced');
     this.byId.set(id, session);
     this.byConsumer.set(consumer, session);
-    this.board.say({ weight: this.byId.size });
-    this.kernel.count('conn.open');
+    this.membership.updateOwnState({ weight: this.byId.size });
+    this.kernel.incrementCounter('conn.open');
     this.delivery.send(session, { t: 'ATTACHED', conn: id, pingS: Math.min(ping, SESSION.pingS) });
     this.homes.tell([session]);
     this.relocation.opened(session);
     return id;
   }
 
-  private overloaded(step: string): Failure {
-    const retryAfterMs = retryAfter(this.kernel.host.rnd, REQUEST.retryMs);
-    return new Failure({ tag: 'overloaded', step, peer: this.kernel.self, retryAfterMs });
+  private overloaded(step: string): HarecrossError {
+    const retryAfterMs = jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
+    return new HarecrossError({ tag: 'overloaded', step, peer: this.kernel.self, retryAfterMs });
   }
 
   /** The one function that ends a session. Its leases end at once and what waited for them goes too. */
   close(session: Session, reason: CloseReason): void {
     if (session.state === 'closed') return;
     session.state = 'closed';
-    this.kernel.count(`conn.closed.${reason}`);
+    this.kernel.incrementCounter(`conn.closed.${reason}`);
     session.cancelFlush();
     for (const subscription of Array.from(session.subscriptions.values())) this.leases.end(subscription);
     session.queue = [];
     this.byId.delete(session.id);
     if (this.byConsumer.get(session.consumer) === session) this.byConsumer.delete(session.consumer);
-    this.board.say({ weight: this.byId.size });
+    this.membership.updateOwnState({ weight: this.byId.size });
     if (reason !== 'gone') {
-      const retryAfterMs = reason === 'replaced' ? 0 : retryAfter(this.kernel.host.rnd, REQUEST.retryMs / 2);
+      const retryAfterMs = reason === 'replaced' ? 0 : jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs / 2);
       session.sink.write([{ t: 'CLOSED', reason, retryAfterMs }]);
     }
     session.sink.close();
@@ -208,7 +210,7 @@
   /** The session of an id; also the sign of life that renews its leases. Throws `unknown_conn`. */
   heard(id: string, step: string): Session {
     const session = this.sign(id);
-    if (!session) throw new Failure({ tag: 'unknown_conn', step, peer: this.kernel.self });
+    if (!session) throw new HarecrossError({ tag: 'unknown_conn', step, peer: this.kernel.self });
     return session;
   }
 
@@ -233,7 +235,7 @@
       await known.opened;
       return { sub: known.id, next: known.first };
     }
-    const most = this.register.value?.config.limits?.subscriptionsPerConn ?? SESSION.subsPerConnN;
+    const most = this.register.value?.config.limits?.subscriptionsPerConn ?? SESSION.subscriptionsPerConnectionLimit;
     if (session.subscriptions.size >= most) throw this.overloaded('Subscribe');
     const family = this.register.value && familyOf(this.register.value.config, topic);
     if (!family) throw this.unknownTopic(topic);
@@ -255,14 +257,14 @@
       next: Infinity,
       first: Infinity,
       opened: Promise.resolve(),
-      expiresAt: now + SESSION.holdTtlMs,
+      expiresAt: now + SESSION.leaseTtlMs,
       renewedAt: now,
       live: true,
     };
   }
 
-  private unknownTopic(topic: string): Failure {
-    return new Failure({ tag: 'unknown_topic', step: 'Subscribe', peer: this.kernel.self, topic });
+  private unknownTopic(topic: string): HarecrossError {
+    return new HarecrossError({ tag: 'unknown_topic', step: 'Subscribe', peer: this.kernel.self, topic });
   }
 
   /** Finds out from the owner where a subscription begins; ends it when it can't. */
@@ -276,13 +278,13 @@
       const { head, first, since } = await this.askOwner(subscription.topic, cursor, patienceMs);
       const next = cursor === undefined ? head + 1 : Math.max(cursor + 1, since);
       if (next < first)
-        throw new Failure({ tag: 'cursor_expired', step: 'Subscribe', peer: this.kernel.self, first, head });
+        throw new HarecrossError({ tag: 'cursor_expired', step: 'Subscribe', peer: this.kernel.self, first, head });
       if (!subscription.live) throw this.whyEnded(subscription.topic);
       subscription.first = next;
       subscription.next = next;
       lease.head = Math.max(lease.head, head);
       if (next <= lease.head) this.delivery.catchUp(lease);
-      this.kernel.count('subscribe');
+      this.kernel.incrementCounter('subscribe');
     } catch (e) {
       this.leases.end(subscription);
       throw e;
@@ -300,16 +302,16 @@
     if (cursor === undefined || cursor <= answer.head) return answer;
     const confirmed = await ask(true);
     if (cursor <= confirmed.head) return confirmed;
-    throw new Failure({ tag: 'cursor_ahead', step: 'Subscribe', peer: this.kernel.self, head: confirmed.head });
+    throw new HarecrossError({ tag: 'cursor_ahead', step: 'Subscribe', peer: this.kernel.self, head: confirmed.head });
   }
 
   /**
    * A subscription that ended while it was opened: its family went meanwhile, or its session, or the client left it.
    */
-  private whyEnded(topic: string): Failure {
+  private whyEnded(topic: string): HarecrossError {
     const removed = this.register.value !== undefined && !familyOf(this.register.value.config, topic);
     if (removed) return this.unknownTopic(topic);
-    return new Failure({ tag: 'unknown_conn', step: 'Subscribe', peer: this.kernel.self });
+    return new HarecrossError({ tag: 'unknown_conn', step: 'Subscribe', peer: this.kernel.self });
   }
 
   /** Ends a subscription; says whether there was one. */
@@ -322,8 +324,8 @@
 
   private async tick(): Promise<void> {
     const now = this.kernel.host.clock.now();
-    if (this.register.fresh()) this.freshAt = now;
-    else if (now - this.freshAt > SESSION.unfreshMs) this.closeCutOff();
+    if (this.register.hasReadLease()) this.freshAt = now;
+    else if (now - this.freshAt > SESSION.leaseLostMs) this.closeCutOff();
     this.homes.tellMoved(this.byId.values());
     for (const session of Array.from(this.byId.values())) this.endOverdue(session, now);
     await this.leases.tellOwners();
@@ -338,7 +340,7 @@
 
   /** Ends a silent session, and leases that are past their deadline. */
   private endOverdue(session: Session, now: number): void {
-    if (now - session.heardAt > SESSION.silencePingsN * session.pingMs) {
+    if (now - session.heardAt > SESSION.silencePingCount * session.pingMs) {
       this.close(session, 'silent');
       return;
     }
@@ -367,11 +369,11 @@
       this.delivery.flush(session);
       this.close(session, 'stopping');
     }
-    await this.leases.tellOwners().catch((e) => faultOf(e, 'Interest', this.kernel.self));
+    await this.leases.tellOwners().catch((e) => toErrorDetails(e, 'Interest', this.kernel.self));
   }
 
   /** Bytes held for the session that has most of them, in each lane. */
-  queues(): HoldingInfo[] {
+  queues(): QueueInfo[] {
     return this.delivery.queues(this.byId.values());
   }
 
@@ -381,8 +383,8 @@
   }
 }
 
-register({
+registerPlugin({
   name: 'sessions',
-  needs: ['board', 'register', 'route'],
-  setup: (k) => new Sessions(k, k.use('board'), k.use('register'), k.use('route')),
+  needs: ['membership', 'register', 'route'],
+  setup: (k) => new Sessions(k, k.use('membership'), k.use('register'), k.use('route')),
 });
--- a/packages/harecross/src/place.ts
+++ b/packages/harecross/src/place.ts
@@ -1,4 +1,4 @@
-import { C, shardOf } from '@harecross/kernel';
+import { SHARD, shardOf } from '@harecross/kernel';
 import type { Placed } from '@harecross/schema';
 import Type, { type Static } from 'typebox';
 import { Compile } from 'typebox/compile';
@@ -43,7 +43,7 @@
 const shardsOf = (w: Where): number[] =>
   w.shards || w.topics
     ? [...new Set([...(w.shards ?? []), ...(w.topics ?? []).map(shardOf)])]
-    : [...Array(C.shardsN).keys()];
+    : [...Array(SHARD.shardCount).keys()];
 
 /** One constraint of the file: its name for people, and its rows for the solver. */
 interface Group {
@@ -52,7 +52,7 @@
 }
 
 function groupsOf(c: Constraints, disks: Disk[]): Group[] {
-  const all = [...Array(C.shardsN).keys()];
+  const all = [...Array(SHARD.shardCount).keys()];
   const out: Group[] = [
     {
       name: `copies: ${c.copies}`,
@@ -98,7 +98,7 @@
 
 function attempt(groups: Group[], disks: Disk[], now: Map<number, string[]>): Plan | undefined {
   const vars = new Map<string, Map<string, number>>();
-  for (let s = 0; s < C.shardsN; s++)
+  for (let s = 0; s < SHARD.shardCount; s++)
     for (const d of disks) vars.set(`${s} ${d.peer}`, new Map([['kept', now.get(s)?.includes(d.peer) ? 1 : 0]]));
   const bounds = new Map<string, { min?: number; max?: number; equal?: number }>();
   for (const g of groups)
@@ -113,7 +113,7 @@
     { timeout: 20_000, maxIterations: 200_000 },
   );
   if (r.status !== 'optimal') return undefined;
-  const placement: Placed[] = [...Array(C.shardsN).keys()].map((shard) => ({ shard, nodes: [] }));
+  const placement: Placed[] = [...Array(SHARD.shardCount).keys()].map((shard) => ({ shard, nodes: [] }));
   for (const [v, x] of r.variables) {
     if (x < 0.5) continue;
     const [s, peer] = v.split(' ') as [string, string];
@@ -146,7 +146,8 @@
   ] as const)
     list.forEach((p, i) => {
       if (!disks.some((d) => d.peer === p.node)) faults.push(`/${k}/${i}/node: no disk is known at '${p.node}'`);
-      for (const s of p.shards ?? []) if (s >= C.shardsN) faults.push(`/${k}/${i}/shards: there is no shard ${s}`);
+      for (const s of p.shards ?? [])
+        if (s >= SHARD.shardCount) faults.push(`/${k}/${i}/shards: there is no shard ${s}`);
     });
   for (const n of Object.keys(c.capacity ?? {}))
     if (n !== '*' && !disks.some((d) => d.peer === n)) faults.push(`/capacity: no disk is known at '${n}'`);
@@ -172,7 +173,7 @@
   const domain = new Map(disks.map((d) => [d.peer, d.domain]));
   const weight = new Map<string, number>();
   const of = new Map(placement.map((p) => [p.shard, new Set(p.nodes)]));
-  for (let s = 0; s < C.shardsN; s++) {
+  for (let s = 0; s < SHARD.shardCount; s++) {
     const nodes = of.get(s) ?? new Set<string>();
     if (nodes.size !== c.copies) out.push(`shard ${s} has ${nodes.size} copies, ${c.copies} are wanted`);
     const per = new Map<string, number>();
