--- a/packages/kernel/src/constants.ts
+++ b/packages/kernel/src/constants.ts
@@ -1,18 +1,18 @@
 /**
  * Every constant of the system, in groups by area, with its unit and the reason for it.
- * Names end in the unit: Ms, S, Bytes, N (a count).
+ * Names end in the unit or the kind of bound: Ms, S, Bytes, Count, Limit, Size, Factor. No name stands in two groups.
  */
 
 /** Sessions of clients at a relay, their interest leases and delivery (the paper's design; values are ours). */
 export const SESSION = {
   /** A hold ends this long after its last renewal. Three renewals fit, so two may be lost. */
-  holdTtlMs: 60_000,
+  leaseTtlMs: 60_000,
   /** A relay renews a hold from traffic this often. A third of the TTL, as in the source. */
-  holdRenewMs: 20_000,
+  leaseRenewMs: 20_000,
   /** The owner keeps fanning this long past expiresAt, so it never stops before the relay does. */
-  holdSkewMs: 2_000,
+  leaseSkewMs: 2_000,
   /** A conn silent for this many pings is dropped: one lost probe and one late one are forgiven. */
-  silencePingsN: 3,
+  silencePingCount: 3,
   /** Default ping_s; callers check in about every two seconds. */
   pingS: 2,
   /** Counts leave out conns silent for longer than this, whatever their ping: the truth of the last 5 s. */
@@ -36,23 +36,23 @@
   /** Relay asks owners for heads this often: finds a lost last frame within one period. */
   headsMs: 1_000,
   /** Entries asked of history at a time; a page stays far below a lane. */
-  historyPageN: 64,
+  historyPageLimit: 64,
   /** How long the owner waits for relays when it counts listeners; the asker's patience is about 2 s. */
   countWaitMs: 700,
   /** A key taken this lately: relays may not have told their interest, so all of them are asked. */
   countAllMs: 4_000,
   /** Holds and conns a relay may have: beyond it, new conns are rejected at once. */
-  connsN: 4_000,
+  connectionLimit: 4_000,
   /** Subscriptions a conn may have. */
-  subsPerConnN: 256,
+  subscriptionsPerConnectionLimit: 256,
   /** A consumer's home forgets a conn not re-registered for this long. */
   homeForgetMs: 40_000,
   /** Unable to serve for this long a relay sends its conns elsewhere: before the others call it dead and count them no more. */
-  unfreshMs: 4_000,
+  leaseLostMs: 4_000,
   /** Relay re-registers its conns at their homes this often. */
   homeRenewMs: 15_000,
   /** A planned restart sends its conns away over this long; a stop has less time. */
-  awaySpreadMs: 3_000,
+  plannedDrainSpreadMs: 3_000,
   drainSpreadMs: 1_000,
   /** A stopping relay stays for late comers: the platform notices after two polls, a second apart. */
   drainMs: 2_600,
@@ -61,13 +61,13 @@
 /** Shards: their copies, owners and history. */
 export const SHARD = {
   /** Shards of the topic space: several per disk at today's 8 disks, so that duty evens out. */
-  shardsN: 32,
+  shardCount: 32,
   /** Default copies of a shard; survives two lost disks. */
-  copiesN: 5,
+  replicaCount: 5,
   /** No disk has more copies than its share times this; measured in docs/measurements.md. */
-  copiesSlack: 1.1,
+  replicaSlack: 1.1,
   /** No disk owns more keys than its share times this: evener than plain rendezvous, and few keys move. */
-  ownersSlack: 1.25,
+  ownerSlack: 1.25,
   /** History kept = family memory times this ... */
   memorySlack: 1.5,
   /** ... plus this, so that a promise of 25 s is never cut short by rounding or fail-over. */
@@ -79,45 +79,45 @@
    * accepted, what is below it is not known any more. Dedupe rows outlive any memory by a wide margin. */
   dedupeKeepMs: 30 * 60_000,
   /** Owner checks its keys this often. */
-  keyTickMs: 250,
+  ownershipCheckMs: 250,
   /** Owner pings its copies this often when there is no traffic. */
-  beatMs: 400,
+  heartbeatMs: 400,
   /** Without a majority's answer for this long an owner holds its duty in doubt and rejects visits. */
-  doubtMs: 1_600,
+  ownershipDoubtMs: 1_600,
   /** A take that failed is tried again after this long. */
-  takeRetryMs: 600,
+  electionRetryMs: 600,
   /** After its start a node leaves keys to others who may be coming up too for this long: a fleet comes back within it. */
-  comingMs: 300,
+  startupGraceMs: 300,
   /** A key is asked from an owner that serves once it was matched to another for this long: machines come and go in less. */
-  steadyMs: 4_000,
+  steadyAssignmentMs: 4_000,
   /** A visit waits this long at a node that is just taking its key; a take is two rounds to a majority. */
-  settleMs: 400,
+  electionWaitMs: 400,
   /** A publish that must follow another waits this long for it at the owner; the relay brings both again if need be. */
-  followMs: 100,
+  predecessorWaitMs: 100,
   /** An owner that leaves tries this long to have its keys taken; all of a stop has `stopMs`. */
   handOverMs: 1_500,
   /** After the hand-over, callers that still come are told where to go for this long. */
-  leaveMs: 100,
+  redirectMs: 100,
   /** Who was allowed to take a key and did not within this long asked in vain. */
   yieldMs: 1_500,
   /** Who asked for a key in vain may ask again after this long. */
-  yieldVainMs: 30_000,
+  yieldRefusalMs: 30_000,
   /** An owner in doubt this long calls itself ill, so that others take its keys ... */
-  forlornMs: 1_000,
+  isolatedOwnerMs: 1_000,
   /** ... and stays so this long: links that broke seldom mend in seconds. */
-  illMs: 20_000,
+  unhealthyMs: 20_000,
   /** Time limit of one Append; a slow disk may take a while, and the others make the majority. */
   appendMs: 1_500,
   /** Entries in one Append. */
-  appendN: 256,
+  appendEntryLimit: 256,
   /** Publishes waiting at one owner before it rejects; urgent ones have the whole, routine ones half. */
-  ownerHoldingN: 2_000,
+  ownerQueueLimit: 2_000,
   /** Frames waiting at an owner for one relay; more are left to history, which the relay reads. */
-  fanHoldingN: 1_000,
+  fanOutQueueLimit: 1_000,
   /** An owner trims its history this often ... */
   trimMs: 2_000,
   /** ... and a copy follows this often: each time it writes more pages than for the appends since. */
-  trimCopyMs: 10_000,
+  trimReplicaMs: 10_000,
   /** Copies follow in snapshots when behind the base; a snapshot call may take this long. */
   snapshotMs: 5_000,
 } as const;
@@ -125,7 +125,7 @@
 /** Requests of clients: their way to an owner, and bounds of what a node takes at once. */
 export const REQUEST = {
   /** Visits in work at one edge; beyond it they are rejected with a time to come back. */
-  edgeHoldingN: 3_000,
+  gatewayQueueLimit: 3_000,
   /** Retry hint base; a random share of as much again spreads callers out. */
   retryMs: 400,
   /** One try of a relay at an owner. */
@@ -136,7 +136,7 @@
   ownerRetryMs: 40,
   /** Time limit for asking a copy whom it promised its key. */
   whoMs: 300,
-  /** An owner that takes this long for a visit is looked at by the board: ordinary ones take a tenth of it. */
+  /** An owner that takes this long for a visit is looked at by the membership: ordinary ones take a tenth of it. */
   slowVisitMs: 150,
   /** ... and again after this long at most. */
   slowAgainMs: 1_000,
@@ -151,7 +151,7 @@
   /** ... and this share of the first tries ... */
   retriesShare: 0.2,
   /** ... of which so many may be saved: a key that changes hands is asked for a few times by each visit under way. */
-  retriesBurstN: 400,
+  retryBurstLimit: 400,
   /** A link that gave no answer is tried directly this often; meanwhile visits of the data plane go round it. */
   linkTryMs: 700,
   /** A line of a client: topic, cursor and name are far shorter. */
@@ -163,11 +163,11 @@
   /** Answers and frames a client has not read yet, beyond both lanes of its buffer: it does not read. */
   accessUnreadBytes: 4 * 1024 * 1024,
   /** Requests of one connection in work before we read no more of them. */
-  accessRunningN: 128,
+  accessRunningLimit: 128,
   /** Bodies that come in pieces, of all connections together; a body beyond it is not taken. */
   accessBodiesBytes: 32 * 1024 * 1024,
   /** Connections that have not attached, and at most half of all: beyond it the oldest of them is closed. */
-  accessOpenersN: 1_000,
+  accessUnattachedLimit: 1_000,
   /** A connection that has not attached within this time is closed; looked for this often. */
   accessOpenMs: 10_000,
   accessSweepMs: 1_000,
@@ -178,26 +178,26 @@
 /** Membership: gossip, partial views, probes of silent members. */
 export const MEMBERSHIP = {
   /** One gossip exchange with this many peers per period. */
-  gossipPeersN: 2,
+  gossipPeerCount: 2,
   gossipMs: 500,
   /** While news keeps coming a node compares only this often. */
   gossipAnywayMs: 2_000,
   /** After its start a node compares this often, for this long at most, or until so many peers had nothing new for it. */
   joinEveryMs: 100,
   joinMs: 3_000,
-  joinQuietN: 6,
+  joinQuietCount: 6,
   /** In a large fleet less often, so that some 250 a second of all that start together reach a peer whom all know. */
   joinPerMemberMs: 4,
   /** News goes to this many peers at each step; log2(200) steps reach a large fleet. */
-  newsFanN: 4,
+  disseminationFanOut: 4,
   /** News is sent at most this often for each member there is: 4 calls in 30 ms in a fleet of 15, in 190 ms in one of 94. */
-  newsGapPerMemberMs: 2,
+  disseminationGapPerMemberMs: 2,
   /** A node says its weight at most this often for each member: all together 50 times a second. */
   weightGapPerMemberMs: 20,
   /** Entries of a partial view. */
-  viewN: 12,
+  partialViewSize: 12,
   /** Entries swapped in one shuffle. */
-  shuffleN: 5,
+  shuffleSize: 5,
   shuffleMs: 1_000,
   /** One member not heard of for this long is asked directly every period, in shuffled turn. */
   probeAfterMs: 800,
@@ -205,16 +205,16 @@
   /** Time limit of a ping. */
   probeMs: 500,
   /** A member that did not answer our own probe after this long is asked through others beside it ... */
-  probeAloneMs: 120,
+  probeDirectMs: 120,
   /** ... and suspected when none of them had an answer after this long; a lost packet is sent again after about 200 ms. */
-  probeHelpMs: 300,
+  probeIndirectMs: 300,
   /** Pings are mostly answered sooner than this; while they take longer, the limits above are longer by as much, up to so many times. */
   pingUsualMs: 40,
-  probePatienceX: 5,
+  probeTimeoutFactorLimit: 5,
   /** A probe that took this much longer than it may says that our own loop stood still, and nothing of the member. */
   probeLateMs: 100,
   /** Members asked to try in our place before we suspect one: they may have a better link to it. */
-  probeHelpersN: 3,
+  probeIntermediaryCount: 3,
   /** A suspected member is dead after this long. */
   deadMs: 8_000,
   /** A dead member's record is forgotten after this long. */
@@ -222,14 +222,14 @@
   /** That a record was forgotten is remembered this long: several times what any node takes to forget it too, also one that joined late. */
   tombstoneMs: 600_000,
   /** Members known are kept on disk, where that changed, this often; and so many of them: a start needs one that is there. */
-  rememberMs: 5_000,
-  rememberN: 64,
+  rememberPeersEveryMs: 5_000,
+  rememberedPeerLimit: 64,
   /** Time limit of small control calls. */
   callMs: 800,
   /** A gap in our own loop this long means we were frozen: duties are in doubt until confirmed. */
-  frozenMs: 1_200,
+  loopFrozenMs: 1_200,
   /** What came while a process stood still is read within this long after it goes on. */
-  wokenMs: 300,
+  loopResumedMs: 300,
   loopTickMs: 200,
 } as const;
 
@@ -241,37 +241,37 @@
   confirmPerMemberMs: 10,
   /** Before the first confirmation after a start a node tries this often, this many at once: traffic waits for it. */
   firstConfirmMs: 60,
-  firstConfirmN: 4,
+  firstConfirmConcurrency: 4,
   /** In a large fleet less often, for the same reason as joinPerMemberMs. */
   firstConfirmPerMemberMs: 4,
   /** ... for this long; then one try in so many. */
-  firstConfirmForMs: 3_000,
-  firstConfirmEachN: 8,
+  firstConfirmEagerMs: 3_000,
+  firstConfirmLateDivisor: 8,
   /** A change is in force within this time after it was acknowledged, where the process's config says nothing else. */
   applyMs: 3_000,
   /** Seats beyond a majority are asked when those asked first did not answer after this long; a sync of a slow disk is not waited for. */
-  confirmAloneMs: 120,
+  confirmMajorityOnlyMs: 120,
   /** In a large fleet later: a voter that is busy with the others' questions must not get more of them for that. */
-  confirmAlonePerMemberMs: 6,
+  confirmMajorityOnlyPerMemberMs: 6,
   /** ... and serves only while the last confirmation began at most this share of it ago. */
-  freshShare: 0.8,
+  readLeaseShare: 0.8,
   /** Seats of the register (disks that vote). Odd; two may fail at 5, three at 7. */
-  seatsN: 7,
+  voterCount: 7,
   /** A newer value is fetched from one peer, and from others only after this long: several ways there and back, and a lost packet. */
-  fetchAloneMs: 80,
+  valueFetchExclusiveMs: 80,
   /** In a large fleet later: all fetch at the same time. */
-  fetchAlonePerMemberMs: 8,
+  valueFetchExclusivePerMemberMs: 8,
   /** Time limit of a fetch for each member, where that is longer than that of other calls. */
   fetchPerMemberMs: 35,
   /** Fetches of the value at once, of one node. */
-  fetchesN: 4,
+  valueFetchConcurrency: 4,
   /**
    * From this size on long things are fetched from nodes with disks, others' hung changes are left to the voters, and a node tries its
    * first confirmation once at a time: in smaller fleets only a few nodes do such things at once.
    */
-  largeFleetN: 32,
+  largeFleetSize: 32,
   /** A visit from a peer that knows a newer value waits for it; what could not be fetched is fetched again after this long. */
-  behindRetryMs: 40,
+  laggingRetryMs: 40,
   /** Change attempts give up after this long, and say so. */
   changeMs: 6_000,
   /**
@@ -288,40 +288,40 @@
    */
   promiseLifeMs: 3_000,
   /** Different submissions that one node works on; resent ones share one, and few operators are at work at a time. */
-  submissionsN: 32,
+  submissionLimit: 32,
   /** Callers that wait for one submission at one node: a few operators, each of whom resends it every second while it is worked on. */
-  submissionWaitsN: 256,
+  submissionWaiterLimit: 256,
   /** Changes by change id under way at one node. Each holds a configuration for changeMs at most. */
-  changesAtOnceN: 32,
+  concurrentChangeLimit: 32,
   /** One try at that; then the highest revision that was sent meanwhile is taken up instead. */
-  submitTryMs: 2_000,
+  submitAttemptMs: 2_000,
   /** What is in force is asked of a majority again after about this long, before an old revision is answered. */
   submitAskMs: 200,
   /**
    * Revisions remembered with what came into force under them: an order sent again gets its first outcome until this many others came
    * into force. Hours at the changes of a busy day, against resends that come within seconds; about 20 bytes each in the value.
    */
-  revisionOutcomesN: 512,
+  revisionOutcomeLimit: 512,
   /** Change ids remembered with their outcome. */
-  changeIdsN: 4_096,
+  changeIdLimit: 4_096,
   /** Founders look around this long for other disks before they found. */
-  foundAfterMs: 1_200,
+  bootstrapAfterMs: 1_200,
   /** ... and for as many as a shard needs copies up to this long; later ones join one step at a time. */
-  foundAnywayMs: 4_000,
-  foundMs: 500,
+  bootstrapAnywayMs: 4_000,
+  bootstrapEveryMs: 500,
 } as const;
 
 /** Which disks vote and hold copies: joining, replacement, planned moves. */
 export const PLACEMENT = {
-  keeperMs: 500,
+  controllerMs: 500,
   /** ... and this long after news of a member or of an owner: what comes together is looked at together. */
-  keeperWakeMs: 30,
+  controllerWakeMs: 30,
   /** ... and this long after news of an owner: the shards of a machine change together. */
-  keeperOwnersMs: 150,
+  controllerOwnerChangeMs: 150,
   /** Steps of the keeper that follow from one another at once; then it looks again after its period. */
-  keeperStepsN: 8,
+  controllerStepLimit: 8,
   /** A disk this many times sooner than those made for copies is worth having copies on. */
-  quickDiskX: 4,
+  quickDiskFactor: 4,
   /** A disk seen live this long is let into the disk set: a process that ends right after its start is not. */
   joinAfterMs: 250,
   /** A disk dead this long is replaced. Longer than a restart, shorter than a second failure is likely. */
@@ -335,15 +335,15 @@
    * for the outcome of an emptying within minutes. */
   forgetDiskMs: 600_000,
   /** So many of them wait at most, the oldest goes first: machines of a whole site may be replaced within that time. */
-  forgettableN: 64,
+  forgettableRecordLimit: 64,
   /** Shards in motion at once; keeps repair from taking traffic's share. */
-  movingN: 8,
+  movingShardLimit: 8,
 } as const;
 
 /** A process: start, stop, its disk, and the transport between peers. */
 export const PROCESS = {
   /** Hashes remembered: those of some thousand topics and of the copies of all shards; about a megabyte. */
-  hashesN: 16_384,
+  hashCacheSize: 16_384,
   /** A node this young lets an Attach wait until it serves: turned away, a consumer would stay away for longer than that. */
   startWaitMs: 1_500,
   /** SIGTERM to exit; the hard kill comes at 6 s. */
@@ -352,7 +352,7 @@
   commitMs: 0,
   /** A log this long is written back; looked at every so many commits. A start reads it whole. */
   walBytes: 4 * 1024 * 1024,
-  walLookN: 32,
+  walCheckCommits: 32,
   /** Settings files are compared this often, for changes without a signal. */
   rereadMs: 1_000,
   /** A closed conn's last words have this long to get out before its socket is destroyed. */
@@ -366,9 +366,9 @@
   /** Bytes waiting for one peer, each way; room for one snapshot beside what else there is. */
   peerWaitingBytes: 80 * 1024 * 1024,
   /** Calls under way to one peer, and from one. */
-  peerCallsN: 8_192,
+  peerCallLimit: 8_192,
   /** Connections that peers may have to us: one each, and a few more while one is replaced. */
-  peerConnsN: 2_048,
+  peerConnectionLimit: 2_048,
   /** A connection to a peer that nothing was said on for this long is closed. */
   peerIdleMs: 30_000,
   /** Keep-alive of connections from peers: one whose machine lost power is let go of some 15 s later. */
@@ -376,14 +376,3 @@
   /** At a stop, last words have this long to get out. */
   peerCloseMs: 300,
 } as const;
-
-/** All groups as one, for code that does not name its group yet. No name stands in two groups: see `constants.test.ts`. */
-export const C = {
-  ...SESSION,
-  ...SHARD,
-  ...REQUEST,
-  ...MEMBERSHIP,
-  ...REGISTER,
-  ...PLACEMENT,
-  ...PROCESS,
-} as const;
--- a/packages/kernel/src/disk.ts
+++ b/packages/kernel/src/disk.ts
@@ -1,12 +1,12 @@
 import Database from 'better-sqlite3';
-import { Failure } from './fault.js';
+import { HarecrossError } from './fault.js';
 import type { Clock } from './host.js';
 
 export type Sql = Database.Database;
 
 /** Says what is wrong with the matter in an open database, if anything. */
-export type DiskCheck = (sql: Sql) => string | undefined;
-const checks: DiskCheck[] = [];
+export type IntegrityCheck = (sql: Sql) => string | undefined;
+const integrityChecks: IntegrityCheck[] = [];
 
 /**
  * Plug-ins that keep matter on disk call this when their module loads: an opened database is asked of each before it is
@@ -14,8 +14,8 @@
  * @example
  * checkDisk((sql) => (allSumsRight(sql) ? undefined : 'entry 7 of shard 3 was altered'));
  */
-export function checkDisk(c: DiskCheck): void {
-  checks.push(c);
+export function registerIntegrityCheck(c: IntegrityCheck): void {
+  integrityChecks.push(c);
 }
 
 /**
@@ -23,8 +23,8 @@
  * @example
  * const why = wrongOnDisk(sql); // undefined when all is well
  */
-export function wrongOnDisk(sql: Sql): string | undefined {
-  for (const c of checks) {
+export function findCorruption(sql: Sql): string | undefined {
+  for (const c of integrityChecks) {
     const why = c(sql);
     if (why !== undefined) return why;
   }
@@ -47,7 +47,7 @@
  * @example
  * const n = await db.commit((sql) => sql.prepare('insert into t values (1)').run().changes);
  */
-export class Db {
+export class SyncedDatabase {
   private wait: { fn: (sql: Sql) => unknown; res: (x: unknown) => void; rej: (e: unknown) => void }[] = [];
   private state: 'idle' | 'gathering' | 'syncing' | 'tidying' | 'dead' = 'idle';
   private settles: (() => void)[] = [];
@@ -162,7 +162,8 @@
   private fail(e: Error, all: { rej: (e: unknown) => void }[]): void {
     this.state = 'dead';
     this.onFault(e);
-    for (const w of all) w.rej(new Failure({ tag: 'disk_ill', step: 'commit', peer: this.self, detail: e.message }));
+    for (const w of all)
+      w.rej(new HarecrossError({ tag: 'disk_ill', step: 'commit', peer: this.self, detail: e.message }));
   }
 
   /** Drops what was not yet synced, as a loss of power would. */
--- a/packages/kernel/src/fault.ts
+++ b/packages/kernel/src/fault.ts
@@ -1,5 +1,5 @@
 /** Errors as a tagged union. Each carries the step at which it arose and the peer it arose with. */
-export type Fault =
+export type ErrorDetails =
   | { tag: 'unreachable'; step: string; peer: string; detail: string }
   | { tag: 'timeout'; step: string; peer: string }
   | { tag: 'cut'; step: string; peer: string; detail: string }
@@ -30,9 +30,9 @@
  * @example
  * throw new Failure({ tag: 'timeout', step: 'append', peer: '127.0.0.1:7101' });
  */
-export class Failure extends Error {
-  constructor(readonly fault: Fault) {
-    super(`${fault.tag} at ${fault.step} (${fault.peer})${'detail' in fault ? `: ${fault.detail}` : ''}`);
+export class HarecrossError extends Error {
+  constructor(readonly details: ErrorDetails) {
+    super(`${details.tag} at ${details.step} (${details.peer})${'detail' in details ? `: ${details.detail}` : ''}`);
     this.name = 'Failure';
   }
 }
@@ -42,8 +42,8 @@
  * @example
  * try { await call() } catch (e) { switch (faultOf(e, 'call', peer).tag) { case 'timeout': retry() } }
  */
-export function faultOf(e: unknown, step: string, peer: string): Fault {
-  if (e instanceof Failure) return e.fault;
+export function toErrorDetails(e: unknown, step: string, peer: string): ErrorDetails {
+  if (e instanceof HarecrossError) return e.details;
   return { tag: 'internal', step, peer, detail: e instanceof Error ? e.message : String(e) };
 }
 
@@ -52,6 +52,6 @@
  * @example
  * switch (x.tag) { case 'a': return 1; default: return never(x) }
  */
-export function never(x: never): never {
+export function assertNever(x: never): never {
   throw new Error(`unreachable: ${JSON.stringify(x)}`);
 }
--- a/packages/kernel/src/flow.ts
+++ b/packages/kernel/src/flow.ts
@@ -1,16 +1,16 @@
 import { Observable, Subject, from, mergeMap, type Subscription } from 'rxjs';
-import type { Clock, Rnd } from './host.js';
+import type { Clock, RandomSource } from './host.js';
 
 /**
  * Ticks by an injected clock, with up to a tenth of random shift so that nodes do not tick in step.
  * @example
- * every(clock, 500, rnd).pipe(exhaustMap(() => gossip())).subscribe();
+ * every(clock, 500, random).pipe(exhaustMap(() => gossip())).subscribe();
  */
-export function every(clock: Clock, ms: number, rnd?: Rnd): Observable<void> {
+export function periodicTicks(clock: Clock, ms: number, random?: RandomSource): Observable<void> {
   return new Observable((o) => {
     let cancel = () => {};
     const next = () => {
-      const shift = rnd ? ms * 0.1 * (rnd.next() - 0.5) : 0;
+      const shift = random ? ms * 0.1 * (random.next() - 0.5) : 0;
       cancel = clock.after(ms + shift, () => {
         o.next();
         if (!o.closed) next();
@@ -24,14 +24,19 @@
 /**
  * A loop that never overlaps itself: a tick that comes while the last round still works is skipped.
  * @example
- * const sub = loop(clock, 500, rnd, async () => { await gossip() });
+ * const sub = loop(clock, 500, random, async () => { await gossip() });
  */
-export function loop(clock: Clock, ms: number, rnd: Rnd, round: () => Promise<unknown>): Subscription {
+export function runPeriodically(
+  clock: Clock,
+  ms: number,
+  random: RandomSource,
+  round: () => Promise<unknown>,
+): Subscription {
   let busy = false;
   const over = (): void => {
     busy = false;
   };
-  return every(clock, ms, rnd).subscribe(() => {
+  return periodicTicks(clock, ms, random).subscribe(() => {
     if (busy) return;
     busy = true;
     round().then(over, over);
@@ -54,7 +59,7 @@
  * @example
  * const n = await within(clock, 700, count());
  */
-export function within<T>(clock: Clock, ms: number, p: Promise<T>): Promise<T | undefined> {
+export function withTimeout<T>(clock: Clock, ms: number, p: Promise<T>): Promise<T | undefined> {
   return new Promise((res, rej) => {
     const cancel = clock.after(ms, () => res(undefined));
     p.then(
@@ -76,7 +81,7 @@
  * @example
  * const xs = await gather(calls, (got) => got.length > calls.length / 2);
  */
-export function gather<T>(calls: Promise<T>[], enough: (got: T[]) => boolean): Promise<T[]> {
+export function collectUntil<T>(calls: Promise<T>[], enough: (got: T[]) => boolean): Promise<T[]> {
   return new Promise((res) => {
     const got: T[] = [];
     let left = calls.length;
@@ -98,7 +103,7 @@
 }
 
 /** What a node tells of one of its holdings. */
-export interface HoldingInfo {
+export interface QueueInfo {
   name: string;
   length: number;
   most: number;
@@ -112,64 +117,64 @@
  * const h = new Holding(1000, 64, (v) => serve(v));
  * const p = h.offer(visit, true); // undefined when full
  */
-export class Holding<A, B> {
+export class BoundedQueue<A, B> {
   private urgent: (() => void)[] = [];
   private routine: (() => void)[] = [];
-  private go = new Subject<() => Promise<void>>();
-  private busy = 0;
-  taken = 0;
-  rejected = 0;
+  private started = new Subject<() => Promise<void>>();
+  private runningCount = 0;
+  acceptedCount = 0;
+  rejectedCount = 0;
   /** The most it ever held. */
-  most = 0;
+  peakLength = 0;
 
   constructor(
-    private size: number,
-    private wide: number,
-    private work: (a: A) => Promise<B>,
+    private capacity: number,
+    private concurrency: number,
+    private handler: (a: A) => Promise<B>,
   ) {
-    this.go.pipe(mergeMap((f) => from(f()))).subscribe();
+    this.started.pipe(mergeMap((f) => from(f()))).subscribe();
   }
 
   /** Changes the bound; what is already held stays. */
   resize(size: number): void {
-    this.size = size;
+    this.capacity = size;
   }
 
   /** As told to operators. */
-  told(name: string): HoldingInfo {
-    return { name, length: this.length, most: this.most, bound: this.size };
+  describe(name: string): QueueInfo {
+    return { name, length: this.length, most: this.peakLength, bound: this.capacity };
   }
 
   get length(): number {
-    return this.urgent.length + this.routine.length + this.busy;
+    return this.urgent.length + this.routine.length + this.runningCount;
   }
 
   offer(a: A, urgent = false): Promise<B> | undefined {
-    if (this.length >= (urgent ? this.size : this.size / 2)) {
-      this.rejected++;
+    if (this.length >= (urgent ? this.capacity : this.capacity / 2)) {
+      this.rejectedCount++;
       return undefined;
     }
-    this.taken++;
-    this.most = Math.max(this.most, this.length + 1);
+    this.acceptedCount++;
+    this.peakLength = Math.max(this.peakLength, this.length + 1);
     return new Promise((res, rej) => {
       const run = () => {
-        this.busy++;
-        this.go.next(() =>
-          this.work(a)
+        this.runningCount++;
+        this.started.next(() =>
+          this.handler(a)
             .then(res, rej)
             .finally(() => {
-              this.busy--;
-              this.pump();
+              this.runningCount--;
+              this.startWaiting();
             }),
         );
       };
       (urgent ? this.urgent : this.routine).push(run);
-      this.pump();
+      this.startWaiting();
     });
   }
 
-  private pump(): void {
-    while (this.busy < this.wide) {
+  private startWaiting(): void {
+    while (this.runningCount < this.concurrency) {
       const f = this.urgent.shift() ?? this.routine.shift();
       if (!f) return;
       f();
@@ -187,28 +192,28 @@
  */
 export class RetryBudget {
   private tokens: number;
-  private at: number;
+  private refilledAt: number;
   refused = 0;
 
   constructor(
     private clock: Clock,
-    private x: { perS: number; share: number; burst: number },
+    private options: { perS: number; share: number; burst: number },
   ) {
-    this.tokens = x.burst;
-    this.at = clock.now();
+    this.tokens = options.burst;
+    this.refilledAt = clock.now();
   }
 
   /** Notes a first try. */
-  first(): void {
-    this.tokens = Math.min(this.x.burst, this.tokens + this.x.share);
+  recordFirstAttempt(): void {
+    this.tokens = Math.min(this.options.burst, this.tokens + this.options.share);
   }
 
   /** Whether one more try may be made. */
-  retry(urgent: boolean): boolean {
+  tryRetry(urgent: boolean): boolean {
     const now = this.clock.now();
-    this.tokens = Math.min(this.x.burst, this.tokens + ((now - this.at) / 1000) * this.x.perS);
-    this.at = now;
-    if (this.tokens < 1 + (urgent ? 0 : this.x.burst / 2)) {
+    this.tokens = Math.min(this.options.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.options.perS);
+    this.refilledAt = now;
+    if (this.tokens < 1 + (urgent ? 0 : this.options.burst / 2)) {
       this.refused++;
       return false;
     }
--- a/packages/kernel/src/host.ts
+++ b/packages/kernel/src/host.ts
@@ -1,4 +1,4 @@
-import type { Db } from './disk.js';
+import type { SyncedDatabase } from './disk.js';
 
 /** What a node gets from its surroundings. The real one and the simulator's stand behind the same face. */
 export interface Clock {
@@ -10,13 +10,13 @@
   after(ms: number, fn: () => void): () => void;
 }
 
-export interface Rnd {
+export interface RandomSource {
   /** In [0, 1). */
   next(): number;
 }
 
 /** What the net tells of itself beside answers. */
-export interface NetNews {
+export interface NetEvents {
   /** A connection to this peer broke that was whole: its process may have ended. */
   broken(peer: string): void;
   count(name: string): void;
@@ -27,14 +27,14 @@
  * @example
  * addr('127.0.0.1:7101'); // { host: '127.0.0.1', port: 7101 }
  */
-export function addr(a: string): { host: string; port: number } {
+export function parseAddress(a: string): { host: string; port: number } {
   const i = a.lastIndexOf(':');
   return { host: a.slice(0, i), port: Number(a.slice(i + 1)) };
 }
 
 export interface Net {
   /** Serves peer frames at our address. A handler that rejects ends the connection: the frame was not a peer's. */
-  serve(handle: (frame: string) => Promise<string>, news?: NetNews): Promise<void>;
+  serve(handle: (frame: string) => Promise<string>, news?: NetEvents): Promise<void>;
   /** One visit to a peer. Fails with `unreachable` only if the peer surely never saw it. */
   call(peer: string, frame: string, timeoutMs: number): Promise<string>;
   close(): Promise<void>;
@@ -82,34 +82,34 @@
 
 export interface Host {
   clock: Clock;
-  rnd: Rnd;
+  random: RandomSource;
   net: Net;
   log: Log;
   config: NodeConfig;
-  db?: Db;
+  db?: SyncedDatabase;
   /** Ends the process; for faults it must not serve with. */
-  die(reason: string): void;
+  terminate(reason: string): void;
 }
 
 /**
  * A random whole number below n.
  * @example
- * const i = below(rnd, 3); // 0, 1 or 2
+ * const i = below(random, 3); // 0, 1 or 2
  */
-export function below(rnd: Rnd, n: number): number {
-  return Math.floor(rnd.next() * n);
+export function randomInt(random: RandomSource, n: number): number {
+  return Math.floor(random.next() * n);
 }
 
 /**
  * Up to n different items in random order.
  * @example
- * sample(rnd, ['a', 'b', 'c'], 2); // ['c', 'a']
+ * sample(random, ['a', 'b', 'c'], 2); // ['c', 'a']
  */
-export function sample<T>(rnd: Rnd, xs: readonly T[], n: number): T[] {
+export function randomSample<T>(random: RandomSource, xs: readonly T[], n: number): T[] {
   const a = [...xs];
   const k = Math.min(n, a.length);
   for (let i = 0; i < k; i++) {
-    const j = i + below(rnd, a.length - i);
+    const j = i + randomInt(random, a.length - i);
     [a[i], a[j]] = [a[j]!, a[i]!];
   }
   return a.slice(0, k);
@@ -118,8 +118,8 @@
 /**
  * A time to come back, spread over [ms, 2 ms).
  * @example
- * retryAfter(rnd, 400); // 613
+ * retryAfter(random, 400); // 613
  */
-export function retryAfter(rnd: Rnd, ms: number): number {
-  return Math.round(ms * (1 + rnd.next()));
+export function jitteredRetryMs(random: RandomSource, ms: number): number {
+  return Math.round(ms * (1 + random.next()));
 }
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -4,6 +4,8 @@
 export * from './flow.js';
 export * from './disk.js';
 export * from './kernel.js';
+export * from './plugins.js';
+export * from './rpc-endpoint.js';
 export * from './match.js';
 export * from './peer-framing.js';
 export * from './peer-link.js';
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -1,420 +1,237 @@
-import { parse, stringify } from 'devalue';
+/** The kernel of a node: its services, its phase, its counters, and the calls between nodes. One loop, one thread. */
 import { Subject, type Subscription } from 'rxjs';
-import { ClockOffsets } from './clock-offsets.js';
-import { C } from './constants.js';
-import { Failure, faultOf, type Fault } from './fault.js';
-import { every, sleep, within } from './flow.js';
-import { below, retryAfter, type Host } from './host.js';
-import { PEER_RPCS, type PeerRpc } from './peer-rpcs.js';
-
-/** Plug-ins add their face here by declaration merging, so that `use` is typed. */
-export interface Faces {}
-
-export interface Plugin<K extends keyof Faces = keyof Faces> {
-  name: K;
-  needs: (keyof Faces)[];
-  setup(k: Kernel): Faces[K] | Promise<Faces[K]>;
-}
-
-const known = new Map<string, Plugin<never>>();
-
-/**
- * Plug-ins call this when their module loads; a program picks by name which of them it runs.
- * @example
- * register({ name: 'board', needs: [], setup: (k) => new Board(k) });
- */
-export function register<K extends keyof Faces>(p: Plugin<K>): void {
-  known.set(p.name, p as unknown as Plugin<never>);
-}
-
+import { MEMBERSHIP } from './constants.js';
+import { toErrorDetails } from './fault.js';
+import { periodicTicks } from './flow.js';
+import type { Host } from './host.js';
+import { IndirectCalls } from './indirect-calls.js';
+import type { PeerRpc } from './peer-rpcs.js';
+import { pluginNamed, type ServiceRegistry } from './plugins.js';
+import { RpcEndpoint, type Handler } from './rpc-endpoint.js';
+
+/** What a process does: it starts, serves, drains after a stop signal, and has stopped. */
 export type Phase = 'starting' | 'running' | 'draining' | 'stopped';
 
-interface Ask {
-  m: string;
-  from: string;
-  inst: string;
-  rev: number;
-  now: number;
-  body: unknown;
-}
-type Answer = { rev: number; now: number } & ({ ok: unknown } | { err: Fault });
-
-const ASK = /^(\w+) (\S+) (\S+) (\d+) (-?\d+) /;
-const ANSWER = /^(\d+) (-?\d+) ([+-])/;
-
-/** What every frame says stands before its matter, in as few bytes as it can: most frames are small, and bytes between sites cost. */
-const packAsk = (a: Ask): string => `${a.m} ${a.from} ${a.inst} ${a.rev} ${Math.round(a.now)} ${textOf(a.body)}`;
-
-/** A body that is already text, for a request that goes to several peers. */
-class BodyText {
-  readonly text: string;
-  constructor(body: unknown) {
-    this.text = stringify(body);
-  }
-}
-const textOf = (body: unknown): string => (body instanceof BodyText ? body.text : stringify(body));
-/** A peer's ask; throws when the frame is none. */
-function readAsk(frame: string): Ask {
-  const h = ASK.exec(frame);
-  if (!h) throw new Error('not an ask');
-  const [all, m, from, inst, rev, now] = h as unknown as [string, string, string, string, string, string];
-  return { m, from, inst, rev: Number(rev), now: Number(now), body: parse(frame.slice(all.length)) };
-}
-
-const packAnswer = (a: Answer): string =>
-  `${a.rev} ${Math.round(a.now)} ${'ok' in a ? `+${stringify(a.ok)}` : `-${stringify(a.err)}`}`;
-/** A peer's answer; undefined when the frame is none. */
-function readAnswer(raw: string): Answer | undefined {
-  const h = ANSWER.exec(raw);
-  if (!h) return undefined;
-  const [all, rev, now, sign] = h as unknown as [string, string, string, string];
-  try {
-    const x = parse(raw.slice(all.length)) as unknown;
-    const head = { rev: Number(rev), now: Number(now) };
-    if (sign === '+') return { ...head, ok: x };
-    return typeof (x as Fault | undefined)?.tag === 'string' ? { ...head, err: x as Fault } : undefined;
-  } catch {
-    return undefined;
-  }
-}
-
-/** What a handler learns of the sender. `toLocal` turns the sender's clock into ours. */
-export interface From {
-  peer: string;
-  inst: string;
-  /** When it sent the request, by our clock: also one that was held up on its way. */
-  sentAt: number;
-  toLocal: (t: number) => number;
-}
-/** Answers a request of one method. Each method's handler names the body that its callers send. */
-export type Handler<Body = unknown> = (body: Body, from: From) => unknown;
+/** Digits of an instance id's time: ids compare as strings. */
+const INSTANCE_DIGITS = 15;
+/** The random part of an instance id is a number below this. */
+const INSTANCE_RANDOM_RANGE = 1e9;
+const INSTANCE_RANDOM_RADIX = 36;
 
 /**
- * The kernel of a node: plug-ins, the peer wire, counters, phases. One loop, one thread.
+ * The kernel of a node.
  * @example
- * const k = new Kernel(host);
- * await k.boot(['board', 'register']);
- * k.use('board').live();
+ * const kernel = new Kernel(host);
+ * await kernel.boot(['membership', 'register']);
+ * kernel.use('membership').liveMembers();
  */
 export class Kernel {
   readonly counters = new Map<string, number>();
   readonly phase$ = new Subject<Phase>();
-  /** Fires when our own loop stood still for long: duties are in doubt until confirmed. */
-  readonly thawed$ = new Subject<number>();
-  /** A peer to which our own link was just found broken: visits under way there get no answer. */
-  readonly broken$ = new Subject<string>();
-  /** Highest register revision we have in force; goes with every frame. */
+  /** Fires when our own loop stood still for long, with how long (ms): ownership is in doubt until confirmed. */
+  readonly loopResumed$ = new Subject<number>();
+  /** Highest revision of the agreed value that we have in force; goes with every frame. */
   rev = 0;
   /** Called with every revision seen on a peer's frame that is above ours. */
-  onNewer: (rev: number, peer: string) => Promise<void> = async () => {};
-  /** Called with every frame of a peer; its instance is known only on its own visits. */
-  onHeard: (peer: string, inst?: string) => void = () => {};
-  /** Called when a peer surely did not get a visit; speeds up suspicion. */
+  onNewerRevision: (revision: number, peer: string) => Promise<void> = async () => {};
+  /** Called with every frame of a peer; its instance is known only on its own requests. */
+  onSignOfLife: (peer: string, instanceId?: string) => void = () => {};
+  /** Called when a peer surely did not get a request; speeds up suspicion. */
   onUnreachable: (peer: string) => void = () => {};
   /** Called when a whole connection to a peer broke; its process may have ended. */
-  onBroken: (peer: string) => void = () => {};
-  /** Live members that may carry a visit to a peer in our place. */
-  helpersTo: (peer: string) => string[] = () => [];
+  onConnectionLost: (peer: string) => void = () => {};
+  /** Live members that may carry a call to a peer in our place. */
+  intermediariesTo: (peer: string) => string[] = () => [];
   phase: Phase = 'starting';
+  /** Our address for calls between nodes. */
   readonly self: string;
-  inst: string;
+  /** Id of this process; later processes at the same address have higher ones. */
+  instanceId: string;
   /** When this process began, by our clock. */
   readonly startedAt: number;
-  private faces = new Map<string, unknown>();
-  private offsets = new ClockOffsets();
-  private handlers = new Map<string, { h: Handler; current: boolean }>();
-  private subs: Subscription[] = [];
-  /** Peers to which our own link is broken, and who carries visits to them; '' until somebody did. */
-  private broken = new Map<string, string>();
-  private stops: (() => void | Promise<void>)[] = [];
+  private readonly services = new Map<string, unknown>();
+  private readonly subscriptions: Subscription[] = [];
+  private readonly stopHooks: (() => void | Promise<void>)[] = [];
+  private readonly rpc: RpcEndpoint;
+  private readonly indirectCalls: IndirectCalls;
   /** When our loop last came round, and when it last came round after it had stood still. */
-  private loopAt = -Infinity;
-  private thawedAt = -Infinity;
+  private loopTickedAt = -Infinity;
+  private loopResumedAt = -Infinity;
 
   constructor(readonly host: Host) {
     this.self = host.config.peer;
     this.startedAt = host.clock.now();
-    this.inst = this.instance(this.startedAt);
-    this.on('Carry', (b: { to: string; frame: string; timeoutMs: number }) => {
-      this.count('detour.carried');
-      return this.host.net.call(b.to, b.frame, b.timeoutMs);
-    });
+    this.instanceId = this.newInstanceId(this.startedAt);
+    this.rpc = new RpcEndpoint(this);
+    this.indirectCalls = new IndirectCalls(this, this.rpc);
+    this.indirectCalls.serve();
+  }
+
+  get isRunning(): boolean {
+    return this.phase === 'running';
+  }
+
+  get isStopped(): boolean {
+    return this.phase === 'stopped';
   }
 
-  private instance(at: number): string {
-    return `${String(Math.floor(at)).padStart(15, '0')}-${Math.floor(this.host.rnd.next() * 1e9).toString(36)}`;
+  private newInstanceId(at: number): string {
+    const time = String(Math.floor(at)).padStart(INSTANCE_DIGITS, '0');
+    const random = Math.floor(this.host.random.next() * INSTANCE_RANDOM_RANGE).toString(INSTANCE_RANDOM_RADIX);
+    return `${time}-${random}`;
   }
 
   /**
-   * Others know an earlier process at our address under a later instance: our machine's clock went back. We take
-   * an instance above it, or they would go on believing the dead one.
+   * Others know an earlier process at our address under a later instance id: our machine's clock went back. We take
+   * an id above it, or they would go on believing the dead one.
    */
-  outlive(inst: string): void {
-    if (inst < this.inst) return;
-    this.inst = this.instance(Number(inst.split('-')[0]) + 1);
-    this.count('instance.outlived');
+  supersedeInstance(instanceId: string): void {
+    if (instanceId < this.instanceId) return;
+    this.instanceId = this.newInstanceId(Number(instanceId.split('-')[0]) + 1);
+    this.incrementCounter('instance.outlived');
+  }
+
+  /** Sets up the services, serves the calls of other nodes, and runs. */
+  async boot(names: (keyof ServiceRegistry)[]): Promise<void> {
+    for (const name of names) await this.load(name);
+    await this.host.net.serve((frame) => this.rpc.handleFrame(frame), {
+      broken: (peer) => this.onConnectionLost(peer),
+      count: (name) => this.incrementCounter(name),
+    });
+    this.loopTickedAt = this.host.clock.now();
+    this.addSubscription(periodicTicks(this.host.clock, MEMBERSHIP.loopTickMs).subscribe(() => this.loopTicked()));
+    this.setPhase('running');
   }
 
-  async boot(names: (keyof Faces)[]): Promise<void> {
-    for (const n of names) await this.load(n);
-    await this.host.net.serve((f) => this.answer(f), { broken: (p) => this.onBroken(p), count: (n) => this.count(n) });
-    this.loopAt = this.host.clock.now();
-    this.keep(
-      every(this.host.clock, C.loopTickMs).subscribe(() => {
-        const now = this.host.clock.now();
-        const gapMs = now - this.loopAt;
-        this.loopAt = now;
-        if (gapMs <= C.frozenMs) return;
-        this.thawedAt = now;
-        this.count('loop.frozen');
-        this.thawed$.next(gapMs);
-      }),
-    );
-    this.become('running');
+  private loopTicked(): void {
+    const now = this.host.clock.now();
+    const gapMs = now - this.loopTickedAt;
+    this.loopTickedAt = now;
+    if (gapMs <= MEMBERSHIP.loopFrozenMs) return;
+    this.loopResumedAt = now;
+    this.incrementCounter('loop.frozen');
+    this.loopResumed$.next(gapMs);
   }
 
   /**
    * Whether this process stands still no more only since a moment ago: what it reads now may have waited in a buffer for as long as
    * that took, and who sent it may have gone elsewhere. Asks the steady clock, as the loop itself may not have come round yet.
    */
-  wokeJustNow(): boolean {
+  resumedRecently(): boolean {
     const now = this.host.clock.now();
-    return now - this.loopAt > C.frozenMs || now - this.thawedAt <= C.wokenMs;
+    return now - this.loopTickedAt > MEMBERSHIP.loopFrozenMs || now - this.loopResumedAt <= MEMBERSHIP.loopResumedMs;
   }
 
-  private async load(n: string): Promise<void> {
-    if (this.faces.has(n)) return;
-    const p = known.get(n);
-    if (!p) throw new Error(`no plug-in ${n}`);
-    for (const d of p.needs) await this.load(d);
-    this.faces.set(n, await p.setup(this));
+  private async load(name: string): Promise<void> {
+    if (this.services.has(name)) return;
+    const plugin = pluginNamed(name);
+    for (const needed of plugin.needs) await this.load(needed);
+    this.services.set(name, await plugin.setup(this));
   }
 
-  use<K extends keyof Faces>(n: K): Faces[K] {
-    const f = this.faces.get(n);
-    if (f === undefined) throw new Error(`plug-in ${String(n)} is not loaded`);
-    return f as Faces[K];
+  /** A service of this node. Throws where it was not set up. */
+  use<K extends keyof ServiceRegistry>(name: K): ServiceRegistry[K] {
+    const service = this.services.get(name);
+    if (service === undefined) throw new Error(`plug-in ${String(name)} is not loaded`);
+    return service as ServiceRegistry[K];
   }
 
-  has(n: keyof Faces): boolean {
-    return this.faces.has(n);
+  has(name: keyof ServiceRegistry): boolean {
+    return this.services.has(name);
   }
 
   /** The one function that changes the phase. */
-  become(p: Phase): void {
-    if (this.phase === p || this.phase === 'stopped') return;
-    this.host.log.info(`phase ${this.phase} -> ${p}`);
-    this.phase = p;
-    this.phase$.next(p);
+  setPhase(phase: Phase): void {
+    if (this.phase === phase || this.phase === 'stopped') return;
+    this.host.log.info(`phase ${this.phase} -> ${phase}`);
+    this.phase = phase;
+    this.phase$.next(phase);
   }
 
-  keep(s: Subscription): void {
-    this.subs.push(s);
+  /** Has a subscription ended at the stop. */
+  addSubscription(subscription: Subscription): void {
+    this.subscriptions.push(subscription);
   }
 
   /** Run at stop, last added first. */
-  onStop(f: () => void | Promise<void>): void {
-    this.stops.push(f);
+  onStop(hook: () => void | Promise<void>): void {
+    this.stopHooks.push(hook);
   }
 
+  /** Runs the stop hooks, and lets go of the net and the disk. */
   async stop(): Promise<void> {
-    this.become('draining');
-    for (const f of [...this.stops].reverse()) {
+    this.setPhase('draining');
+    for (const hook of [...this.stopHooks].reverse()) {
       try {
-        await f();
-      } catch (e) {
-        this.host.log.warn('stop step failed', { fault: faultOf(e, 'stop', this.self) });
+        await hook();
+      } catch (error) {
+        this.host.log.warn('stop step failed', { fault: toErrorDetails(error, 'stop', this.self) });
       }
     }
-    this.end();
+    this.stopLoops();
     await this.host.net.close();
     this.host.db?.close();
   }
 
   /** Ends all loops at once, without goodbye. */
-  end(): void {
-    for (const s of this.subs) s.unsubscribe();
-    this.become('stopped');
+  stopLoops(): void {
+    for (const subscription of this.subscriptions) subscription.unsubscribe();
+    this.setPhase('stopped');
   }
 
-  count(name: string, by = 1): void {
+  incrementCounter(name: string, by = 1): void {
     this.counters.set(name, (this.counters.get(name) ?? 0) + by);
   }
 
   /**
-   * Serves an RPC between nodes. With `current`, a request from a peer that knows a newer value waits until we have it too. Throws for
-   * one that the table of RPCs does not have, or that is served already.
+   * Serves an RPC between nodes. With `needsCurrentValue`, a request from a peer that knows a newer value waits until we have it too.
+   * Throws for one that the table of RPCs does not have, or that is served already.
    */
-  on<Body>(method: PeerRpc, h: Handler<Body>, current = false): void {
-    if (!Object.hasOwn(PEER_RPCS, method))
-      throw new Error(`${String(method)} is not in the table of RPCs between nodes`);
-    if (this.handlers.has(method)) throw new Error(`${method} is served already`);
-    this.handlers.set(method, { h: h as Handler, current });
+  on<Body>(method: PeerRpc, handler: Handler<Body>, needsCurrentValue = false): void {
+    this.rpc.register(method, handler as Handler, needsCurrentValue);
   }
 
   /** The RPCs between nodes that this node serves. */
-  served(): string[] {
-    return [...this.handlers.keys()];
+  servedMethods(): string[] {
+    return this.rpc.methods();
   }
 
-  /** A visit to a peer; a visit to ourselves takes the same way without the net. */
-  async call<T = unknown>(peer: string, m: PeerRpc, body: unknown, timeoutMs: number = C.callMs): Promise<T> {
-    if (peer === this.self) {
-      const h = this.handlers.get(m);
-      if (!h) throw new Failure({ tag: 'unknown_method', step: m, peer, method: m });
-      // The same time limit as on the net: what waits here may wait for others.
-      const got = await within(
-        this.host.clock,
-        timeoutMs,
-        (async () => ({
-          ok: await h.h(body, { peer, inst: this.inst, sentAt: this.host.clock.now(), toLocal: (t) => t }),
-        }))(),
-      );
-      if (!got) throw new Failure({ tag: 'timeout', step: m, peer });
-      return got.ok as T;
-    }
-    return this.ask(peer, m, body, (frame) => this.host.net.call(peer, frame, timeoutMs));
+  /** Calls a peer. A call to ourselves takes the same way without the net. */
+  call<T = unknown>(peer: string, method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T> {
+    return this.rpc.call<T>(peer, method, body, timeoutMs);
   }
 
   /**
    * The same request to several other peers, made into text once.
    * @example
-   * await Promise.allSettled(k.callEach(peers, 'News', { items }));
+   * await Promise.allSettled(kernel.callEach(peers, 'News', { items }));
    */
-  callEach<T>(peers: string[], m: PeerRpc, body: unknown, timeoutMs: number = C.callMs): Promise<T>[] {
-    const text = new BodyText(body);
-    return peers.map((peer) => this.ask<T>(peer, m, text, (frame) => this.host.net.call(peer, frame, timeoutMs)));
-  }
-
-  /**
-   * A visit to a peer, carried by another member while our own link to it is broken. The link counts as broken after a visit
-   * that got no answer, and as whole again once a direct ping is answered.
-   */
-  async reach<T = unknown>(peer: string, m: PeerRpc, body: unknown, timeoutMs: number = C.callMs): Promise<T> {
-    const by = this.broken.get(peer);
-    if (by === undefined) {
-      try {
-        return await this.call<T>(peer, m, body, timeoutMs);
-      } catch (e) {
-        const f = faultOf(e, m, peer);
-        if (peer !== this.self && f.peer === peer && (f.tag === 'timeout' || f.tag === 'unreachable'))
-          this.breaks(peer);
-        throw e;
-      }
-    }
-    const helpers = this.helpersTo(peer);
-    const helper = helpers.includes(by) ? by : helpers[below(this.host.rnd, Math.max(1, helpers.length))];
-    if (helper === undefined) return this.call<T>(peer, m, body, timeoutMs);
-    this.count('detour.sent');
-    try {
-      const got = await this.ask<T>(peer, m, body, (frame) =>
-        this.call<string>(helper, 'Carry', { to: peer, frame, timeoutMs }, timeoutMs),
-      );
-      if (this.broken.has(peer)) this.broken.set(peer, helper);
-      return got;
-    } catch (e) {
-      const { tag } = faultOf(e, m, peer);
-      if (this.broken.has(peer) && (tag === 'timeout' || tag === 'unreachable' || tag === 'cut'))
-        this.broken.set(peer, '');
-      throw e;
-    }
-  }
-
-  /** Whether our own link to a peer is not known to be broken. */
-  whole(peer: string): boolean {
-    return !this.broken.has(peer);
+  callEach<T>(peers: string[], method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T>[] {
+    return this.rpc.callEach<T>(peers, method, body, timeoutMs);
   }
 
-  /** The one function that calls a link broken; it is tried directly until it is whole or the peer no longer there. */
-  breaks(peer: string): void {
-    if (this.broken.has(peer)) return;
-    this.broken.set(peer, '');
-    this.count('detour.links');
-    this.broken$.next(peer);
-    void (async () => {
-      while (this.phase === 'running' && this.helpersTo(peer).length) {
-        try {
-          await this.call(peer, 'Ping', {}, C.probeMs);
-          break;
-        } catch {
-          await sleep(this.host.clock, C.linkTryMs);
-        }
-      }
-      this.broken.delete(peer);
-    })();
+  /** Calls a peer, through another member while our own link to it is broken. */
+  callAnyPath<T = unknown>(
+    peer: string,
+    method: PeerRpc,
+    body: unknown,
+    timeoutMs: number = MEMBERSHIP.callMs,
+  ): Promise<T> {
+    return this.indirectCalls.call<T>(peer, method, body, timeoutMs);
   }
 
-  private async ask<T>(peer: string, m: PeerRpc, body: unknown, send: (frame: string) => Promise<string>): Promise<T> {
-    const now = this.host.clock.now();
-    this.count('peer.out');
-    const ask: Ask = { m, from: this.self, inst: this.inst, rev: this.rev, now, body };
-    let raw: string;
-    try {
-      raw = await send(packAsk(ask));
-    } catch (e) {
-      const f = faultOf(e, m, peer);
-      this.count(`peer.fail.${f.tag}`);
-      // On an indirect path it may be the helper that was not there.
-      if (f.tag === 'unreachable' && f.peer === peer) this.onUnreachable(peer);
-      throw new Failure({ ...f, step: m });
-    }
-    const a = readAnswer(raw);
-    if (!a) throw new Failure({ tag: 'cut', step: m, peer, detail: 'not an answer' });
-    this.onHeard(peer);
-    if (a.rev > this.rev) void this.onNewer(a.rev, peer);
-    if ('err' in a) throw new Failure(a.err);
-    return a.ok as T;
+  /** A peer to which our own link was just found broken: calls under way there get no answer. */
+  get linkBroken$(): Subject<string> {
+    return this.indirectCalls.linkBroken$;
   }
 
-  /** Waits, for half of a call, until we have what a peer has; says whether we do. */
-  private async catchUp(rev: number, peer: string): Promise<boolean> {
-    const { clock } = this.host;
-    const until = clock.now() + C.callMs / 2;
-    for (;;) {
-      await within(clock, until - clock.now(), this.onNewer(rev, peer));
-      if (this.rev >= rev) return true;
-      if (clock.now() + C.behindRetryMs >= until) return false;
-      // The fetch failed, or one that was begun earlier brought less.
-      await sleep(clock, C.behindRetryMs);
-    }
+  /** Whether our own link to a peer is not known to be broken. */
+  isLinkHealthy(peer: string): boolean {
+    return this.indirectCalls.isLinkHealthy(peer);
   }
 
-  private async answer(frame: string): Promise<string> {
-    const now = this.host.clock.now();
-    this.count('peer.in');
-    const a = readAsk(frame);
-    const offset = this.offsets.learn(`${a.from} ${a.inst}`, now - a.now, now);
-    this.onHeard(a.from, a.inst);
-    const out = (x: { ok: unknown } | { err: Fault }): string =>
-      packAnswer({ rev: this.rev, now: this.host.clock.now(), ...x });
-    const h = this.handlers.get(a.m);
-    if (a.rev > this.rev) {
-      if (!h?.current) void this.onNewer(a.rev, a.from);
-      else if (!(await this.catchUp(a.rev, a.from))) {
-        // Who asks knows more than we do: an answer by what we have could take back what its callers were told already.
-        this.count('peer.behind');
-        return out({
-          err: { tag: 'not_ready', step: a.m, peer: this.self, retryAfterMs: retryAfter(this.host.rnd, C.retryMs) },
-        });
-      }
-    }
-    if (!h) return out({ err: { tag: 'unknown_method', step: a.m, peer: this.self, method: a.m } });
-    if (this.phase === 'stopped') {
-      return out({
-        err: { tag: 'not_ready', step: a.m, peer: this.self, retryAfterMs: retryAfter(this.host.rnd, C.retryMs) },
-      });
-    }
-    try {
-      return out({
-        ok: await h.h(a.body, { peer: a.from, inst: a.inst, sentAt: a.now + offset, toLocal: (t) => t + offset }),
-      });
-    } catch (e) {
-      const f = faultOf(e, a.m, this.self);
-      if (f.tag === 'internal') {
-        this.count('internal');
-        this.host.log.warn('handler failed', { fault: f, stack: e instanceof Error ? e.stack : undefined });
-      }
-      return out({ err: f });
-    }
+  /** Calls our own link to a peer broken, until a direct ping is answered or the peer is no longer there. */
+  markLinkBroken(peer: string): void {
+    this.indirectCalls.markLinkBroken(peer);
   }
 }
--- a/packages/kernel/src/match.ts
+++ b/packages/kernel/src/match.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { C } from './constants.js';
+import { PROCESS, SHARD } from './constants.js';
 
 const known = new Map<string, number>();
 
@@ -12,7 +12,7 @@
   let h = known.get(s);
   if (h === undefined) {
     h = createHash('md5').update(s).digest().readUInt32BE(0);
-    if (known.size >= C.hashesN) known.clear();
+    if (known.size >= PROCESS.hashCacheSize) known.clear();
     known.set(s, h);
   }
   return h;
@@ -23,7 +23,7 @@
  * @example
  * rank('shard/3', ['a', 'b', 'c'])[0] // the owner
  */
-export function rank<T>(key: string, xs: Iterable<T>, name: (x: T) => string = String): T[] {
+export function rendezvousOrder<T>(key: string, xs: Iterable<T>, name: (x: T) => string = String): T[] {
   return [...xs]
     .map((x) => [hash(`${key}|${name(x)}`), name(x), x] as const)
     .sort((a, b) => b[0] - a[0] || (a[1] < b[1] ? -1 : 1))
@@ -36,5 +36,5 @@
  * shardOf('pay/77'); // 12
  */
 export function shardOf(topic: string): number {
-  return hash(`topic/${topic}`) % C.shardsN;
+  return hash(`topic/${topic}`) % SHARD.shardCount;
 }
--- a/packages/kernel/src/peer-framing.ts
+++ b/packages/kernel/src/peer-framing.ts
@@ -11,7 +11,7 @@
   frameBytes: number;
   waitingBytes: number;
   callsN: number;
-  connsN: number;
+  connectionLimit: number;
   closeMs: number;
 }
 
--- a/packages/kernel/src/peer-link.ts
+++ b/packages/kernel/src/peer-link.ts
@@ -1,8 +1,8 @@
 /** The calling side of the peer transport: our connection to one peer, and the calls under way on it. */
 import type { Socket } from 'node:net';
-import { C } from './constants.js';
-import { Failure, type Fault } from './fault.js';
-import type { NetNews } from './host.js';
+import { REQUEST } from './constants.js';
+import { HarecrossError, type ErrorDetails } from './fault.js';
+import type { NetEvents } from './host.js';
 import {
   GREETING,
   LineReader,
@@ -28,7 +28,7 @@
   instance?: string;
   over: boolean;
   res: (s: string) => void;
-  rej: (f: Fault) => void;
+  rej: (f: ErrorDetails) => void;
 }
 type LinkState = 'closed' | 'connecting' | 'open';
 
@@ -63,13 +63,13 @@
     private turn: WriteBatch,
     private introduction: () => PeerIdentity,
     private system: PeerSystem,
-    private news: () => NetNews | undefined,
+    private news: () => NetEvents | undefined,
   ) {}
 
   call(frame: string, timeoutMs: number): Promise<string> {
     return new Promise((res, rej) => {
       const bytes = Buffer.byteLength(frame);
-      const fail = (f: Fault): void => rej(new Failure(f));
+      const fail = (f: ErrorDetails): void => rej(new HarecrossError(f));
       if (bytes > this.bounds.frameBytes) {
         fail({ tag: 'too_large', step: 'call', peer: this.peer, limit: this.bounds.frameBytes });
         return;
@@ -77,7 +77,7 @@
       const waiting = this.unsentBytes + (this.writer?.waiting ?? 0) + bytes;
       if (waiting > this.bounds.waitingBytes || this.sent.size + this.unsent.length >= this.bounds.callsN) {
         this.news()?.count('peer.link.full');
-        fail({ tag: 'overloaded', step: 'call', peer: this.peer, retryAfterMs: C.retryMs });
+        fail({ tag: 'overloaded', step: 'call', peer: this.peer, retryAfterMs: REQUEST.retryMs });
         return;
       }
       this.usedAt = this.system.now();
@@ -108,7 +108,7 @@
   }
 
   /** Ends a call once, with whatever became of it. */
-  private end(c: Call, how: string | Fault): void {
+  private end(c: Call, how: string | ErrorDetails): void {
     if (c.over) return;
     c.over = true;
     c.cancelTimer();
--- a/packages/kernel/src/peer-net.ts
+++ b/packages/kernel/src/peer-net.ts
@@ -1,15 +1,15 @@
 /** The peer transport: links to peers and the connections they opened to us, behind one `Net`. */
 import { randomUUID } from 'node:crypto';
 import { connect, createServer, type NetConnectOpts, type Server } from 'node:net';
-import { C } from './constants.js';
-import { Failure } from './fault.js';
-import { addr, type Net, type NetNews } from './host.js';
+import { PROCESS } from './constants.js';
+import { HarecrossError } from './fault.js';
+import { parseAddress, type Net, type NetEvents } from './host.js';
 import { PIECE_BYTES, WriteBatch, type PeerIdentity, type PeerNetBounds, type PeerSystem } from './peer-framing.js';
 import { endSocket, PeerLink } from './peer-link.js';
 import { AcceptedConnection } from './peer-server.js';
 
 const realSystem: PeerSystem = {
-  connect: (peer) => connect({ ...addr(peer), noDelay: true, highWaterMark: PIECE_BYTES } as NetConnectOpts),
+  connect: (peer) => connect({ ...parseAddress(peer), noDelay: true, highWaterMark: PIECE_BYTES } as NetConnectOpts),
   now: () => performance.now(),
   after: (ms, fn) => {
     const timer = setTimeout(fn, ms);
@@ -58,13 +58,13 @@
  */
 export function peerNet(self: string, bounds: Partial<PeerNetBounds> = {}): Net {
   const b: PeerNetBounds = {
-    connectMs: C.connectMs,
-    quietMs: C.peerQuietMs,
-    frameBytes: C.peerFrameBytes,
-    waitingBytes: C.peerWaitingBytes,
-    callsN: C.peerCallsN,
-    connsN: C.peerConnsN,
-    closeMs: C.peerCloseMs,
+    connectMs: PROCESS.connectMs,
+    quietMs: PROCESS.peerQuietMs,
+    frameBytes: PROCESS.peerFrameBytes,
+    waitingBytes: PROCESS.peerWaitingBytes,
+    callsN: PROCESS.peerCallLimit,
+    connectionLimit: PROCESS.peerConnectionLimit,
+    closeMs: PROCESS.peerCloseMs,
     ...bounds,
   };
   const links = new Map<string, PeerLink>();
@@ -74,24 +74,24 @@
   const system = realSystem;
   const accepted = new AcceptedConnections();
   const turn = new WriteBatch(system);
-  let news: NetNews | undefined;
+  let news: NetEvents | undefined;
   let server: Server | undefined;
   let closed = false;
   // Links to peers we have nothing to say to any more are given back.
   const idle = setInterval(() => {
-    const at = performance.now() - C.peerIdleMs;
+    const at = performance.now() - PROCESS.peerIdleMs;
     for (const [p, l] of links)
       if (l.idleSince(at)) {
         links.delete(p);
         void l.close();
       }
-  }, C.peerIdleMs / 2);
+  }, PROCESS.peerIdleMs / 2);
   idle.unref();
   return {
     async serve(handle, n) {
       news = n;
       const srv = createServer(
-        { noDelay: true, highWaterMark: PIECE_BYTES, keepAlive: true, keepAliveInitialDelay: C.peerKeepAliveMs },
+        { noDelay: true, highWaterMark: PIECE_BYTES, keepAlive: true, keepAliveInitialDelay: PROCESS.peerKeepAliveMs },
         (s) => {
           const a = new AcceptedConnection(
             s,
@@ -107,11 +107,11 @@
           s.on('close', () => accepted.all.delete(a));
         },
       );
-      srv.maxConnections = b.connsN;
+      srv.maxConnections = b.connectionLimit;
       server = srv;
       await new Promise<void>((res, rej) => {
         srv.on('error', rej);
-        srv.listen(addr(self), () => {
+        srv.listen(parseAddress(self), () => {
           srv.off('error', rej);
           res();
         });
@@ -119,7 +119,7 @@
       srv.on('error', () => n?.count('peer.server.error'));
     },
     call(peer, frame, timeoutMs) {
-      if (closed) return Promise.reject(new Failure({ tag: 'cut', step: 'call', peer, detail: 'closed by us' }));
+      if (closed) return Promise.reject(new HarecrossError({ tag: 'cut', step: 'call', peer, detail: 'closed by us' }));
       let l = links.get(peer);
       if (!l) {
         l = new PeerLink(peer, b, turn, introduction, system, () => news);
--- a/packages/kernel/src/peer-server.ts
+++ b/packages/kernel/src/peer-server.ts
@@ -1,6 +1,6 @@
 /** The serving side of the peer transport: a connection that a peer opened to us. */
 import type { Socket } from 'node:net';
-import type { NetNews } from './host.js';
+import type { NetEvents } from './host.js';
 import {
   GREETING,
   LineReader,
@@ -41,7 +41,7 @@
     system: PeerSystem,
     private met: (connection: AcceptedConnection) => void,
     private handle: (frame: string) => Promise<string>,
-    private news: () => NetNews | undefined,
+    private news: () => NetEvents | undefined,
   ) {
     this.lines = new LineReader(GREETING.length, (l) => this.line(l));
     this.writer = new FrameWriter(s, () => {
--- a/packages/kernel/src/real.ts
+++ b/packages/kernel/src/real.ts
@@ -2,9 +2,9 @@
 import { join } from 'node:path';
 import Database from 'better-sqlite3';
 import { createConsola } from 'consola/basic';
-import { C } from './constants.js';
-import { Db, wrongOnDisk, type DiskSync, type Sql } from './disk.js';
-import { wrongInWal } from './wal.js';
+import { PROCESS } from './constants.js';
+import { SyncedDatabase, findCorruption, type DiskSync, type Sql } from './disk.js';
+import { findWalCorruption } from './wal.js';
 import type { Clock, Host, Log, NodeConfig } from './host.js';
 import { peerNet } from './peer-net.js';
 
@@ -51,7 +51,7 @@
   let sql: Sql | undefined;
   try {
     // What the write-ahead log lost in its middle the database would leave out without a word.
-    const lost = wrongInWal(file);
+    const lost = findWalCorruption(file);
     if (lost !== undefined) return { tag: 'damaged', why: lost };
     sql = new Database(file);
     // Nobody else opens it: no shared memory file, no mapping, less work at each commit. Must come before the journal
@@ -64,7 +64,7 @@
       sql.close();
       return { tag: 'damaged', why: said };
     }
-    const altered = wrongOnDisk(sql);
+    const altered = findCorruption(sql);
     if (altered !== undefined) {
       sql.close();
       return { tag: 'damaged', why: altered };
@@ -114,7 +114,8 @@
   };
   return {
     sync: () => sync(log, wal),
-    tidy: () => (++commits % C.walLookN || fstatSync(log).size < C.walBytes ? undefined : writeBack()),
+    tidy: () =>
+      ++commits % PROCESS.walCheckCommits || fstatSync(log).size < PROCESS.walBytes ? undefined : writeBack(),
     close: (db) => {
       db.pragma('synchronous = FULL');
       db.close();
@@ -138,7 +139,7 @@
   onFault: (e: Error) => void,
   self: string,
   sync: SyncFile = syncFile,
-): Db {
+): SyncedDatabase {
   mkdirSync(folder, { recursive: true });
   const file = join(folder, 'state.db');
   let r = tryOpen(file);
@@ -150,7 +151,7 @@
     r = tryOpen(file);
   }
   if (r.tag !== 'well') throw new Error(`${file}: ${r.why}`);
-  const db = new Db(r.sql, clock, () => C.commitMs, onFault, self, ownSyncs(r.sql, file, sync));
+  const db = new SyncedDatabase(r.sql, clock, () => PROCESS.commitMs, onFault, self, ownSyncs(r.sql, file, sync));
   db.openMs = r.ms;
   return db;
 }
@@ -166,7 +167,14 @@
     log.warn(`stopping: ${reason}`);
     process.exit(3);
   };
-  const host: Host = { clock: realClock, rnd: { next: Math.random }, net: peerNet(config.peer), log, config, die };
+  const host: Host = {
+    clock: realClock,
+    random: { next: Math.random },
+    net: peerNet(config.peer),
+    log,
+    config,
+    terminate: die,
+  };
   if (config.data) {
     try {
       host.db = openDb(config.data, realClock, log, (e) => die(`disk fault: ${e.message}`), config.peer);
--- a/packages/kernel/src/wal.ts
+++ b/packages/kernel/src/wal.ts
@@ -36,7 +36,7 @@
  * @example
  * wrongInWal('/var/lib/harecross/state.db'); // 'frame 7 of the log is altered, 3 commits are behind it'
  */
-export function wrongInWal(file: string): string | undefined {
+export function findWalCorruption(file: string): string | undefined {
   const wal = `${file}-wal`;
   if (!existsSync(wal)) return undefined;
   const b = readFileSync(wal);
--- a/packages/trial/src/actors.ts
+++ b/packages/trial/src/actors.ts
@@ -1,4 +1,4 @@
-import { faultOf, sample, sleep, type Clock, type Rnd } from '@harecross/kernel';
+import { toErrorDetails, randomSample, sleep, type Clock, type RandomSource } from '@harecross/kernel';
 import { familyOf, type FleetConfig, type Frame } from '@harecross/schema';
 import type { Json } from './json.js';
 import type { Journal } from './journal.js';
@@ -30,7 +30,7 @@
 
 export interface World {
   clock: Clock;
-  rnd: Rnd;
+  random: RandomSource;
   way: Way;
   journal: Journal;
 }
@@ -40,7 +40,7 @@
 
 const pick = (w: World, domain?: string): string | undefined => {
   const near = w.way.nodes(domain);
-  return sample(w.rnd, near.length ? near : w.way.nodes(), 1)[0];
+  return randomSample(w.random, near.length ? near : w.way.nodes(), 1)[0];
 };
 
 /**
@@ -140,15 +140,15 @@
   }
 
   private async live(): Promise<void> {
-    const { clock, rnd } = this.w;
+    const { clock, random } = this.w;
     const me = ++this.runs;
-    let wait = (this.opts.jitterMs ?? 300) * rnd.next();
+    let wait = (this.opts.jitterMs ?? 300) * random.next();
     while (this.running) {
       await sleep(clock, wait);
       if (!this.running || this.runs !== me) return;
       const node = pick(this.w, this.domain);
       if (!node) {
-        wait = 300 + 300 * rnd.next();
+        wait = 300 + 300 * random.next();
         continue;
       }
       wait = await this.one(node);
@@ -158,12 +158,12 @@
 
   /** One conn's life; gives the time to wait before the next. */
   private one(node: string): Promise<number> {
-    const { rnd, way, clock, journal } = this.w;
+    const { random, way, clock, journal } = this.w;
     return new Promise((res) => {
       this.end('superseded');
       const life = ++this.life;
       this.got = 0;
-      let hint = 100 + 400 * rnd.next();
+      let hint = 100 + 400 * random.next();
       const over = (why: string, retryMs?: number): void => {
         if (this.life === life) this.end(why, retryMs);
         res(hint);
@@ -252,14 +252,14 @@
 
   /** The platform puts each TCP connection where it likes: mostly the same node, now and then another. */
   private nodeFor(node: string): string {
-    return this.w.rnd.next() < 0.3 ? (pick(this.w, this.domain) ?? node) : node;
+    return this.w.random.next() < 0.3 ? (pick(this.w, this.domain) ?? node) : node;
   }
 
   private async probes(conn: string, life: number, node: string): Promise<void> {
-    const { clock, rnd, way } = this.w;
+    const { clock, random, way } = this.w;
     let behind: number | undefined;
     while (this.life === life) {
-      await sleep(clock, this.pingMs * (0.9 + 0.2 * rnd.next()));
+      await sleep(clock, this.pingMs * (0.9 + 0.2 * random.next()));
       if (this.life !== life) return;
       const asked = clock.now();
       const r = await way.visit(this.nodeFor(node), 'Probe', { conn }, 2_000);
@@ -276,7 +276,7 @@
   }
 
   async subscribe(conn: string, topic: string, life: number, node: string): Promise<void> {
-    const { clock, rnd, way, journal } = this.w;
+    const { clock, random, way, journal } = this.w;
     for (let i = 0; this.life === life && this.want.has(topic); i++) {
       const cursor = this.cursors.get(topic);
       journal.add({ k: 'sub.ask', consumer: this.name, conn, topic, cursor });
@@ -299,7 +299,7 @@
         return;
       }
       if (tag === 'cursor_expired' || tag === 'cursor_ahead') this.cursors.delete(topic);
-      await sleep(clock, r?.body?.error?.retryAfterMs ?? 500 + 500 * rnd.next());
+      await sleep(clock, r?.body?.error?.retryAfterMs ?? 500 + 500 * random.next());
     }
   }
 }
@@ -331,22 +331,25 @@
   }
 
   private async live(): Promise<void> {
-    const { clock, rnd } = this.w;
-    await sleep(clock, this.everyMs * rnd.next());
+    const { clock, random } = this.w;
+    await sleep(clock, this.everyMs * random.next());
     while (this.running) {
-      const topic = this.topics[Math.floor(rnd.next() * this.topics.length)]!;
+      const topic = this.topics[Math.floor(random.next() * this.topics.length)]!;
       void this.publish(topic);
-      await sleep(clock, this.everyMs * (0.6 + 0.8 * rnd.next()));
+      await sleep(clock, this.everyMs * (0.6 + 0.8 * random.next()));
     }
   }
 
   async publish(topic: string): Promise<void> {
     if (this.busy.has(topic)) return;
     this.busy.add(topic);
-    const { clock, rnd, way, journal } = this.w;
+    const { clock, random, way, journal } = this.w;
     const seq = (this.seqs.get(topic) ?? 0) + 1;
     this.seqs.set(topic, seq);
-    const body = `${this.name}:${topic}:${seq}:${Math.floor(rnd.next() * 1e6)}`.padEnd(this.opts.bodyBytes ?? 0, '.');
+    const body = `${this.name}:${topic}:${seq}:${Math.floor(random.next() * 1e6)}`.padEnd(
+      this.opts.bodyBytes ?? 0,
+      '.',
+    );
     try {
       for (let i = 0; i < (this.opts.triesN ?? 6); i++) {
         const node = pick(this.w, this.domain);
@@ -373,7 +376,7 @@
           });
         if (r?.status === 200 && r.body.accepted) {
           say('accepted', { offset: r.body.accepted.offset });
-          if (rnd.next() < (this.opts.repeats ?? 0)) void this.repeat(topic, seq, body);
+          if (random.next() < (this.opts.repeats ?? 0)) void this.repeat(topic, seq, body);
           return;
         }
         if (r?.body?.rejected) {
@@ -391,11 +394,11 @@
             return;
           default:
             say('unknown', { tag });
-            await sleep(clock, r?.body?.error?.retryAfterMs ?? 300 + 300 * rnd.next());
+            await sleep(clock, r?.body?.error?.retryAfterMs ?? 300 + 300 * random.next());
         }
       }
     } catch (e) {
-      throw new Error(`sender ${this.name}: ${faultOf(e, 'publish', this.name).tag}`);
+      throw new Error(`sender ${this.name}: ${toErrorDetails(e, 'publish', this.name).tag}`);
     } finally {
       this.busy.delete(topic);
     }
@@ -406,8 +409,8 @@
    * others.
    */
   private async repeat(topic: string, seq: number, body: string): Promise<void> {
-    const { clock, rnd } = this.w;
-    await sleep(clock, 9_000 * rnd.next());
+    const { clock, random } = this.w;
+    await sleep(clock, 9_000 * random.next());
     const node = this.running ? pick(this.w) : undefined;
     if (node) await publishOnce(this.w, { sender: this.name, topic, seq, body, node, domain: this.domain });
   }
@@ -483,9 +486,9 @@
   }
 
   private async live(): Promise<void> {
-    const { clock, rnd } = this.w;
+    const { clock, random } = this.w;
     while (this.running) {
-      await sleep(clock, this.everyMs * (0.2 + 1.6 * rnd.next()));
+      await sleep(clock, this.everyMs * (0.2 + 1.6 * random.next()));
       this.node ??= pick(this.w, this.domain);
       if (!this.node) continue;
       const again = [...this.open].filter(([, x]) => x.again);
@@ -494,9 +497,9 @@
         continue;
       }
       // Now and then several at once.
-      for (let n = rnd.next() < 0.3 ? 5 : 1; n > 0 && this.open.size < this.windowN; n--) {
+      for (let n = random.next() < 0.3 ? 5 : 1; n > 0 && this.open.size < this.windowN; n--) {
         const seq = ++this.seq;
-        this.open.set(seq, { body: `${this.name}:${seq}:${Math.floor(rnd.next() * 1e6)}`, again: false, tries: 0 });
+        this.open.set(seq, { body: `${this.name}:${seq}:${Math.floor(random.next() * 1e6)}`, again: false, tries: 0 });
         void this.send(seq);
       }
     }
@@ -546,9 +549,9 @@
     valid: boolean,
     expect?: number,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way, rnd } = this.w;
+    const { clock, journal, way, random } = this.w;
     for (let i = 0; i < 25; i++) {
-      const node = sample(rnd, way.nodes(), 1)[0];
+      const node = randomSample(random, way.nodes(), 1)[0];
       if (!node) {
         await sleep(clock, 400);
         continue;
@@ -574,7 +577,7 @@
         return { out: 'invalid' };
       }
       journal.add({ k: 'cfg.answer', changeId, out: 'unanswered' });
-      await sleep(clock, 300 + 300 * rnd.next());
+      await sleep(clock, 300 + 300 * random.next());
     }
     return { out: 'unanswered' };
   }
@@ -589,10 +592,10 @@
     valid: boolean,
     document: unknown,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way, rnd } = this.w;
+    const { clock, journal, way, random } = this.w;
     const changeId = `revision-${revision}`;
     for (let i = 0; i < 60; i++) {
-      const node = sample(rnd, way.nodes(), 1)[0];
+      const node = randomSample(random, way.nodes(), 1)[0];
       if (!node) {
         await sleep(clock, 400);
         continue;
@@ -610,15 +613,15 @@
         return { out: 'invalid' };
       }
       journal.add({ k: 'cfg.answer', changeId, out: 'unanswered' });
-      await sleep(clock, Math.min(1_600, 100 * 2 ** i) * (0.5 + rnd.next()));
+      await sleep(clock, Math.min(1_600, 100 * 2 ** i) * (0.5 + random.next()));
     }
     return { out: 'unanswered' };
   }
 
   async read(last = false): Promise<number | undefined> {
-    const { clock, journal, way, rnd } = this.w;
+    const { clock, journal, way, random } = this.w;
     for (let i = 0; i < 20; i++) {
-      const node = sample(rnd, way.nodes(), 1)[0];
+      const node = randomSample(random, way.nodes(), 1)[0];
       const asked = clock.now();
       const r = node ? await way.visit(node, 'ReadConfig', {}, 8_000) : undefined;
       if (r?.status === 200) {
@@ -653,9 +656,9 @@
 
   /** Any operator's visit, again until it has an answer that is not 'come back'. */
   async ask(method: string, body: unknown): Promise<{ status: number; body: Json }> {
-    const { clock, way, rnd } = this.w;
+    const { clock, way, random } = this.w;
     for (let i = 0; i < 30; i++) {
-      const node = sample(rnd, way.nodes(), 1)[0];
+      const node = randomSample(random, way.nodes(), 1)[0];
       const r = node ? await way.visit(node, method, body, 9_000) : undefined;
       if (r && r.status < 500) return r;
       await sleep(clock, 300);
@@ -689,8 +692,8 @@
   }
 
   async count(topic: string): Promise<void> {
-    const { clock, journal, way, rnd } = this.w;
-    const node = sample(rnd, way.nodes(), 1)[0];
+    const { clock, journal, way, random } = this.w;
+    const node = randomSample(random, way.nodes(), 1)[0];
     if (!node) return;
     const asked = clock.now();
     const r = await way.visit(node, 'Listeners', { topic }, 3_000);
--- a/packages/trial/src/capacity-data.ts
+++ b/packages/trial/src/capacity-data.ts
@@ -151,8 +151,8 @@
   shardBytes: 6 * 1024,
   /** A listening peer. */
   peerBytes: 256 * 1024,
-  /** What one relay takes (kernel's `connsN`), less those the harness needs itself. */
-  connsN: 3_900,
+  /** What one relay takes (kernel's `connectionLimit`), less those the harness needs itself. */
+  connectionLimit: 3_900,
   /** Descriptors of the client side: one a conn. */
   peersN: 2_000,
 } as const;
@@ -180,7 +180,7 @@
 needs three different sizes`;
   return (
     most(d.hollow, (n) => checkOne('hollow', n, BOUNDS.hollowBytes, 12, Infinity)) ??
-    most(d.conns, (n) => checkOne('conns', n, 64 * 1024, 1, BOUNDS.connsN)) ??
+    most(d.conns, (n) => checkOne('conns', n, 64 * 1024, 1, BOUNDS.connectionLimit)) ??
     most(d.processes, (n) =>
       checkOne('processes', n, BOUNDS.processBytes, 5, Math.min(BOUNDS.processesN, m.cores * BOUNDS.processesPerCore)),
     ) ??
--- a/packages/trial/src/capacity-loopback.ts
+++ b/packages/trial/src/capacity-loopback.ts
@@ -4,8 +4,8 @@
 import { join } from 'node:path';
 import { createInterface } from 'node:readline';
 import { fileURLToPath } from 'node:url';
-import type { Board } from '@harecross/control';
-import { Interests } from '@harecross/data';
+import type { MembershipTable } from '@harecross/control';
+import { InterestTable } from '@harecross/data';
 import { Kernel, realClock, realHost, sleep, type Net } from '@harecross/kernel';
 import type { Frame } from '@harecross/schema';
 import type { Entry } from '@harecross/state';
@@ -442,10 +442,10 @@
       };
       const k = new Kernel(host);
       await k.boot([]);
-      const board = { live: () => [], members: new Map(), isLive: () => true } as unknown as Board;
-      const interests = new Interests(k, board);
+      const board = { liveMembers: () => [], members: new Map(), isLive: () => true } as unknown as MembershipTable;
+      const interests = new InterestTable(k, board);
       for (const r of relays)
-        interests.hear(
+        interests.receive(
           r,
           'i',
           [{ topic: 'feed/1', rev: 1, expiresAt: realClock.now() + 3_600_000, gen: 'g' }],
@@ -468,7 +468,7 @@
             body: 'x'.repeat(100),
             at: 0,
           };
-          interests.fan(e);
+          interests.fanOut(e);
         }
         await done;
       };
@@ -501,7 +501,7 @@
       worst.points.push({ x: n, y: histogram.getValueAtPercentile(99) / 1_000 });
       say(`fan-out to ${n} relays: ${single.points.at(-1)!.y.toFixed(1)} ms of processor a message, ${burst.points.at(-1)!.y.toFixed(1)} \
 ms in bursts; the last relay after ${last.points.at(-1)!.y.toFixed(1)} ms, p99 ${worst.points.at(-1)!.y.toFixed(1)} ms`);
-      k.end();
+      k.stopLoops();
       await net.close();
     } finally {
       child.stdin.end();
@@ -610,7 +610,7 @@
     return [cpu];
   } finally {
     for (const k of kernels) {
-      k.end();
+      k.stopLoops();
       await k.host.net.close();
     }
     await close();
--- a/packages/trial/src/capacity-page.ts
+++ b/packages/trial/src/capacity-page.ts
@@ -169,7 +169,7 @@
   const ownersMs = f.at('value-owners', TARGET.shards);
   const packMs = f.at('value-pack', TARGET.shards);
   const valueSizeKiB = f.at('value-bytes', TARGET.shards);
-  const keeperMs = f.slope('value-copies') * TARGET.shards * (TARGET.nodes / 110);
+  const controllerMs = f.slope('value-copies') * TARGET.shards * (TARGET.nodes / 110);
   // A change spreads in steps of four; at each a node unpacks it, packs it for up to four, and the link carries those.
   const hops = Math.ceil(Math.log(w.nodes) / Math.log(4));
   const changeMs = (shards: number): number =>
@@ -186,7 +186,7 @@
   const storeMs = (w.publishes * f.slope('publish-stores') * ASSUMED.copies) / 3;
   const diskKiB = (w.publishes * f.slope('publish-disk') * ASSUMED.copies) / 3;
   const fanMs = w.deliveries * f.slope('fanout-single');
-  const beatMs = beatRequests * requestMs * 2;
+  const heartbeatMs = beatRequests * requestMs * 2;
   const connMiB = f.slope('conn-memory') * w.conns;
   const connKiB = f.slope('conn-memory') * 1_024;
   const byMemoryN = Math.floor((TARGET.controlMB * 4) / f.slope('conn-memory'));
@@ -223,7 +223,7 @@
     ownersMs,
     packMs,
     valueSizeKiB,
-    keeperMs,
+    controllerMs,
     hops,
     changeMs,
     changeBreaksAt,
@@ -236,7 +236,7 @@
     storeMs,
     diskKiB,
     fanMs,
-    beatMs,
+    heartbeatMs,
     connMiB,
     connKiB,
     byMemoryN,
@@ -285,8 +285,8 @@
     {
       duty: 'The keeper works out where all copies belong, twice a second',
       need: '500 ms',
-      have: `${num(x.keeperMs / 1_000)} s`,
-      factor: x.keeperMs / 500,
+      have: `${num(x.controllerMs / 1_000)} s`,
+      factor: x.controllerMs / 500,
       measured: '`value-copies` at 110 disks',
       derived: `times ${whole(TARGET.shards)} shards, times 550/110 disks`,
       step: 'B1, B4',
@@ -832,7 +832,7 @@
         `${num(w.shards)} shards owned, ${num(w.shards * ASSUMED.copies)} copies`,
         `${whole(w.publishes)} accepted, ${whole(w.publishes * ASSUMED.copies)} entries kept, ${whole(w.deliveries)} frames fanned, \
 ${whole(x.beatRequests)} beats`,
-        `${num(x.storeMs)} ms/s, fanning ${num(x.fanMs)}, beats ${num(x.beatMs)}`,
+        `${num(x.storeMs)} ms/s, fanning ${num(x.fanMs)}, beats ${num(x.heartbeatMs)}`,
         `history of 60 s: ${whole(w.publishes * ASSUMED.copies * 60)} entries`,
         `${bytes(x.diskKiB)}/s written`,
         `publishes, copies and frames ${bytes(x.betweenKiB)}/s, beats ${bytes(x.beatKiB)}/s`,
--- a/packages/trial/src/capacity-virtual.ts
+++ b/packages/trial/src/capacity-virtual.ts
@@ -1,7 +1,7 @@
-import type { DiskRec, Placement, Value } from '@harecross/control';
-import { fromText, matchCopies, matchOwners, toText } from '@harecross/control';
-import type { Key } from '@harecross/data';
-import { C, sample } from '@harecross/kernel';
+import type { DiskRecord, Placement, FleetValue } from '@harecross/control';
+import { deserializeValue, matchCopies, matchOwners, serializeValue } from '@harecross/control';
+import type { ShardTable } from '@harecross/data';
+import { REGISTER, SHARD, randomSample } from '@harecross/kernel';
 import { build as buildHistogram } from 'hdr-histogram-js';
 import type { Drill, Series } from './capacity-data.js';
 import { seeded, Sim, type SimNode } from './sim.js';
@@ -24,8 +24,8 @@
 };
 
 /** A value of the register with so many shards over so many disks, as the fleet itself would place them. */
-export function valueOf(shardsN: number, disksN: number): Value {
-  const disks = new Map<string, DiskRec>();
+export function valueOf(shardCount: number, disksN: number): FleetValue {
+  const disks = new Map<string, DiskRecord>();
   for (let i = 0; i < disksN; i++) {
     const id = `d${((i * 2654435761) >>> 0).toString(36).padStart(7, '0')}`;
     disks.set(id, {
@@ -40,21 +40,22 @@
   const ids = [...disks.keys()];
   // Which disks hardly matters for what the value weighs; rendezvous over all of them is measured apart.
   const shards = new Map<number, Placement>();
-  const rnd = seeded(shardsN);
-  for (let s = 0; s < shardsN; s++) shards.set(s, { gen: 1, copies: sample(rnd, ids, Math.min(C.copiesN, disksN)) });
-  const seats = ids.slice(0, Math.min(C.seatsN, disksN));
+  const random = seeded(shardCount);
+  for (let s = 0; s < shardCount; s++)
+    shards.set(s, { gen: 1, copies: randomSample(random, ids, Math.min(SHARD.replicaCount, disksN)) });
+  const seats = ids.slice(0, Math.min(REGISTER.voterCount, disksN));
   return {
     fleet: 'f',
     rev: 1,
     version: 1,
     changeId: '',
     config: { families: [] },
-    eras: new Map(),
+    incarnations: new Map(),
     disks,
-    seats,
-    prevSeats: seats,
+    voters: seats,
+    previousVoters: seats,
     shards,
-    copies: C.copiesN,
+    copies: SHARD.replicaCount,
     changes: new Map(),
     moves: new Map(),
   };
@@ -106,13 +107,13 @@
     for (let again = 0; again < 3; again++) {
       const v = valueOf(n, 550);
       let t0 = cpuMs();
-      const s = toText(v);
-      fromText(s);
+      const s = serializeValue(v);
+      deserializeValue(s);
       packing.points.push({ x: n, y: cpuMs() - t0 });
       if (!again) {
         weigh.points.push({ x: n, y: Buffer.byteLength(s) / 1024 });
         const before = heapMiB();
-        const held = fromText(s);
+        const held = deserializeValue(s);
         memory.points.push({ x: n, y: heapMiB() - before });
         if (held.shards.size !== n) throw new Error(`${held.shards.size} of ${n} shards came back`);
       }
@@ -122,7 +123,7 @@
       if (n > 4_000) continue;
       const some = [...v.disks.values()].slice(0, 110);
       t0 = cpuMs();
-      matchCopies(some, C.copiesN, n);
+      matchCopies(some, SHARD.replicaCount, n);
       copies.points.push({ x: n, y: cpuMs() - t0 });
     }
     say(`value of ${n} shards: ${weigh.points.at(-1)!.y.toFixed(1)} KiB, ${packing.points.at(-1)!.y.toFixed(1)} ms to pack and unpack, \
@@ -200,12 +201,16 @@
   for (const n of all) {
     n.config.losses = 2;
     n.config.seeds = control.slice(0, 3).map((c) => c.config.peer);
-    void sim.clock.after(sim.rnd.next() * 1500, () => void sim.start(n));
+    void sim.clock.after(sim.random.next() * 1500, () => void sim.start(n));
   }
   // Until every node may serve and every shard has its owner.
   for (let i = 0; i < 120; i++) {
     await sim.run(sim.now + 500);
-    if (i > 16 && all.every((n) => n.kernel && n.kernel.use('register').fresh()) && owned(all).size === C.shardsN)
+    if (
+      i > 16 &&
+      all.every((n) => n.kernel && n.kernel.use('register').hasReadLease()) &&
+      owned(all).size === SHARD.shardCount
+    )
       break;
   }
   await sim.run(sim.now + 4_000);
@@ -216,12 +221,13 @@
 function owned(nodes: SimNode[]): Set<number> {
   const out = new Set<number>();
   for (const n of nodes) {
-    if (!n.up || n.frozen || !n.kernel?.has('owner') || !n.kernel.use('register').fresh()) continue;
+    if (!n.up || n.frozen || !n.kernel?.has('owner') || !n.kernel.use('register').hasReadLease()) continue;
     const o = n.kernel.use('owner');
-    const keys = (o as unknown as { keys: Map<number, Key> }).keys;
+    const keys = (o as unknown as { shards: ShardTable }).shards;
     // As the owner itself judges before it serves: a majority of the copies answered it lately.
-    for (const k of o.owned())
-      if (n.kernel.host.clock.now() - keys.get(k.shard)!.heardAt() <= C.doubtMs) out.add(k.shard);
+    for (const k of o.ownedShards())
+      if (n.kernel.host.clock.now() - keys.get(k.shard)!.majorityAnsweredAt() <= SHARD.ownershipDoubtMs)
+        out.add(k.shard);
   }
   return out;
 }
@@ -268,7 +274,7 @@
       memory.points.push({ x: size, y: (heapMiB() - before) / size });
       const v = all[0]!.kernel!.use('register').value!;
       const peerOf = new Map([...v.disks.values()].map((d) => [d.id, d.peer]));
-      const seated = new Set(v.seats.map((d) => peerOf.get(d)!));
+      const seated = new Set(v.voters.map((d) => peerOf.get(d)!));
       const plain = all.filter((n) => !seated.has(n.config.peer));
       const sat = all.filter((n) => seated.has(n.config.peer));
       const meter = new Meter();
@@ -294,7 +300,7 @@
         numberOfSignificantValueDigits: 3,
       });
       for (let i = 0; i < 5; i++) {
-        const at = h.rest[Math.floor(sim.rnd.next() * h.rest.length)]!;
+        const at = h.rest[Math.floor(sim.random.next() * h.rest.length)]!;
         const from = all[0]!.kernel!.use('register').value!.version;
         let told = 0;
         const inForce = new Map<SimNode, number>();
@@ -322,7 +328,7 @@
       sim.freeze(victim);
       while (
         sim.now - at < 60_000 &&
-        all.some((n) => n !== victim && n.kernel!.use('board').members.get(victim.config.peer)?.state === 'live')
+        all.some((n) => n !== victim && n.kernel!.use('membership').members.get(victim.config.peer)?.state === 'live')
       )
         await sim.run(sim.now + 20);
       frozen.points.push({ x: size, y: sim.now - at });
@@ -355,11 +361,11 @@
     'Bytes all nodes sent and got for one change of configuration, above the quiet',
     'KiB',
   );
-  const c = C as { shardsN: number };
-  const was = c.shardsN;
+  const c = SHARD as { shardCount: number };
+  const was = c.shardCount;
   try {
     for (const n of shards) {
-      c.shardsN = n;
+      c.shardCount = n;
       const h = await hollow(1, size);
       const { sim, all } = h;
       const meter = new Meter();
@@ -389,7 +395,7 @@
       sim.close();
     }
   } finally {
-    c.shardsN = was;
+    c.shardCount = was;
   }
   return [requests, bytes, cpu, change];
 }
@@ -416,12 +422,12 @@
     }
     await sim.run(8_000);
     const before = heapMiB();
-    const board = (x: SimNode) => x.kernel!.use('board');
+    const board = (x: SimNode) => x.kernel!.use('membership');
     const put = (from: number, to: number): void => {
       // As an owner says of its key: `key/<shard>` under a fence.
       for (let i = from; i < to; i++) {
         const fence = `000000000001.000000000001.10.0.0.1:7100~${'0'.repeat(15)}-${(i * 7919).toString(36)}`;
-        board(nodes[0]!).put(`fact/${i}`, `${fence}/00000001`, {
+        board(nodes[0]!).publish(`fact/${i}`, `${fence}/00000001`, {
           fence,
           gen: 1,
           peer: '10.0.0.1:7100',
@@ -431,7 +437,7 @@
       }
     };
     put(0, n);
-    for (const until = sim.now + 60_000; sim.now < until && nodes.some((x) => board(x).items.size < n);)
+    for (const until = sim.now + 60_000; sim.now < until && nodes.some((x) => board(x).facts.size < n);)
       await sim.run(sim.now + 250);
     await sim.run(sim.now + 2_000);
     memory.points.push({ x: n, y: ((heapMiB() - before) * 1024) / nodes.length });
@@ -451,8 +457,8 @@
       };
     }
     // A fact that the news did not carry: gossip has to find it. `set` is the board's own, without the passing on.
-    (board(nodes[0]!) as unknown as { set(k: string, v: string, x: unknown): boolean }).set('fact/late', '1', 0);
-    for (const until = sim.now + 20_000; sim.now < until && nodes.some((x) => !board(x).items.has('fact/late'));)
+    (board(nodes[0]!) as unknown as { store(k: string, v: string, x: unknown): boolean }).store('fact/late', '1', 0);
+    for (const until = sim.now + 20_000; sim.now < until && nodes.some((x) => !board(x).facts.has('fact/late'));)
       await sim.run(sim.now + 50);
     if (!digests) throw new Error(`${n} facts: no digest was exchanged`);
     digest.points.push({ x: n, y: digestBytes / digests / 1024 });
@@ -466,7 +472,7 @@
       if (BOARD.has(headOf(f).method)) news += f.length + a.length;
       return a;
     };
-    for (const until = sim.now + 30_000; sim.now < until && board(late).items.size < n;) await sim.run(sim.now + 50);
+    for (const until = sim.now + 30_000; sim.now < until && board(late).facts.size < n;) await sim.run(sim.now + 50);
     await sim.run(sim.now + 2_000);
     join.points.push({ x: n, y: news / 1024 });
     say(`${n} facts: a digest ${digest.points.at(-1)!.y.toFixed(1)} KiB, a join ${join.points.at(-1)!.y.toFixed(0)} KiB, \
@@ -482,7 +488,7 @@
   const south = (n: SimNode): boolean => n.config.domain.startsWith('south');
   const seatsOf = (h: Hollow): Set<string> => {
     const v = h.all.find((n) => n.kernel?.use('register').value)!.kernel!.use('register').value!;
-    return new Set(v.seats.map((d) => v.disks.get(d)!.peer));
+    return new Set(v.voters.map((d) => v.disks.get(d)!.peer));
   };
   const drill = async (
     id: string,
@@ -499,11 +505,12 @@
     while (sim.now - from < 15_000) {
       const now = owned(left);
       for (const s of now) lastAt.set(s, sim.now);
-      for (let s = 0; s < C.shardsN; s++) gap.set(s, Math.max(gap.get(s) ?? 0, sim.now - (lastAt.get(s) ?? from)));
+      for (let s = 0; s < SHARD.shardCount; s++)
+        gap.set(s, Math.max(gap.get(s) ?? 0, sim.now - (lastAt.get(s) ?? from)));
       await sim.run(sim.now + 50);
     }
-    const fresh = left.filter((n) => n.kernel!.use('register').fresh()).length / left.length;
-    const shards = owned(left).size / C.shardsN;
+    const fresh = left.filter((n) => n.kernel!.use('register').hasReadLease()).length / left.length;
+    const shards = owned(left).size / SHARD.shardCount;
     let ok = false;
     void sim.outside
       .visit(
@@ -793,7 +800,7 @@
   const region = one('placement-region', 'Shards with a majority left when the worse of two regions goes');
   for (const n of sizes) {
     const v = valueOf(n, 110);
-    const at = matchCopies([...v.disks.values()], C.copiesN, n);
+    const at = matchCopies([...v.disks.values()], SHARD.replicaCount, n);
     const left = (gone: (zone: string) => boolean): number =>
       ([...at.values()].filter((c) => c.filter((d) => !gone(v.disks.get(d)!.domain)).length * 2 > c.length).length /
         n) *
--- a/packages/trial/src/collection-sizes.ts
+++ b/packages/trial/src/collection-sizes.ts
@@ -6,7 +6,7 @@
  * Fields that lead to the surroundings, into a library, or back to the kernel, from which each part is walked by
  * itself.
  */
-const FOREIGN = new Set(['k', 'kernel', 'host', 'sql', 'db', 'clock', 'net', 'rnd', 'log', 'prepared', 'q']);
+const FOREIGN = new Set(['k', 'kernel', 'host', 'sql', 'db', 'clock', 'net', 'random', 'log', 'prepared', 'q']);
 /** Deeper than any state of a node. */
 const DEPTH_LIMIT = 12;
 
@@ -16,7 +16,7 @@
  * Entries of all maps, sets and arrays reachable from an object, by path; `[]` stands for any entry of a collection,
  * whose sizes are added up.
  * @example
- * collectionSizes(kernel).get('faces[].members'); // 9
+ * collectionSizes(kernel).get('services[].members'); // 9
  */
 export function collectionSizes(root: object): Map<string, number> {
   const sizes = new Map<string, number>();
--- a/packages/trial/src/day.ts
+++ b/packages/trial/src/day.ts
@@ -69,11 +69,11 @@
   after: (ms: number, fn: () => void) => realClock.after(ms, fn),
 };
 const journal = new Journal(() => clock.now());
-const rnd = seeded(a.seed);
-const world: World = { clock, rnd, way: fleet.way, journal };
+const random = seeded(a.seed);
+const world: World = { clock, random, way: fleet.way, journal };
 const cr = crowd(world, site);
 const pause = (ms: number): Promise<void> => sleep(realClock, ms);
-const any = <T>(xs: T[]): T => xs[Math.floor(rnd.next() * xs.length)]!;
+const any = <T>(xs: T[]): T => xs[Math.floor(random.next() * xs.length)]!;
 const say = (s: string): void => {
   consola.info(`${(clock.now() / 1000).toFixed(1)} s: ${s}`);
 };
@@ -138,11 +138,11 @@
   while (on) {
     await pause(500);
     const c = any(cr.consumers);
-    if (rnd.next() < 0.4) c.drop();
-    else if (rnd.next() < 0.3) {
+    if (random.next() < 0.4) c.drop();
+    else if (random.next() < 0.3) {
       c.domain = any(site.domains);
       c.drop('moved');
-    } else void c.away(500 + 15_000 * rnd.next());
+    } else void c.away(500 + 15_000 * random.next());
   }
 })();
 
@@ -186,19 +186,19 @@
     const all = (f: (l: Link) => number): number => links.reduce((n, l) => n + f(l), 0);
     poor = cr.consumers.map((c) => c.name);
     tell();
-    say(`${all((l) => l.thin(0.1, rnd, 4_000))} connections are thin`);
+    say(`${all((l) => l.thin(0.1, random, 4_000))} connections are thin`);
     await pause(3_000);
-    say(`${all((l) => l.stall(0.2, rnd, 2_500))} stall`);
+    say(`${all((l) => l.stall(0.2, random, 2_500))} stall`);
     await pause(3_000);
-    say(`${all((l) => l.halfOpen(0.15, rnd))} die half-open`);
+    say(`${all((l) => l.halfOpen(0.15, random))} die half-open`);
     await pause(6_000);
     for (let i = 0; i < 20; i++) {
-      any(links).reset(0.05, rnd);
+      any(links).reset(0.05, random);
       await pause(100);
     }
-    say(`${all((l) => l.reset(0.97, rnd))} are reset at once`);
+    say(`${all((l) => l.reset(0.97, random))} are reset at once`);
     await pause(6_000);
-    all((l) => l.thin(1, rnd, undefined));
+    all((l) => l.thin(1, random, undefined));
     await pause(4_000);
     poor = [];
   },
--- a/packages/trial/src/disk-writer.ts
+++ b/packages/trial/src/disk-writer.ts
@@ -1,5 +1,5 @@
 import { openDb, realClock } from '@harecross/kernel';
-import { lastIdx, makeFence, NO_FENCE, Store, type Copy } from '@harecross/state';
+import { lastIdx, makeFence, NO_FENCE, DurableState, type Replica } from '@harecross/state';
 
 /**
  * Writes to a node's database as fast as it takes it, and says each thing once it lasts. Killed in mid-write by
@@ -22,11 +22,11 @@
   },
   '127.0.0.1:1',
 );
-const st = new Store(db);
+const st = new DurableState(db);
 st.init();
-const copies = st.copies(0);
+const copies = st.loadReplicas(0);
 for (let s = 0; s < Number(shards); s++) {
-  const c: Copy = copies.get(s) ?? {
+  const c: Replica = copies.get(s) ?? {
     shard: s,
     promised: NO_FENCE,
     base: { idx: 0, fence: NO_FENCE, topics: new Map(), senders: new Map() },
@@ -36,8 +36,8 @@
     for (let n = 1; ; n++) {
       const idx = await db.commit(() => {
         const i = lastIdx(c) + 1;
-        if (n % 7 === 0) st.promise(c, makeFence(1, i, 'writer~1'));
-        st.add(c, {
+        if (n % 7 === 0) st.savePromise(c, makeFence(1, i, 'writer~1'));
+        st.appendEntry(c, {
           idx: i,
           fence: c.promised,
           topic: `t/${s}`,
--- a/packages/trial/src/faults/client-faults.ts
+++ b/packages/trial/src/faults/client-faults.ts
@@ -1,5 +1,5 @@
 /** Scenarios of clients that stay away, vanish, come in crowds or press too hard. */
-import { C } from '@harecross/kernel';
+import { SHARD } from '@harecross/kernel';
 import { Consumer, Pipeliner, Sender } from '../actors.js';
 import type { Scenario } from '../scenario.js';
 import { any, CROWDED, pause } from './common.js';
@@ -15,9 +15,9 @@
         // trimmed, keys change hands, machines come back so late that they are given snapshots, clocks jump, and the power fails.
         const aways = async (): Promise<void> => {
           for (const c of s.crowd.consumers)
-            if (s.rnd.next() < 0.5) {
+            if (s.random.next() < 0.5) {
               c.domain = any(s, s.site.domains);
-              void c.away(12_000 + 11_000 * s.rnd.next());
+              void c.away(12_000 + 11_000 * s.random.next());
             }
           await pause(s, 24_000);
         };
@@ -37,7 +37,7 @@
             await pause(s, 800);
             for (const x of s.sim.nodes.values())
               if (x !== late) {
-                x.skewMs += (s.rnd.next() * 2 - 1) * 3_600_000;
+                x.skewMs += (s.random.next() * 2 - 1) * 3_600_000;
                 await s.sim.start(x);
               }
           } else {
@@ -104,9 +104,9 @@
       faults: async (s) => {
         for (let i = 0; i < 40; i++) {
           const c = any(s, s.crowd.consumers);
-          const x = s.rnd.next();
+          const x = s.random.next();
           if (x < 0.4) c.drop();
-          else if (x < 0.7) void c.away(500 + 12_000 * s.rnd.next());
+          else if (x < 0.7) void c.away(500 + 12_000 * s.random.next());
           else if (x < 0.85) {
             c.domain = any(s, s.site.domains);
             c.drop('moved');
@@ -114,7 +114,7 @@
             const t = any(s, [...c.want]);
             if (t) {
               await c.unsubscribe(t);
-              void pause(s, 6_000 * s.rnd.next()).then(() => c.again(t));
+              void pause(s, 6_000 * s.random.next()).then(() => c.again(t));
             }
           }
           await pause(s, 300);
@@ -140,7 +140,7 @@
           }
         })();
         for (let i = 0; i < 3; i++) {
-          const gone = s.crowd.consumers.filter(() => s.rnd.next() < 0.25);
+          const gone = s.crowd.consumers.filter(() => s.random.next() < 0.25);
           s.note(`${gone.length} phones vanish`);
           for (const c of gone) c.vanish();
           await pause(s, 4_000);
@@ -191,12 +191,12 @@
       forMs: 30_000,
       faults: async (s) => {
         // Disks get so slow that visits pile up; the bounds are made small for the while, so that a small site meets them.
-        const was = { ownerHoldingN: C.ownerHoldingN };
+        const was = { ownerQueueLimit: SHARD.ownerQueueLimit };
         // Eight publishes on the way would fill so small a holding alone.
         for (const x of s.crowd.senders) if (x instanceof Pipeliner) x.stop();
         const seen = s.world.journal.seen;
         try {
-          for (const n of s.disks) n.kernel!.use('owner').bound(8);
+          for (const n of s.disks) n.kernel!.use('owner').resizePublishQueue(8);
           for (const n of s.disks) n.diskMs = 250;
           const more = Array.from(
             { length: 30 },
@@ -226,7 +226,7 @@
         } finally {
           for (const n of s.disks) {
             n.diskMs = 2;
-            n.kernel?.use('owner').bound(was.ownerHoldingN);
+            n.kernel?.use('owner').resizePublishQueue(was.ownerQueueLimit);
           }
         }
         await pause(s, 6_000);
--- a/packages/trial/src/faults/clock-faults.ts
+++ b/packages/trial/src/faults/clock-faults.ts
@@ -48,10 +48,10 @@
       forMs: 40_000,
       faults: async (s) => {
         // Clocks run up to 3 % fast or slow, and are corrected by minutes while the machines run.
-        for (const n of s.sim.nodes.values()) s.sim.setRate(n, 0.97 + 0.06 * s.rnd.next());
+        for (const n of s.sim.nodes.values()) s.sim.setRate(n, 0.97 + 0.06 * s.random.next());
         for (let i = 0; i < 3; i++) {
           const n = any(s, s.stores);
-          n.stepMs += (s.rnd.next() * 2 - 1) * 900_000;
+          n.stepMs += (s.random.next() * 2 - 1) * 900_000;
           s.note(`kill ${n.name}; its wall clock is off by ${Math.round(n.stepMs)} ms`);
           s.sim.kill(n);
           await pause(s, 3_000);
--- a/packages/trial/src/faults/common.ts
+++ b/packages/trial/src/faults/common.ts
@@ -7,6 +7,6 @@
 /** Topics with 0, 1, 5 and more than 50 listeners. */
 export const CROWDED: Site = { ...SMALL, name: 'crowded', consumers: 60 };
 /** One of these, by the stage's random numbers. */
-export const any = <T>(s: Stage, xs: T[]): T => xs[Math.floor(s.rnd.next() * xs.length)]!;
+export const any = <T>(s: Stage, xs: T[]): T => xs[Math.floor(s.random.next() * xs.length)]!;
 /** Lets virtual time pass. */
 export const pause = (s: Stage, ms: number): Promise<void> => sleep(s.sim.clock, ms);
--- a/packages/trial/src/faults/disk-faults.ts
+++ b/packages/trial/src/faults/disk-faults.ts
@@ -11,7 +11,7 @@
         const n = any(s, s.stores);
         s.note(`disk of ${n.name} dies`);
         s.sim.loseDisk(n);
-        if (s.rnd.next() < 0.5) {
+        if (s.random.next() < 0.5) {
           await pause(s, 4_000);
           await s.sim.start(n);
           s.note(`${n.name} is back, empty`);
--- a/packages/trial/src/faults/machine-faults.ts
+++ b/packages/trial/src/faults/machine-faults.ts
@@ -34,7 +34,7 @@
           const n = any(s, s.stores);
           s.note(`kill ${n.name}`);
           s.sim.kill(n);
-          await pause(s, 1_000 + 5_000 * s.rnd.next());
+          await pause(s, 1_000 + 5_000 * s.random.next());
           await s.sim.start(n);
           await pause(s, 3_000);
         }
@@ -64,7 +64,7 @@
           const n = any(s, [...s.stores, ...s.relays]);
           s.note(`freeze ${n.name}`);
           s.sim.freeze(n);
-          await pause(s, 1_000 + 6_000 * s.rnd.next());
+          await pause(s, 1_000 + 6_000 * s.random.next());
           s.sim.thaw(n);
           s.note(`thaw ${n.name}`);
           await pause(s, 2_000);
@@ -96,7 +96,7 @@
           s.note(`${n.name} is slow`);
           n.slowMs = 250;
           n.diskMs = 100;
-          await pause(s, 500 + 2_500 * s.rnd.next());
+          await pause(s, 500 + 2_500 * s.random.next());
           n.slowMs = 0;
           n.diskMs = 2;
           await pause(s, 800);
@@ -154,21 +154,21 @@
       faults: async (s) => {
         for (let i = 0; i < 7; i++) {
           const n = any(s, [...s.stores, ...s.relays]);
-          const x = s.rnd.next();
+          const x = s.random.next();
           if (x < 0.35) {
             s.note(`kill ${n.name}`);
             s.sim.kill(n);
-            await pause(s, 500 + 4_000 * s.rnd.next());
+            await pause(s, 500 + 4_000 * s.random.next());
             await s.sim.start(n);
           } else if (x < 0.6) {
             s.note(`freeze ${n.name}`);
             s.sim.freeze(n);
-            await pause(s, 500 + 4_000 * s.rnd.next());
+            await pause(s, 500 + 4_000 * s.random.next());
             s.sim.thaw(n);
           } else if (x < 0.8) {
             s.note(`cut ${n.name}`);
-            for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, s.rnd.next() < 0.5);
-            await pause(s, 500 + 4_000 * s.rnd.next());
+            for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, s.random.next() < 0.5);
+            await pause(s, 500 + 4_000 * s.random.next());
             s.sim.heal();
           } else {
             s.note(`stop ${n.name}`);
@@ -176,7 +176,7 @@
             await pause(s, 700);
             await s.sim.start(n);
           }
-          if (s.rnd.next() < 0.3) s.sim.resetStreams(0.5);
+          if (s.random.next() < 0.3) s.sim.resetStreams(0.5);
           await pause(s, 1_500);
         }
         await pause(s, 4_000);
--- a/packages/trial/src/faults/network-faults.ts
+++ b/packages/trial/src/faults/network-faults.ts
@@ -33,9 +33,9 @@
       faults: async (s) => {
         const n = any(s, [...s.stores, ...s.relays]);
         s.note(`cut off ${n.name}`);
-        const both = s.rnd.next() < 0.5;
+        const both = s.random.next() < 0.5;
         for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, both);
-        await pause(s, 4_000 + 6_000 * s.rnd.next());
+        await pause(s, 4_000 + 6_000 * s.random.next());
         s.sim.heal();
         s.note('healed');
         await pause(s, 4_000);
@@ -52,7 +52,7 @@
         const n = any(s, s.stores);
         const far = s.disks
           .filter((x) => x !== n)
-          .sort(() => s.rnd.next() - 0.5)
+          .sort(() => s.random.next() - 0.5)
           .slice(0, 3);
         s.note(`${n.name} loses its links to ${far.map((x) => x.name).join(' ')}`);
         for (const o of far) s.sim.cut(n.name, o.name);
@@ -74,7 +74,7 @@
     'split',
     {
       faults: async (s) => {
-        const side = new Set([...s.sim.nodes.values()].filter(() => s.rnd.next() < 0.4).map((n) => n.name));
+        const side = new Set([...s.sim.nodes.values()].filter(() => s.random.next() < 0.4).map((n) => n.name));
         s.note(`split off ${[...side].join(' ')}`);
         for (const a of s.sim.nodes.keys())
           for (const b of s.sim.nodes.keys()) if (side.has(a) && !side.has(b)) s.sim.cut(a, b);
@@ -126,7 +126,7 @@
           s,
           s.relays.filter((x) => !x.config.data),
         );
-        const far = [...s.disks].sort(() => s.rnd.next() - 0.5).slice(0, 2);
+        const far = [...s.disks].sort(() => s.random.next() - 0.5).slice(0, 2);
         s.note(`the links of ${r.name} to ${far.map((x) => x.name).join(' and ')} break`);
         for (const o of far) s.sim.cut(r.name, o.name);
         const seen = s.world.journal.seen;
@@ -153,7 +153,7 @@
       faults: async (s) => {
         // Streams die without a word to either side, while check-ins on other connections go on: nobody may miss a word.
         for (let i = 0; i < 3; i++) {
-          const deaf = s.crowd.consumers.filter(() => s.rnd.next() < 0.4);
+          const deaf = s.crowd.consumers.filter(() => s.random.next() < 0.4);
           s.note(`the streams of ${deaf.length} consumers are half-open`);
           for (const c of deaf) s.sim.deaf.add(c.name);
           await pause(s, 8_000);
--- a/packages/trial/src/faults/operator-faults.ts
+++ b/packages/trial/src/faults/operator-faults.ts
@@ -1,5 +1,5 @@
 /** Scenarios of operators: configurations, races, emptied disks, the calendar and placements. */
-import { C } from '@harecross/kernel';
+import { SHARD } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
 import { Marker, Operator } from '../actors.js';
 import { configOf, type Scenario } from '../scenario.js';
@@ -60,7 +60,8 @@
           const off = [any(s, s.stores), any(s, s.relays), any(s, s.relays)];
           s.note(`cut off ${off.map((n) => n.name).join(' ')}`);
           for (const n of off)
-            for (const o of s.sim.nodes.values()) if (!off.includes(o)) s.sim.cut(n.name, o.name, s.rnd.next() < 0.7);
+            for (const o of s.sim.nodes.values())
+              if (!off.includes(o)) s.sim.cut(n.name, o.name, s.random.next() < 0.7);
           await s.crowd.operator.submit(
             `cut-${i}`,
             { families: i % 2 ? base.families : base.families.slice(0, 1) },
@@ -97,7 +98,7 @@
         m.start(s.relays.map((r) => r.config.client));
         for (let n = 2; n <= 7; n++) {
           const v = any(s, [...s.relays, ...s.stores]);
-          const x = s.rnd.next();
+          const x = s.random.next();
           if (x < 0.3) {
             s.note(`restart ${v.name}`);
             s.sim.kill(v);
@@ -108,10 +109,10 @@
             void pause(s, 2_800).then(() => s.sim.thaw(v));
           } else if (x < 0.9) {
             s.note(`cut off ${v.name}`);
-            for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.rnd.next() < 0.7);
+            for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.random.next() < 0.7);
             void pause(s, 3_500).then(() => s.sim.heal());
           }
-          await pause(s, 300 * s.rnd.next());
+          await pause(s, 300 * s.random.next());
           await submit(n);
           await pause(s, 4_500);
         }
@@ -153,7 +154,7 @@
           const mark = ++n;
           const revision = mark * 3 + i;
           const families = [
-            ...shapes[Math.floor(s.rnd.next() * shapes.length)]!,
+            ...shapes[Math.floor(s.random.next() * shapes.length)]!,
             {
               name: 'mark',
               topics: [`mark/${mark}`],
@@ -165,11 +166,11 @@
           ];
           const document = { revision, words: ['any', { of: null }], limits: { header: 1 } };
           const done = operators[i]!.revise(revision, { families }, true, document);
-          if (s.rnd.next() < 0.4)
-            void pause(s, 9_000 * s.rnd.next()).then(() =>
+          if (s.random.next() < 0.4)
+            void pause(s, 9_000 * s.random.next()).then(() =>
               operators[1 - i]!.revise(revision, { families }, true, document),
             );
-          if (s.rnd.next() < 0.4)
+          if (s.random.next() < 0.4)
             void operators[i]!.revise(
               1_000 + mark * 2 + i,
               { families: [...families, { name: 'mark', topics: [`mark/${mark}`] }] },
@@ -183,7 +184,7 @@
         m.start(s.relays.map((x) => x.config.client));
         for (let round = 0; round < 6; round++) {
           const v = any(s, [...s.relays, ...s.stores]);
-          const x = s.rnd.next();
+          const x = s.random.next();
           if (x < 0.3) {
             s.note(`restart ${v.name}`);
             s.sim.kill(v);
@@ -194,11 +195,11 @@
             void pause(s, 2_800).then(() => s.sim.thaw(v));
           } else if (x < 0.9) {
             s.note(`cut off ${v.name}`);
-            for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.rnd.next() < 0.7);
+            for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.random.next() < 0.7);
             void pause(s, 3_500).then(() => s.sim.heal());
           }
-          await pause(s, 300 * s.rnd.next());
-          await Promise.all([order(0), pause(s, 600 * s.rnd.next()).then(() => order(1))]);
+          await pause(s, 300 * s.random.next());
+          await Promise.all([order(0), pause(s, 600 * s.random.next()).then(() => order(1))]);
           await pause(s, 4_500);
         }
         m.stop();
@@ -328,7 +329,7 @@
         await pause(s, 1_500);
         await s.sim.start(r);
         await pause(s, 6_000);
-        const keeper = s.disks.find((x) => x.up && x.kernel?.use('keeper').mine());
+        const keeper = s.disks.find((x) => x.up && x.kernel?.use('controller').isElected());
         if (keeper && keeper !== e) {
           s.note(`keeper ${keeper.name} dies`);
           s.sim.kill(keeper);
@@ -354,7 +355,7 @@
         const on = s.stores.map((n) => n.config.peer);
         const config = {
           ...configOf(s.site),
-          placement: Array.from({ length: C.shardsN }, (_, shard) => ({ shard, nodes: on })),
+          placement: Array.from({ length: SHARD.shardCount }, (_, shard) => ({ shard, nodes: on })),
         };
         const r = await op.submit('placed', config, true);
         if (r.out !== 'taken') throw new Error(`placement ${r.out}`);
@@ -372,7 +373,7 @@
               .sort()
               .join() === [...on].sort().join(),
         ).length;
-        if (got !== C.shardsN) throw new Error(`${got} of ${C.shardsN} shards are placed as asked`);
+        if (got !== SHARD.shardCount) throw new Error(`${got} of ${SHARD.shardCount} shards are placed as asked`);
         const bad = await op.ask('SubmitConfig', {
           changeId: 'nowhere',
           config: { ...config, placement: [{ shard: 99, nodes: ['9.9.9.9:1'] }] },
--- a/packages/trial/src/growth.ts
+++ b/packages/trial/src/growth.ts
@@ -1,13 +1,13 @@
-/** Prints how large the agreed value, the voters' disks and the board are as a fleet lives long: `node packages/trial/dist/growth.js 170`. */
+/** Prints how large the agreed value, the voters' disks and the membership are as a fleet lives long: `node packages/trial/dist/growth.js 170`. */
 import { longLife } from './test/long-life.js';
 
 const ROUNDS = Number(process.argv[2] ?? 170);
 const PRINT_EVERY = 10;
 const SHOWN = [
   'value.disks',
-  'value.eras',
-  'control.board.members',
-  'control.board.forgotten',
+  'value.incarnations',
+  'control.membership.members',
+  'control.membership.table.tombstones',
   'disk.meta chars',
   'disk.entry rows',
 ];
--- a/packages/trial/src/link.ts
+++ b/packages/trial/src/link.ts
@@ -1,6 +1,6 @@
 import { createServer, connect, type Server, type Socket } from 'node:net';
-import { addr } from '@harecross/kernel';
-import type { Rnd } from '@harecross/kernel';
+import { parseAddress } from '@harecross/kernel';
+import type { RandomSource } from '@harecross/kernel';
 
 interface Pair {
   caller: Socket;
@@ -14,7 +14,7 @@
  * A caller's poor link: a TCP relay in front of a client address, whose connections can be made thin, stall, be reset
  * or die half-open (nothing is passed on any more, and neither side is told).
  * @example
- * const l = await Link.before('127.0.0.1:7004'); l.reset(0.97, rnd);
+ * const l = await Link.before('127.0.0.1:7004'); l.reset(0.97, random);
  */
 export class Link {
   address = '';
@@ -33,7 +33,7 @@
   }
 
   private join(caller: Socket, target: string): void {
-    const node = connect({ ...addr(target), noDelay: true });
+    const node = connect({ ...parseAddress(target), noDelay: true });
     const p: Pair = { caller, node, dead: false, stalledTo: 0 };
     this.pairs.add(p);
     const end = (): void => {
@@ -71,13 +71,13 @@
     }
   }
 
-  private some(share: number, rnd: Rnd): Pair[] {
-    return [...this.pairs].filter((p) => !p.dead && rnd.next() < share);
+  private some(share: number, random: RandomSource): Pair[] {
+    return [...this.pairs].filter((p) => !p.dead && random.next() < share);
   }
 
   /** Resets a share of the connections, on both sides. */
-  reset(share: number, rnd: Rnd): number {
-    const ps = this.some(share, rnd);
+  reset(share: number, random: RandomSource): number {
+    const ps = this.some(share, random);
     for (const p of ps) {
       this.pairs.delete(p);
       p.caller.resetAndDestroy();
@@ -86,8 +86,8 @@
     return ps.length;
   }
   /** Nothing more is passed on, and nobody is told. */
-  halfOpen(share: number, rnd: Rnd): number {
-    const ps = this.some(share, rnd);
+  halfOpen(share: number, random: RandomSource): number {
+    const ps = this.some(share, random);
     for (const p of ps) {
       p.dead = true;
       p.caller.pause();
@@ -96,14 +96,14 @@
     return ps.length;
   }
   /** Nothing is passed on for a while. */
-  stall(share: number, rnd: Rnd, ms: number): number {
-    const ps = this.some(share, rnd);
+  stall(share: number, random: RandomSource, ms: number): number {
+    const ps = this.some(share, random);
     for (const p of ps) p.stalledTo = performance.now() + ms;
     return ps.length;
   }
   /** So many bytes a second, each way. */
-  thin(share: number, rnd: Rnd, rate: number | undefined): number {
-    const ps = this.some(share, rnd);
+  thin(share: number, random: RandomSource, rate: number | undefined): number {
+    const ps = this.some(share, random);
     for (const p of ps) p.rate = rate;
     return ps.length;
   }
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -7,15 +7,15 @@
 import {
   AcceptedConnection,
   AcceptedConnections,
-  Failure,
+  HarecrossError,
   PIECE_BYTES,
   PeerLink,
   WriteBatch,
-  type Fault,
+  type ErrorDetails,
   type PeerIdentity,
   type PeerNetBounds,
   type PeerSystem,
-  type Rnd,
+  type RandomSource,
 } from '@harecross/kernel';
 import { seeded } from './sim.js';
 
@@ -27,7 +27,7 @@
   frameBytes: 64 * 1024,
   waitingBytes: 1024 * 1024,
   callsN: 1_000,
-  connsN: 100,
+  connectionLimit: 100,
   closeMs: 100,
 };
 
@@ -174,7 +174,7 @@
 
   constructor(
     private time: Time,
-    private rnd: Rnd,
+    private random: RandomSource,
   ) {
     const end = (side: 0 | 1): End =>
       new End(
@@ -186,7 +186,7 @@
   }
 
   private delay(): number {
-    return this.rnd.next() < 0.1 ? 300 * this.rnd.next() : 10 * this.rnd.next();
+    return this.random.next() < 0.1 ? 300 * this.random.next() : 10 * this.random.next();
   }
 
   /** Runs at the other end, behind all that was sent before. */
@@ -198,7 +198,7 @@
 
   private carry(side: 0 | 1, bytes: Buffer): void {
     for (let from = 0; from < bytes.length;) {
-      const size = this.rnd.next() < 0.5 ? bytes.length : 1 + Math.floor(this.rnd.next() * bytes.length);
+      const size = this.random.next() < 0.5 ? bytes.length : 1 + Math.floor(this.random.next() * bytes.length);
       const piece = bytes.subarray(from, from + size);
       from += piece.length;
       this.arrive(side, (other) => {
@@ -249,7 +249,7 @@
 class World {
   readonly time = new Time();
   readonly bad: string[] = [];
-  private rnd: Rnd;
+  private random: RandomSource;
   private made: Made[] = [];
   private connections: Connection[] = [];
   private callerInstances = 0;
@@ -265,7 +265,7 @@
     seed: number,
     private plan: CallsPlan,
   ) {
-    this.rnd = seeded(seed);
+    this.random = seeded(seed);
   }
 
   /** The surroundings of a process; once it has ended nothing of it runs any more. */
@@ -285,10 +285,10 @@
   }
 
   private connect(): Socket {
-    const c = new Connection(this.time, this.rnd);
+    const c = new Connection(this.time, this.random);
     const [near, far] = c.ends;
     this.connections.push(c);
-    this.time.after(10 * this.rnd.next(), () => {
+    this.time.after(10 * this.random.next(), () => {
       if (near.destroyed) return;
       if (!this.serverUp || far.closed) {
         near.emit('error', Object.assign(new Error('refused'), { code: 'ECONNREFUSED' }));
@@ -333,7 +333,7 @@
     if (call.endings.includes('unreachable')) this.bad.push(`call ${call.id} was unreachable, and run`);
     const later = [...accepted.all].find((c) => isLater(c.peer, on.peer));
     if (later) this.bad.push(`call ${call.id} came on a connection that a later one had replaced`);
-    const ms = this.rnd.next() < 0.2 ? 500 * this.rnd.next() : 5 * this.rnd.next();
+    const ms = this.random.next() < 0.2 ? 500 * this.random.next() : 5 * this.random.next();
     return new Promise((res) => {
       this.time.after(ms, () => res(`${frame} ${instance}`));
     });
@@ -349,7 +349,7 @@
     if (!this.serverUp) return;
     this.serverUp = false;
     for (const c of this.connections) c.reset();
-    this.time.after(50 * this.rnd.next(), () => this.startServer());
+    this.time.after(50 * this.random.next(), () => this.startServer());
   }
 
   private startCaller(): void {
@@ -387,7 +387,7 @@
     const made: Made = { id: this.made.length, meantFor: this.heardOf, runs: [], endings: [], orphan: false };
     this.made.push(made);
     const caller = this.callerInstances;
-    const timeoutMs = this.rnd.next() < 0.3 ? 60 * this.rnd.next() : 2_000;
+    const timeoutMs = this.random.next() < 0.3 ? 60 * this.random.next() : 2_000;
     this.link.call(String(made.id), timeoutMs).then(
       (answer) => {
         const [id, instance] = answer.split(' ');
@@ -396,7 +396,7 @@
         if (caller === this.callerInstances) this.heardOf = instance;
       },
       (e: unknown) => {
-        const fault: Fault | undefined = e instanceof Failure ? e.fault : undefined;
+        const fault: ErrorDetails | undefined = e instanceof HarecrossError ? e.details : undefined;
         made.endings.push(fault?.tag ?? 'thrown');
         if (fault?.tag === 'unreachable' && made.runs.length)
           this.bad.push(`call ${made.id} was run, and unreachable to its caller`);
@@ -406,23 +406,23 @@
 
   private some(): Connection | undefined {
     const open = this.connections.filter((c) => !c.ends[0].closed);
-    return open[Math.floor(this.rnd.next() * open.length)];
+    return open[Math.floor(this.random.next() * open.length)];
   }
 
   private schedule(): void {
-    const { plan, rnd, time } = this;
+    const { plan, random, time } = this;
     const often = (n: number, run: () => void): void => {
-      for (let i = 0; i < n; i++) time.after(rnd.next() * plan.forMs, run);
+      for (let i = 0; i < n; i++) time.after(random.next() * plan.forMs, run);
     };
     // Calls come in bursts, so that some are under way when trouble strikes.
     often(plan.calls / 4, () => {
-      for (let i = 0; i < 4; i++) time.after(20 * rnd.next(), () => this.call());
+      for (let i = 0; i < 4; i++) time.after(20 * random.next(), () => this.call());
     });
     often(plan.resets, () => this.some()?.reset());
     often(plan.silences, () => {
       const c = this.some();
-      const ms = 1_500 * rnd.next();
-      const ways = rnd.next();
+      const ms = 1_500 * random.next();
+      const ways = random.next();
       if (ways < 0.7) c?.silence(0, ms);
       if (ways > 0.4) c?.silence(1, ms);
     });
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -1,7 +1,14 @@
-import { erasAfter, type Board, type Register } from '@harecross/control';
-import { Copies, Owner, type Key } from '@harecross/data';
-import { Failure, faultOf, shardOf, type Clock, type Db, type Kernel } from '@harecross/kernel';
-import { Store, type Copy } from '@harecross/state';
+import { incarnationsAfter, type MembershipTable, type ConsensusRegister } from '@harecross/control';
+import { ReplicaStore, ShardOwner, type ShardState, type ShardTable } from '@harecross/data';
+import {
+  HarecrossError,
+  toErrorDetails,
+  shardOf,
+  type Clock,
+  type SyncedDatabase,
+  type Kernel,
+} from '@harecross/kernel';
+import { DurableState, type Replica } from '@harecross/state';
 import { Subject } from 'rxjs';
 import { pathToFileURL } from 'node:url';
 import type { Json } from './json.js';
@@ -45,7 +52,7 @@
   rev: 1,
   version: 1,
   config: CONFIG,
-  eras: erasAfter(new Map(), CONFIG, 1),
+  incarnations: incarnationsAfter(new Map(), CONFIG, 1),
   shards: new Map([[SHARD, { gen: 1, copies: COPIES }]]),
   disks: new Map(NODES.map((d) => [d, { id: d, peer: d, domain: d, state: 'active' }])),
 };
@@ -80,9 +87,9 @@
 class World {
   private asks: Ask[] = [];
   private sleeps: { of: number; life: number; fn: () => void }[] = [];
-  private disks: Map<number, Copy>[] = NODES.map(() => new Map());
+  private disks: Map<number, Replica>[] = NODES.map(() => new Map());
   private handlers: Map<string, Handler>[] = NODES.map(() => new Map());
-  private owners: Owner[] = [];
+  private owners: ShardOwner[] = [];
   private lives = NODES.map(() => 0);
   /** What a node asked and heard for the take or the owner it is now. */
   private said: { fence: string; lines: Set<string> }[] = NODES.map(() => ({ fence: '', lines: new Set() }));
@@ -125,14 +132,14 @@
     };
     const k = {
       self,
-      inst: String(life),
+      instanceId: String(life),
       rev: 1,
       phase: 'running',
       startedAt: 0,
       counters: new Map(),
       host: {
         clock,
-        rnd: { next: () => 0.5 },
+        random: { next: () => 0.5 },
         db: {},
         config: { seeds: [] },
         log: {
@@ -142,48 +149,56 @@
           },
         },
       },
-      keep: (s: { unsubscribe(): void }) => s.unsubscribe(),
-      count: () => undefined,
+      addSubscription: (s: { unsubscribe(): void }) => s.unsubscribe(),
+      incrementCounter: () => undefined,
       onStop: () => undefined,
-      thawed$: new Subject(),
+      loopResumed$: new Subject(),
       on: (m: string, h: Handler) => {
         this.handlers[i]!.set(m, h);
       },
       call: (peer: string, m: string, body: Json) => this.call(i, life, NODES.indexOf(peer), m, body),
-      reach: (peer: string, m: string, body: Json) => this.call(i, life, NODES.indexOf(peer), m, body),
+      callAnyPath: (peer: string, m: string, body: Json) => this.call(i, life, NODES.indexOf(peer), m, body),
     };
     const member = (d: string) => ({ peer: d, disk: d, state: 'live', condition: 'ready', inst: '1', liveSince: 0 });
-    const board = {
-      changed$: new Subject(),
-      state$: new Subject(),
+    const membership = {
+      factChanged$: new Subject(),
+      memberStateChanged$: new Subject(),
       members: new Map(NODES.map((d) => [d, member(d)])),
       get: () => undefined,
-      put: () => undefined,
+      publish: () => undefined,
       isLive: () => true,
-      able: () => true,
-      ofDisk: member,
-      live: () => NODES.map(member),
-      say: () => undefined,
+      isAvailable: () => true,
+      memberOfDisk: member,
+      liveMembers: () => NODES.map(member),
+      updateOwnState: () => undefined,
     };
-    const reg = {
+    const register = {
       value: this.valueAt(self),
       value$: new Subject(),
-      fresh$: new Subject(),
-      fresh: () => true,
+      readLeaseBegun$: new Subject(),
+      hasReadLease: () => true,
       peerOf: (d: string) => d,
       disk: self,
     };
-    const st = new Store({ sql: undefined, commit: async (f: () => unknown) => f() } as unknown as Db);
+    const st = new DurableState({
+      sql: undefined,
+      commit: async (f: () => unknown) => f(),
+    } as unknown as SyncedDatabase);
     // The real store without its file: what it keeps in memory is what the file would have.
     const none = { run: () => undefined, get: () => undefined, all: () => [] };
-    Object.assign(st, { q: () => none, get: () => self, copies: () => this.disks[i]! });
+    Object.assign(st, { statement: () => none, get: () => self, loadReplicas: () => this.disks[i]! });
     const kernel = k as unknown as Kernel;
-    const copies = new Copies(kernel, st);
-    this.owners[i] = new Owner(kernel, board as unknown as Board, reg as unknown as Register, copies);
+    const copies = new ReplicaStore(kernel, st);
+    this.owners[i] = new ShardOwner(
+      kernel,
+      membership as unknown as MembershipTable,
+      register as unknown as ConsensusRegister,
+      copies,
+    );
   }
 
-  private key1(i: number): Key {
-    return (this.owners[i] as unknown as { keys: Map<number, Key> }).keys.get(SHARD)!;
+  private key1(i: number): ShardState {
+    return (this.owners[i] as unknown as { shards: ShardTable }).shards.get(SHARD);
   }
 
   private handle(to: number, m: string, body: Json, from: number): Promise<unknown> {
@@ -220,7 +235,7 @@
     if (planted === 'takes lower fences' && a.m === 'Append' && c && a.body.fence < c.promised)
       c.promised = a.body.fence;
     void this.handle(a.to, a.m, a.body, a.from)
-      .catch((e) => (e instanceof Failure ? e : new Failure(faultOf(e, a.m, NODES[a.to]!))))
+      .catch((e) => (e instanceof HarecrossError ? e : new HarecrossError(toErrorDetails(e, a.m, NODES[a.to]!))))
       .then((x) => {
         if (planted === 'hides its history' && a.m === 'Fence')
           x = (x as { ok: boolean }[]).map((p) => (p.ok ? { ...p, lastIdx: 0, lastFence: '', baseIdx: 0 } : p));
@@ -250,7 +265,7 @@
       },
       (e) => {
         if (!over()) return;
-        if (faultOf(e, 'Publish', NODES[i]!).tag !== 'stale_seq') return;
+        if (toErrorDetails(e, 'Publish', NODES[i]!).tag !== 'stale_seq') return;
         if (this.accepted.has(seq)) this.bad = `message ${seq} was accepted, and refused for good`;
         this.refused.add(seq);
       },
@@ -261,16 +276,16 @@
   check(): void {
     NODES.forEach((n, i) => {
       const key = this.key1(i);
-      if (key.state !== 'owner') return;
-      const promised = key.copies.filter((d) => this.disks[NODES.indexOf(d)]!.get(SHARD)?.promised === key.fence);
-      if (promised.length * 2 <= key.copies.length) return;
+      if (key.phase !== 'owner') return;
+      const promised = key.replicas.filter((d) => this.disks[NODES.indexOf(d)]!.get(SHARD)?.promised === key.fence);
+      if (promised.length * 2 <= key.replicas.length) return;
       for (const [seq, off] of this.accepted) {
-        const o = key.outcome(TOPIC, 's', seq);
+        const o = key.outcomeOf(TOPIC, 's', seq);
         if (o.tag !== 'stored' || o.off !== off)
           this.bad ??= `${n} owns the key, and message ${seq}, accepted at ${off}, is ${o.tag}`;
       }
       for (const seq of this.refused)
-        if (key.outcome(TOPIC, 's', seq).tag === 'stored')
+        if (key.outcomeOf(TOPIC, 's', seq).tag === 'stored')
           this.bad ??= `${n} owns the key and has message ${seq}, which was refused for good`;
     });
   }
@@ -286,7 +301,7 @@
       const fails = (): void => {
         this.lost++;
         this.notes(a.from, this.said[a.from]!.fence, `lost ${label}`);
-        a.rej(new Failure({ tag: 'timeout', step: a.m, peer: NODES[a.to]! }));
+        a.rej(new HarecrossError({ tag: 'timeout', step: a.m, peer: NODES[a.to]! }));
       };
       out.push({
         label,
@@ -294,7 +309,7 @@
           off();
           this.arrives(a, (x) => {
             this.notes(a.from, this.said[a.from]!.fence, `< ${a.m} ${a.to} ${JSON.stringify(x)}`);
-            if (x instanceof Failure) a.rej(x);
+            if (x instanceof HarecrossError) a.rej(x);
             else a.res(x);
           });
         },
@@ -325,7 +340,7 @@
         },
       });
     NODES.forEach((n, i) => {
-      const { state } = this.key1(i);
+      const { phase: state } = this.key1(i);
       if (this.took < plan.takes && state !== 'taking' && state !== 'confirming' && this.takes(n))
         out.push({
           label: `${n} takes the key`,
@@ -361,21 +376,21 @@
   }
 
   key(): string {
-    const copy = (c: Copy | undefined): unknown =>
+    const copy = (c: Replica | undefined): unknown =>
       c && [c.promised, c.base.idx, c.entries.map((e) => [e.idx, e.fence, e.off, e.seq])];
     return JSON.stringify([
       this.disks.map((d) => copy(d.get(SHARD))),
       NODES.map((_, i) => {
         const x = this.key1(i);
         return [
-          x.state,
+          x.phase,
           x.fence,
-          x.commit,
-          x.log.map((e) => [e.fence, e.off, e.seq]),
-          [...x.match].sort(byFirst),
-          [...x.next].sort(byFirst),
-          [...x.flying].sort(),
-          x.waits.map((w) => w.idx),
+          x.commitIndex,
+          x.entries.map((e) => [e.fence, e.off, e.seq]),
+          [...x.matchIndex].sort(byFirst),
+          [...x.nextIndex].sort(byFirst),
+          [...x.appendsInFlight].sort(),
+          x.commitWaiters.map((waiter) => waiter.index),
         ];
       }),
       this.said.map((s) => [s.fence, ...[...s.lines].sort()]),
--- a/packages/trial/src/model.ts
+++ b/packages/trial/src/model.ts
@@ -1,6 +1,6 @@
-import { fromText, Register, type Board, type Value } from '@harecross/control';
-import { Failure, pack, type Clock, type Kernel } from '@harecross/kernel';
-import type { Seat } from '@harecross/state';
+import { deserializeValue, ConsensusRegister, type MembershipTable, type FleetValue } from '@harecross/control';
+import { HarecrossError, pack, type Clock, type Kernel } from '@harecross/kernel';
+import type { AcceptorState } from '@harecross/state';
 import { pathToFileURL } from 'node:url';
 import { NEVER } from 'rxjs';
 import type { Json } from './json.js';
@@ -57,20 +57,20 @@
 }
 
 const diskOf = (i: number): string => `d${i}`;
-const changesOf = (v: Value): string => [...v.changes.keys()].join(',');
+const changesOf = (v: FleetValue): string => [...v.changes.keys()].join(',');
 const turn = (): Promise<void> => new Promise((r) => setImmediate(r));
 const idle: Clock = { now: () => 0, wall: () => 0, after: () => () => undefined };
 
-function genesis(): Value {
+function genesis(): FleetValue {
   return {
     fleet: 'model',
     rev: 1,
     version: 0,
     changeId: '',
     config: { families: [] },
-    eras: new Map(),
-    seats: [0, 1, 2].map(diskOf),
-    prevSeats: [0, 1, 2].map(diskOf),
+    incarnations: new Map(),
+    voters: [0, 1, 2].map(diskOf),
+    previousVoters: [0, 1, 2].map(diskOf),
     disks: new Map(),
     shards: new Map(),
     copies: 3,
@@ -85,13 +85,13 @@
  */
 class World {
   pending: Event[] = [];
-  private saved: Seat[] = [];
+  private saved: AcceptorState[] = [];
   private handlers: Map<string, Handler>[] = [];
-  private regs: Register[] = [];
-  private learned: { by: number; v: Value; text: string }[] = [];
+  private regs: ConsensusRegister[] = [];
+  private learned: { by: number; v: FleetValue; text: string }[] = [];
   /** What a proposer sent and heard under its present ballot. */
   private history: { ballot: string; said: Set<string> }[] = [];
-  private first: Seat;
+  private first: AcceptorState;
   private lost = 0;
   private restarted = 0;
   private wakes: number[] = [];
@@ -108,25 +108,25 @@
     plan.proposers.forEach((changes, i) => {
       this.history.push({ ballot: '', said: new Set() });
       this.wakes.push(0);
-      const reg = new Register(this.kernel(i, undefined), this.board());
-      this.regs.push(reg);
-      reg.value$.subscribe((v) => {
+      const register = new ConsensusRegister(this.kernel(i, undefined), this.membership());
+      this.regs.push(register);
+      register.value$.subscribe((v) => {
         if (v) this.learns(i, v);
       });
-      (reg as unknown as { learn(v: Value): void }).learn(genesis());
-      void this.work(i, reg, changes);
+      (register as unknown as { learn(v: FleetValue): void }).learn(genesis());
+      void this.work(i, register, changes);
     });
   }
 
-  private async work(i: number, reg: Register, changes: Change[]): Promise<void> {
+  private async work(i: number, register: ConsensusRegister, changes: Change[]): Promise<void> {
     for (const c of changes) {
       try {
-        await reg.change((v) => ({
+        await register.change((v) => ({
           next: v.changes.has(c.name)
             ? undefined
             : {
                 ...v,
-                seats: c.seats ? c.seats(v.seats) : v.seats,
+                voters: c.seats ? c.seats(v.voters) : v.voters,
                 changes: new Map(v.changes).set(c.name, { tag: 'taken', version: v.rev }),
               },
           out: c.name,
@@ -135,25 +135,25 @@
         return;
       }
       this.done.push(c.name);
-      if (!reg.value!.changes.has(c.name)) this.bad = `${c.name} was said to be done and is not in the value`;
+      if (!register.value!.changes.has(c.name)) this.bad = `${c.name} was said to be done and is not in the value`;
     }
   }
 
-  private board(): Board {
-    const board: Partial<Record<keyof Board, unknown>> = {
-      say: () => undefined,
-      pass: () => undefined,
-      paced: (leastMs: number) => leastMs,
-      wellLinked: (peer: string) => peer,
-      isLarge: () => false,
-      somePeers: () => [],
-      contacts: () => [],
-      state$: NEVER,
-      ofDisk: (d: string) => ({ peer: d }),
-      live: () => [],
+  private membership(): MembershipTable {
+    const membership: Partial<Record<keyof MembershipTable, unknown>> = {
+      updateOwnState: () => undefined,
+      disseminate: () => undefined,
+      scaledPeriodMs: (leastMs: number) => leastMs,
+      preferPeerWithDisk: (peer: string) => peer,
+      isLargeFleet: () => false,
+      randomPeersOrContacts: () => [],
+      contactAddresses: () => [],
+      memberStateChanged$: NEVER,
+      memberOfDisk: (d: string) => ({ peer: d }),
+      liveMembers: () => [],
       isLive: () => true,
     };
-    return board as Board;
+    return membership as MembershipTable;
   }
 
   /** The seat's real handlers over what its disk has. */
@@ -163,19 +163,19 @@
     const st = {
       get: (k: string) => (k === 'disk' ? disk : 'model'),
       set: () => undefined,
-      seat: (): Seat => {
+      acceptorState: (): AcceptorState => {
         const s = this.saved[i]!;
         if (planted === 'accepts below its promise') return { ...s, promised: s.ballot };
         return { ...s };
       },
-      saveSeat: (s: Seat) => {
+      saveAcceptorState: (s: AcceptorState) => {
         const forgets = planted === 'forgets its promise' && s.ballot === this.saved[i]!.ballot;
         if (!forgets) this.saved[i] = { ...s };
       },
       db: { commit: async (f: () => unknown) => f() },
     };
     this.handlers[i]!.clear();
-    new Register(this.kernel(-1 - i, st), this.board());
+    new ConsensusRegister(this.kernel(-1 - i, st), this.membership());
   }
 
   /** What the register needs of a kernel: handlers for a seat (negative), calls for a proposer. */
@@ -193,22 +193,22 @@
           };
     const kernel = {
       self,
-      inst: '1',
+      instanceId: '1',
       rev: 0,
       phase: 'running',
       startedAt: 0,
       host: {
         clock,
-        rnd: { next: () => 0.5 },
+        random: { next: () => 0.5 },
         db: st ? {} : undefined,
         config: { seeds: [], applyMs: 3_000 },
         log: { info: () => undefined, warn: () => undefined },
       },
       use: () => st,
-      keep: (s: { unsubscribe(): void }) => {
+      addSubscription: (s: { unsubscribe(): void }) => {
         s.unsubscribe();
       },
-      count: () => undefined,
+      incrementCounter: () => undefined,
       on: (m: string, h: Handler) => {
         if (i < 0) this.handlers[-1 - i]!.set(m, h);
       },
@@ -230,7 +230,7 @@
   /** Planted: a change is taken as accepted by the voters that go with it, without asking them. */
   private ignored(m: string, body: { disk: string; value?: string }): boolean {
     if (this.plan.planted !== 'heeds no voters before' || m !== 'RegAccept') return false;
-    return !fromText(body.value!).seats.includes(body.disk);
+    return !deserializeValue(body.value!).voters.includes(body.disk);
   }
 
   /** What belongs to an earlier ballot can only raise the number of the next one; see `key`. */
@@ -241,7 +241,7 @@
     else h.said.add(text);
   }
 
-  private learns(by: number, v: Value): void {
+  private learns(by: number, v: FleetValue): void {
     const text = pack(v);
     for (const x of this.learned) {
       const [low, high] = x.v.rev <= v.rev ? [x.v, v] : [v, x.v];
@@ -269,7 +269,7 @@
           const fails = (): void => {
             this.lost++;
             this.notes(e.from, e.body.ballot, `lost ${e.m} ${e.disk}`);
-            e.rej(new Failure({ tag: 'timeout', step: e.m, peer: e.disk }));
+            e.rej(new HarecrossError({ tag: 'timeout', step: e.m, peer: e.disk }));
           };
           out.push({
             label,
@@ -277,7 +277,7 @@
               take(e);
               this.arrives(e, (x) => {
                 this.notes(e.from, e.body.ballot, `< ${e.m} ${e.disk} ${JSON.stringify(x)}`);
-                if (x instanceof Failure) e.rej(x);
+                if (x instanceof HarecrossError) e.rej(x);
                 else e.res(x);
               });
             },
--- a/packages/trial/src/outage.ts
+++ b/packages/trial/src/outage.ts
@@ -47,7 +47,7 @@
     n.up && !n.frozen
       ? n
           .kernel!.use('owner')
-          .owned()
+          .ownedShards()
           .map((k) => k.shard)
       : [];
   const victim = kind === 'relay killed' ? m.relays[5]! : m.stores[seed % m.stores.length]!;
@@ -57,7 +57,7 @@
   const topics = Array.from({ length: 64 }, (_, i) => `r/${i}`).filter(
     (t) => !victim.config.data || shards.has(shardOf(t)),
   );
-  const t0 = sim.now + 500 + 400 * sim.rnd.next();
+  const t0 = sim.now + 500 + 400 * sim.random.next();
   const first = new Map<string, number>();
   let on = true;
   for (const topic of topics) {
@@ -114,7 +114,10 @@
   const taken = new Map<number, number>();
   while (sim.now < t0 + 6_000) {
     await sim.run(sim.now + 10);
-    if (!seen && others.some((n) => n.up && n.kernel!.use('board').members.get(victim.config.peer)?.state !== 'live'))
+    if (
+      !seen &&
+      others.some((n) => n.up && n.kernel!.use('membership').members.get(victim.config.peer)?.state !== 'live')
+    )
       seen = sim.now;
     for (const n of others) for (const s of owned(n)) if (shards.has(s) && !taken.has(s)) taken.set(s, sim.now);
   }
--- a/packages/trial/src/rejoin-times.ts
+++ b/packages/trial/src/rejoin-times.ts
@@ -30,11 +30,14 @@
   void fleet.sim.start(back);
   const register = () => (back.kernel?.has('register') ? back.kernel.use('register') : undefined);
   const revision = first.kernel!.use('register').value!.revision;
-  const current = await until(fleet, () => register()?.fresh() === true && register()!.value!.revision === revision);
-  const voters = fleet.controls.filter((c) => c !== third).concat(back);
+  const current = await until(
+    fleet,
+    () => register()?.hasReadLease() === true && register()!.value!.revision === revision,
+  );
+  const expected = fleet.controls.filter((c) => c !== third).concat(back);
   const isSettled = (): boolean => {
-    const { seats, prevSeats } = first.kernel!.use('register').value!;
-    return [seats, prevSeats].every((set) => [...set].sort().join() === voters.map(diskOf).sort().join());
+    const { voters, previousVoters } = first.kernel!.use('register').value!;
+    return [voters, previousVoters].every((set) => [...set].sort().join() === expected.map(diskOf).sort().join());
   };
   const voter = await until(fleet, () => back.kernel?.has('register') === true && isSettled());
   // With another voter cut off each change needs its vote.
--- a/packages/trial/src/scale.ts
+++ b/packages/trial/src/scale.ts
@@ -1,4 +1,4 @@
-import { fromText, toText } from '@harecross/control';
+import { deserializeValue, serializeValue } from '@harecross/control';
 import { configFaults, familyOf, type FleetConfig } from '@harecross/schema';
 import yargs from 'yargs';
 import { build, configOf, SMALL, type Site } from './scenario.js';
@@ -75,7 +75,7 @@
     const processor = process.cpuUsage();
     let answered = 0,
       everywhere = 0;
-    const at = ups[Math.floor(sim.rnd.next() * ups.length)]!;
+    const at = ups[Math.floor(sim.random.next() * ups.length)]!;
     void sim.outside.visit(at.config.client, 'SubmitConfig', { revision: i, config, document }, 10_000).then(() => {
       answered = sim.now;
     });
@@ -94,11 +94,11 @@
     await sim.run(sim.now + 1_000);
   }
   const v = ups[0]!.kernel!.use('register').value!;
-  const text = toText(v);
+  const text = serializeValue(v);
   const ms = (xs: number[]): string => `${Math.round(Math.min(...xs))} to ${Math.round(Math.max(...xs))} ms`;
   process.stdout.write(
     `${n} families: value as text ${(text.length / 1024).toFixed(1)} KiB; a change answered after ${ms(told)}, at all 15 nodes after ${ms(all)}, ` +
-      `${Math.round(Math.min(...kib))} KiB sent for it, processor time of all together ${ms(processorMs)}; to text ${took(() => toText({ ...v })).toFixed(2)} ms, from text ${took(() => fromText(text)).toFixed(2)} ms, ` +
+      `${Math.round(Math.min(...kib))} KiB sent for it, processor time of all together ${ms(processorMs)}; to text ${took(() => serializeValue({ ...v })).toFixed(2)} ms, from text ${took(() => deserializeValue(text)).toFixed(2)} ms, ` +
       `checked in ${took(() => configFaults(config)).toFixed(2)} ms, laid out in ${took(() => familyOf(structuredClone(v.config), 'kafi7.1')).toFixed(2)} ms, ` +
       `a topic's family in ${(
         took(() => {
@@ -127,7 +127,7 @@
   const sim = new Sim(a.seed);
   const m = await build(sim, site);
   await sim.run(15_000);
-  const reg = (n: (typeof m.stores)[number]) => n.kernel!.use('register');
+  const register = (n: (typeof m.stores)[number]) => n.kernel!.use('register');
   const ups = [...sim.nodes.values()];
   const owners = (): Map<number, string> =>
     new Map(
@@ -136,7 +136,7 @@
         .flatMap((d) =>
           d
             .kernel!.use('owner')
-            .owned()
+            .ownedShards()
             .map((k) => [k.shard, d.name] as [number, string]),
         ),
     );
@@ -153,7 +153,7 @@
   // A configuration: from its answer until the last node has it in force.
   const spread: number[] = [];
   for (let i = 0; i < 5; i++) {
-    const at = ups[Math.floor(sim.rnd.next() * ups.length)]!;
+    const at = ups[Math.floor(sim.random.next() * ups.length)]!;
     let told = 0;
     void sim.outside
       .visit(at.config.client, 'SubmitConfig', { changeId: `s${i}`, config: configOf(site) }, 10_000)
@@ -164,7 +164,7 @@
     let all = 0;
     while (!told || !all) {
       await sim.run(sim.now + 10);
-      if (!all && ups.every((n) => (reg(n).value?.version ?? 0) >= version)) all = sim.now;
+      if (!all && ups.every((n) => (register(n).value?.version ?? 0) >= version)) all = sim.now;
       if (sim.now > 120_000) throw new Error('never in force');
     }
     spread.push(Math.max(0, all - told));
@@ -187,7 +187,7 @@
   while (!last || !served) {
     await sim.run(sim.now + 20);
     const sus = ups.filter(
-      (n) => n !== victim && n.kernel!.use('board').members.get(victim.config.peer)?.state !== 'live',
+      (n) => n !== victim && n.kernel!.use('membership').members.get(victim.config.peer)?.state !== 'live',
     ).length;
     if (sus && !first) first = sim.now - t0;
     if (sus === ups.length - 1 && !last) last = sim.now - t0;
--- a/packages/trial/src/scenario.ts
+++ b/packages/trial/src/scenario.ts
@@ -1,5 +1,5 @@
-import type { Value } from '@harecross/control';
-import { sample, sleep } from '@harecross/kernel';
+import type { FleetValue } from '@harecross/control';
+import { randomSample, sleep } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
 import { audit, Consumer, Operator, Pipeliner, Sender, type World } from './actors.js';
 import { Journal, type Seen } from './journal.js';
@@ -110,7 +110,7 @@
     for (const f of site.families) {
       mine.add(`${f.prefix}${i % followed(f.topics)}`);
       if (i % 8 === 0)
-        for (const n of sample(w.rnd, [...Array(followed(f.topics)).keys()], 3)) mine.add(`${f.prefix}${n}`);
+        for (const n of randomSample(w.random, [...Array(followed(f.topics)).keys()], 3)) mine.add(`${f.prefix}${n}`);
       if (f.urgency === 'urgent') mine.add(`${f.prefix}0`);
     }
     consumers.push(new Consumer(w, `c${i}`, site.domains[i % site.domains.length]!, [...mine]));
@@ -146,7 +146,7 @@
   stores: SimNode[];
   relays: SimNode[];
   disks: SimNode[];
-  rnd: { next(): number };
+  random: { next(): number };
   note(s: string): void;
   /** What is wrong beside what the judge sees in the journal. */
   wrong(rule: Violation['rule'], what: string): void;
@@ -189,7 +189,7 @@
  * const { stores, relays, disks } = await build(sim, SMALL);
  */
 export async function build(sim: Sim, site: Site, skewMs = 0): Promise<Machines> {
-  const skew = (): number => (skewMs ? Math.round((sim.rnd.next() * 2 - 1) * skewMs) : 0);
+  const skew = (): number => (skewMs ? Math.round((sim.random.next() * 2 - 1) * skewMs) : 0);
   const stores = Array.from({ length: site.stores }, (_, i) =>
     sim.add(`store${i + 1}`, {
       role: 'store',
@@ -208,7 +208,7 @@
   );
   const seeds = stores.slice(0, 3).map((n) => n.config.peer);
   for (const n of sim.nodes.values()) n.config.seeds = seeds;
-  for (const n of sim.nodes.values()) void sim.clock.after(sim.rnd.next() * 1500, () => void sim.start(n));
+  for (const n of sim.nodes.values()) void sim.clock.after(sim.random.next() * 1500, () => void sim.start(n));
   return { stores, relays, disks: [...stores, ...relays.filter((r) => r.config.data)] };
 }
 
@@ -218,8 +218,8 @@
   if (!v) return { broken: ['no value'], thin: [] };
   const live = new Set([...sim.nodes.values()].filter((n) => n.up && !n.frozen).map(diskOf));
   const sets: [string, string[]][] = [
-    ['voters', v.seats],
-    ['voters before', v.prevSeats],
+    ['voters', v.voters],
+    ['voters before', v.previousVoters],
     ...[...v.shards].map(([shard, p]): [string, string[]] => [`shard ${shard}`, p.copies]),
   ];
   const alive = (set: string[]): number => set.filter((d) => live.has(d)).length;
@@ -230,8 +230,8 @@
 }
 
 /** The newest value of the register that any machine has, or had when it went. */
-function valueOf(sim: Sim): Value | undefined {
-  let top: Value | undefined;
+function valueOf(sim: Sim): FleetValue | undefined {
+  let top: FleetValue | undefined;
   for (const n of sim.nodes.values()) {
     const v = n.kernel?.use('register').value;
     if (v && (!top || v.rev > top.rev)) top = v;
@@ -264,7 +264,7 @@
     }).length *
       2 >
     disks.length;
-  const well = v ? up.filter((n) => [v.seats, v.prevSeats].every((s) => most(s, (m) => linked(n, m)))) : [];
+  const well = v ? up.filter((n) => [v.voters, v.previousVoters].every((s) => most(s, (m) => linked(n, m)))) : [];
   const able = v !== undefined && [...v.shards.values()].every((p) => most(p.copies, (n) => well.includes(n)));
   const ailing = nodes
     .filter((n) => n.up && !well.includes(n))
@@ -280,18 +280,18 @@
 }
 
 /** A machine with a disk that may die now: every shard, and the register, keeps a majority without it. */
-function spare(sim: Sim, rnd: { next(): number }): SimNode | undefined {
+function spare(sim: Sim, random: { next(): number }): SimNode | undefined {
   const nodes = [...sim.nodes.values()];
   const v = valueOf(sim);
   const at = new Map(nodes.filter((n) => n.up && !n.frozen).map((n) => [diskOf(n), n]));
-  const sets = v ? [v.seats, v.prevSeats, ...[...v.shards.values()].map((p) => p.copies)] : [];
+  const sets = v ? [v.voters, v.previousVoters, ...[...v.shards.values()].map((p) => p.copies)] : [];
   const may = [...at].filter(
     ([d, n]) =>
       d !== undefined &&
       sets.every((s) => s.filter((x) => x !== d && at.has(x)).length * 2 > s.length) &&
       n.config.data,
   );
-  return may[Math.floor(rnd.next() * may.length)]?.[1];
+  return may[Math.floor(random.next() * may.length)]?.[1];
 }
 
 /**
@@ -304,7 +304,7 @@
   const sim = new Sim(seed, sc.opts);
   const m = await (sc.machines ? sc.machines(sim, site) : build(sim, site, sc.skewMs));
   const journal = new Journal(() => sim.now);
-  const world: World = { clock: sim.clock, rnd: seeded(seed ^ 0x5eed), way: sim.outside, journal };
+  const world: World = { clock: sim.clock, random: seeded(seed ^ 0x5eed), way: sim.outside, journal };
   const cr = crowd(world, site);
   const notes: string[] = [];
   const wrong: Violation[] = [];
@@ -314,7 +314,7 @@
     site,
     crowd: cr,
     ...m,
-    rnd: seeded(seed ^ 0xfa17),
+    random: seeded(seed ^ 0xfa17),
     note: (s) => {
       notes.push(`${(sim.now / 1000).toFixed(3)} ${s}`);
       sim.lines.push(`${(sim.now / 1000).toFixed(3)} ** ${s}`);
@@ -369,7 +369,7 @@
   void (async () => {
     while (watching) {
       await sleep(sim.clock, 500);
-      void cr.operator.count(cr.topics[Math.floor(world.rnd.next() * cr.topics.length)]!);
+      void cr.operator.count(cr.topics[Math.floor(world.random.next() * cr.topics.length)]!);
     }
   })();
   await sim.run(17_000);
@@ -383,7 +383,7 @@
   const v = valueOf(sim);
   if (v) await drive(audit(world, 'audit', v.config), 20_000);
   else notes.push('the fleet never had a value again');
-  const victim = spare(sim, stage.rnd);
+  const victim = spare(sim, stage.random);
   if (v && victim) {
     notes.push(`${(sim.now / 1000).toFixed(3)} after the day ${victim.name} dies`);
     sim.kill(victim);
--- a/packages/trial/src/sim-disk.ts
+++ b/packages/trial/src/sim-disk.ts
@@ -4,7 +4,7 @@
  */
 import { copyFileSync, existsSync, fstatSync, mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { openDb, type Clock, type Db, type Log, type Rnd } from '@harecross/kernel';
+import { openDb, type Clock, type SyncedDatabase, type Log, type RandomSource } from '@harecross/kernel';
 
 /** What a disk writes at once; a loss of power keeps or drops whole ones, or tears one. */
 const BLOCK_BYTES = 4_096;
@@ -25,11 +25,11 @@
 /**
  * One machine's disk. A process opens it; between two lives of the process it keeps its files.
  * @example
- * const db = disk.open(clock, log, onFault, '10.0.0.1:7100'); disk.losePower(rnd);
+ * const db = disk.open(clock, log, onFault, '10.0.0.1:7100'); disk.losePower(random);
  */
 export class SimDisk {
   private life = 0;
-  private db?: Db;
+  private db?: SyncedDatabase;
   /** The database file as its last sync found it. */
   private syncedData = Buffer.alloc(0);
   /** Bytes of the log that its last sync covered. */
@@ -47,7 +47,7 @@
   }
 
   /** Opens the database as the product does; throws when that fails. */
-  open(clock: Clock, log: Log, onFault: (e: Error) => void, self: string): Db {
+  open(clock: Clock, log: Log, onFault: (e: Error) => void, self: string): SyncedDatabase {
     const folder = this.folder();
     mkdirSync(folder, { recursive: true });
     const db = openDb(folder, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
@@ -96,25 +96,26 @@
   }
 
   /** Power was lost: what was synced stays, and each later write is kept, dropped or torn; or all of them are dropped. */
-  losePower(rnd: Rnd): void {
+  losePower(random: RandomSource): void {
     this.nextLife((from, to) => {
       if (!existsSync(join(from, LOG))) {
         // Closed in good order: all is in the database, and synced.
         copyFileSync(join(from, DATA), join(to, DATA));
         return;
       }
-      const keepShare = rnd.next() < ALL_LOST_SHARE ? 0 : rnd.next();
+      const keepShare = random.next() < ALL_LOST_SHARE ? 0 : random.next();
       const data = readFileSync(join(from, DATA));
       const log = readFileSync(join(from, LOG));
-      writeFileSync(join(to, DATA), afterPowerLoss(this.syncedData, data, keepShare, rnd));
-      writeFileSync(join(to, LOG), this.logAfterPowerLoss(log, keepShare, rnd));
+      writeFileSync(join(to, DATA), afterPowerLoss(this.syncedData, data, keepShare, random));
+      writeFileSync(join(to, LOG), this.logAfterPowerLoss(log, keepShare, random));
     });
   }
 
-  private logAfterPowerLoss(log: Buffer, keepShare: number, rnd: Rnd): Buffer {
-    if (this.logBefore === undefined) return afterPowerLoss(log.subarray(0, this.syncedLogBytes), log, keepShare, rnd);
+  private logAfterPowerLoss(log: Buffer, keepShare: number, random: RandomSource): Buffer {
+    if (this.logBefore === undefined)
+      return afterPowerLoss(log.subarray(0, this.syncedLogBytes), log, keepShare, random);
     // It was emptied, and that may have come to last or not.
-    return rnd.next() < keepShare ? log : this.logBefore;
+    return random.next() < keepShare ? log : this.logBefore;
   }
 
   /** The disk is gone with all that is on it; an empty one takes its place. */
@@ -136,7 +137,7 @@
 }
 
 /** A file of which each block written since the last sync was kept, dropped or torn. */
-function afterPowerLoss(synced: Buffer, written: Buffer, keepShare: number, rnd: Rnd): Buffer {
+function afterPowerLoss(synced: Buffer, written: Buffer, keepShare: number, random: RandomSource): Buffer {
   const out = Buffer.alloc(Math.max(synced.length, written.length));
   synced.copy(out);
   let length = synced.length;
@@ -144,7 +145,7 @@
     const end = Math.min(at + BLOCK_BYTES, written.length);
     const block = written.subarray(at, end);
     if (end <= synced.length && block.equals(synced.subarray(at, end))) continue;
-    const kept = keptBytes(block.length, keepShare, rnd);
+    const kept = keptBytes(block.length, keepShare, random);
     if (!kept) continue;
     block.copy(out, at, 0, kept);
     length = Math.max(length, at + kept);
@@ -153,7 +154,7 @@
 }
 
 /** How much of a block that was not synced is found after a loss of power. */
-function keptBytes(bytes: number, keepShare: number, rnd: Rnd): number {
-  if (rnd.next() >= keepShare) return 0;
-  return rnd.next() < TORN_SHARE ? Math.floor(bytes * rnd.next()) : bytes;
+function keptBytes(bytes: number, keepShare: number, random: RandomSource): number {
+  if (random.next() >= keepShare) return 0;
+  return random.next() < TORN_SHARE ? Math.floor(bytes * random.next()) : bytes;
 }
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -1,15 +1,15 @@
 import '@harecross/control';
 import { frameLines, startNode, type Edge } from '@harecross/data';
 import {
-  Db,
-  Failure,
+  SyncedDatabase,
+  HarecrossError,
   type Clock,
   type Host,
   type Kernel,
   type Log,
   type Net,
   type NodeConfig,
-  type Rnd,
+  type RandomSource,
   type Role,
 } from '@harecross/kernel';
 import type { Frame } from '@harecross/schema';
@@ -26,7 +26,7 @@
  * @example
  * seeded(7).next(); // the same number every time
  */
-export function seeded(seed: number): Rnd {
+export function seeded(seed: number): RandomSource {
   let a = seed >>> 0;
   return {
     next() {
@@ -145,7 +145,7 @@
   handle?: (f: string) => Promise<string>;
   kernel?: Kernel;
   edge?: Edge;
-  db?: Db;
+  db?: SyncedDatabase;
   /** When connections of it were last reset. */
   resetAt?: number;
   /** The disk takes no more: the process is expected to notice and end. */
@@ -171,7 +171,7 @@
  */
 export class Sim {
   now = 0;
-  readonly rnd: Rnd;
+  readonly random: RandomSource;
   readonly nodes = new Map<string, SimNode>();
   readonly lines: string[] = [];
   events = 0;
@@ -201,7 +201,7 @@
     readonly seed: number,
     private opts: SimOpts = {},
   ) {
-    this.rnd = seeded(seed);
+    this.random = seeded(seed);
     this.delay = opts.delayMs ?? [0.5, 6];
     this.loss = opts.loss ?? 0;
     if (opts.files) this.folder = mkdtempSync(join(tmpdir(), 'harecross-sim-'));
@@ -286,8 +286,8 @@
 
   /** The way there (or back) takes this long; a lost packet is sent again after 200 ms and more. */
   private way(slow = 0): number {
-    let d = this.delay[0] + (this.delay[1] - this.delay[0]) * this.rnd.next() + slow * this.rnd.next();
-    for (let back = 200; this.rnd.next() < this.loss && back < 4_000; back *= 2) d += back;
+    let d = this.delay[0] + (this.delay[1] - this.delay[0]) * this.random.next() + slow * this.random.next();
+    for (let back = 200; this.random.next() < this.loss && back < 4_000; back *= 2) d += back;
     return d;
   }
 
@@ -344,12 +344,12 @@
     n.up = true;
     n.frozen = false;
     n.frozenWork = [];
-    const rnd = seeded(Math.floor(this.rnd.next() * 2 ** 32));
+    const random = seeded(Math.floor(this.random.next() * 2 ** 32));
     // A wrong rate begins where the clock stands; timers run at it too.
     const clock: Clock = {
       now: () => EPOCH_MS + this.now * n.rate + n.skewMs,
       wall: () => clock.now() + n.stepMs,
-      after: (ms, fn) => this.at(ms / n.rate + n.slowMs * rnd.next(), () => this.work(n, life, fn)),
+      after: (ms, fn) => this.at(ms / n.rate + n.slowMs * random.next(), () => this.work(n, life, fn)),
     };
     const net: Net = {
       serve: async (h) => {
@@ -370,11 +370,11 @@
       };
     const host: Host = {
       clock,
-      rnd,
+      random,
       net,
       config: n.config,
       log: { info: note(''), warn: note('! ') },
-      die: () => this.kill(n),
+      terminate: () => this.kill(n),
     };
     if (n.config.data && n.disk !== undefined && n.fullDisk) {
       // The product's programs: a store ends, others go on without a disk.
@@ -383,7 +383,7 @@
         return;
       }
     } else if (n.config.data) {
-      n.db = host.db = this.openDisk(n, this.blocking(n, life, clock, rnd), rnd, host.log);
+      n.db = host.db = this.openDisk(n, this.blocking(n, life, clock, random), random, host.log);
     }
     const { kernel, edge } = await startNode(host);
     n.kernel = kernel;
@@ -391,7 +391,7 @@
   }
 
   /** A node's clock under which a sync may stop the whole loop: nothing else of it runs meanwhile, and only then is it done. */
-  private blocking(n: SimNode, life: number, clock: Clock, rnd: Rnd): Clock {
+  private blocking(n: SimNode, life: number, clock: Clock, random: RandomSource): Clock {
     return {
       ...clock,
       after: (ms, fn) =>
@@ -402,7 +402,7 @@
             return;
           }
           n.frozen = true;
-          this.at(by[0] + (by[1] - by[0]) * rnd.next(), () => {
+          this.at(by[0] + (by[1] - by[0]) * random.next(), () => {
             if (!n.up || n.life !== life) return;
             n.frozen = false;
             fn();
@@ -413,21 +413,21 @@
   }
 
   /** Opens a node's disk. */
-  private openDisk(n: SimNode, clock: Clock, rnd: Rnd, log: Log): Db | undefined {
+  private openDisk(n: SimNode, clock: Clock, random: RandomSource, log: Log): SyncedDatabase | undefined {
     const onFault = (e: Error): void => {
       this.lines.push(`${(this.now / 1000).toFixed(3)} ${n.name} disk fault: ${e.message}`);
       if (!n.fullDisk) this.errors.push(`${n.name} disk: ${e.message}`);
       this.kill(n);
     };
-    const syncMs = (): number => n.diskMs * (0.5 + rnd.next());
+    const syncMs = (): number => n.diskMs * (0.5 + random.next());
     if (this.folder === undefined) {
       n.sql ??= new Database(':memory:');
-      const db = new Db(n.sql, clock, syncMs, onFault, n.config.peer);
+      const db = new SyncedDatabase(n.sql, clock, syncMs, onFault, n.config.peer);
       db.openMs = n.diskMs;
       return db;
     }
     n.disk ??= new SimDisk(join(this.folder, n.name), {
-      afterSync: (fn) => void this.at(n.diskMs * (0.5 + this.rnd.next()), fn),
+      afterSync: (fn) => void this.at(n.diskMs * (0.5 + this.random.next()), fn),
     });
     const db = n.disk.open(clock, log, onFault, n.config.peer);
     db.openMs = n.diskMs;
@@ -441,7 +441,7 @@
     n.up = false;
     n.life++;
     n.db?.drop();
-    n.kernel?.end();
+    n.kernel?.stopLoops();
     n.disk?.endProcess();
     n.handle = undefined;
     n.frozen = false;
@@ -454,7 +454,7 @@
 
   /** The machine loses power: what its disk had not synced may be gone. */
   losePower(n: SimNode): void {
-    if (n.up) n.disk?.losePower(this.rnd);
+    if (n.up) n.disk?.losePower(this.random);
     this.kill(n);
   }
 
@@ -509,7 +509,7 @@
   private runFrozen(n: SimNode): void {
     const w = n.frozenWork;
     n.frozenWork = [];
-    for (const f of w) this.at(this.rnd.next(), f);
+    for (const f of w) this.at(this.random.next(), f);
   }
   /** From now on the node's clock runs at this rate; it goes on from where it stands. */
   setRate(n: SimNode, rate: number): void {
@@ -535,9 +535,11 @@
         to?.calls.delete(broken);
         this.work(from, life, fn);
       };
-      const stop = this.at(timeoutMs, () => end(() => rej(new Failure({ tag: 'timeout', step: 'call', peer }))));
+      const stop = this.at(timeoutMs, () => end(() => rej(new HarecrossError({ tag: 'timeout', step: 'call', peer }))));
       if (!to) {
-        this.at(1, () => end(() => rej(new Failure({ tag: 'unreachable', step: 'call', peer, detail: 'no route' }))));
+        this.at(1, () =>
+          end(() => rej(new HarecrossError({ tag: 'unreachable', step: 'call', peer, detail: 'no route' }))),
+        );
         return;
       }
       const conn = `${from.name}/${life}>${to.name}/${to.life}`;
@@ -546,7 +548,7 @@
         if (this.isCut(from.name, to.name)) return; // silence until the time limit
         if (!to.up || !to.handle) {
           this.at(this.way(), () =>
-            end(() => rej(new Failure({ tag: 'unreachable', step: 'call', peer, detail: 'refused' }))),
+            end(() => rej(new HarecrossError({ tag: 'unreachable', step: 'call', peer, detail: 'refused' }))),
           );
           return;
         }
@@ -554,7 +556,7 @@
         broken = () => {
           this.at(this.way(), () => {
             if (!this.isCut(to.name, from.name))
-              end(() => rej(new Failure({ tag: 'cut', step: 'call', peer, detail: 'reset' })));
+              end(() => rej(new HarecrossError({ tag: 'cut', step: 'call', peer, detail: 'reset' })));
           });
         };
         to.calls.add(broken);
@@ -727,7 +729,7 @@
   resetStreams(share: number): void {
     for (const n of this.nodes.values())
       for (const f of Array.from(n.streams))
-        if (this.rnd.next() < share) {
+        if (this.random.next() < share) {
           n.streams.delete(f);
           f();
         }
@@ -743,9 +745,9 @@
 }
 
 /** Stops a kernel but leaves its database open for the next life. */
-async function stopButDisk(k: Kernel): Promise<void> {
-  const db = k.host.db;
-  (k.host as { db?: Db }).db = undefined;
-  await k.stop();
-  (k.host as { db?: Db }).db = db;
+async function stopButDisk(kernel: Kernel): Promise<void> {
+  const db = kernel.host.db;
+  (kernel.host as { db?: SyncedDatabase }).db = undefined;
+  await kernel.stop();
+  (kernel.host as { db?: SyncedDatabase }).db = db;
 }
--- a/packages/trial/src/storm.ts
+++ b/packages/trial/src/storm.ts
@@ -18,41 +18,41 @@
   return down >= 2 ? [] : ups(ns);
 };
 
-type Fault = (s: Stage, rnd: { next(): number }) => Promise<void>;
-const any = <T>(rnd: { next(): number }, xs: T[]): T | undefined => xs[Math.floor(rnd.next() * xs.length)];
+type Fault = (s: Stage, random: { next(): number }) => Promise<void>;
+const any = <T>(random: { next(): number }, xs: T[]): T | undefined => xs[Math.floor(random.next() * xs.length)];
 /** The configuration as the day has it: faults that change it must not undo each other's families for good. */
 const extra = (s: Stage, name: string) =>
   configOf(s.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
 
 /** One of these machines is killed and comes back. */
-async function killed(s: Stage, rnd: { next(): number }, ns: SimNode[]): Promise<void> {
-  const n = any(rnd, free(s, ns));
+async function killed(s: Stage, random: { next(): number }, ns: SimNode[]): Promise<void> {
+  const n = any(random, free(s, ns));
   if (!n) return;
   s.note(`kill ${n.name}`);
   s.sim.kill(n);
-  await pause(s, 500 + 5_000 * rnd.next());
+  await pause(s, 500 + 5_000 * random.next());
   await s.sim.start(n);
 }
 
 /** Faults that may come at once; each ends by itself and leaves the fleet whole. */
 export const FAULTS = new Map<string, Fault>([
-  ['kill-store', (s, rnd) => killed(s, rnd, s.stores)],
-  ['kill-relay', (s, rnd) => killed(s, rnd, s.relays)],
+  ['kill-store', (s, random) => killed(s, random, s.stores)],
+  ['kill-relay', (s, random) => killed(s, random, s.relays)],
   [
     'lose-disk',
-    async (s, rnd) => {
-      const n = any(rnd, free(s, s.stores));
+    async (s, random) => {
+      const n = any(random, free(s, s.stores));
       if (!n) return;
       s.note(`disk of ${n.name} dies`);
       s.sim.loseDisk(n);
-      await pause(s, 2_000 + 3_000 * rnd.next());
+      await pause(s, 2_000 + 3_000 * random.next());
       await s.sim.start(n);
     },
   ],
   [
     'restart',
-    async (s, rnd) => {
-      const n = any(rnd, free(s, [...s.stores, ...s.relays]));
+    async (s, random) => {
+      const n = any(random, free(s, [...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`stop ${n.name}`);
       await s.sim.stop(n);
@@ -62,8 +62,8 @@
   ],
   [
     'roll',
-    async (s, rnd) => {
-      for (const n of [...s.stores].sort(() => rnd.next() - 0.5)) {
+    async (s, random) => {
+      for (const n of [...s.stores].sort(() => random.next() - 0.5)) {
         if (!n.up || n.frozen || !free(s, [n]).length) continue;
         s.note(`roll ${n.name}`);
         await s.sim.stop(n);
@@ -75,35 +75,35 @@
   ],
   [
     'freeze',
-    async (s, rnd) => {
-      const n = any(rnd, free(s, [...s.stores, ...s.relays]));
+    async (s, random) => {
+      const n = any(random, free(s, [...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`freeze ${n.name}`);
       s.sim.freeze(n);
-      await pause(s, 1_000 + 6_000 * rnd.next());
+      await pause(s, 1_000 + 6_000 * random.next());
       s.sim.thaw(n);
     },
   ],
   [
     'slow',
-    async (s, rnd) => {
-      const n = any(rnd, ups([...s.stores, ...s.relays]));
+    async (s, random) => {
+      const n = any(random, ups([...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`${n.name} is slow in bursts`);
       for (let i = 0; i < 4; i++) {
         n.slowMs = 200;
         n.diskMs = 150;
-        await pause(s, 300 + 1_500 * rnd.next());
+        await pause(s, 300 + 1_500 * random.next());
         n.slowMs = 0;
         n.diskMs = 2;
-        await pause(s, 300 + 700 * rnd.next());
+        await pause(s, 300 + 700 * random.next());
       }
     },
   ],
   [
     'stall',
-    async (s, rnd) => {
-      const n = any(rnd, ups(s.disks));
+    async (s, random) => {
+      const n = any(random, ups(s.disks));
       if (!n) return;
       s.note(`syncs of ${n.name} stop its loop`);
       n.stallMs = [1_000, 3_000];
@@ -113,22 +113,22 @@
   ],
   [
     'cut',
-    async (s, rnd) => {
-      const n = any(rnd, free(s, [...s.stores, ...s.relays]));
+    async (s, random) => {
+      const n = any(random, free(s, [...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`cut off ${n.name}`);
-      const both = rnd.next() < 0.5;
+      const both = random.next() < 0.5;
       const others = [...s.sim.nodes.values()].filter((o) => o !== n);
       for (const o of others) s.sim.cut(n.name, o.name, both);
-      await pause(s, 2_000 + 6_000 * rnd.next());
+      await pause(s, 2_000 + 6_000 * random.next());
       for (const o of others) s.sim.mend(n.name, o.name);
     },
   ],
   [
     'link',
-    async (s, rnd) => {
-      const r = any(rnd, ups(s.relays));
-      const d = any(rnd, ups(s.stores));
+    async (s, random) => {
+      const r = any(random, ups(s.relays));
+      const d = any(random, ups(s.stores));
       if (!r || !d) return;
       s.note(`the link between ${r.name} and ${d.name} breaks`);
       s.sim.cut(r.name, d.name);
@@ -171,7 +171,7 @@
   ],
   [
     'crowd',
-    async (s, rnd) => {
+    async (s, random) => {
       s.note('a crowd arrives at once');
       const k = s.sim.now.toFixed(0);
       const more = Array.from(
@@ -180,7 +180,7 @@
           new Consumer(
             s.world,
             `crowd${k}-${i}`,
-            any(rnd, s.site.domains)!,
+            any(random, s.site.domains)!,
             [s.crowd.topics[i % s.crowd.topics.length]!],
             { jitterMs: 50 },
           ),
@@ -192,8 +192,8 @@
   ],
   [
     'move',
-    async (s, rnd) => {
-      const [from, to] = [any(rnd, s.site.domains)!, any(rnd, s.site.domains)!];
+    async (s, random) => {
+      const [from, to] = [any(random, s.site.domains)!, any(random, s.site.domains)!];
       s.note(`the callers of ${from} move to ${to}`);
       for (const c of s.crowd.consumers)
         if (c.domain === from) {
@@ -205,17 +205,17 @@
   ],
   [
     'vanish',
-    async (s, rnd) => {
+    async (s, random) => {
       s.note('phones vanish without closing');
-      const gone = s.crowd.consumers.filter(() => rnd.next() < 0.3);
+      const gone = s.crowd.consumers.filter(() => random.next() < 0.3);
       for (const c of gone) c.vanish();
-      await pause(s, 3_000 + 6_000 * rnd.next());
+      await pause(s, 3_000 + 6_000 * random.next());
       for (const c of gone) c.start();
     },
   ],
   [
     'operators',
-    async (s, rnd) => {
+    async (s, random) => {
       const op = s.crowd.operator;
       const k = s.sim.now.toFixed(0);
       for (let i = 0; i < 2; i++) {
@@ -223,7 +223,7 @@
         await Promise.all([
           op.submit(`a${k}-${i}`, extra(s, `a${i}`), true, v),
           op.submit(`b${k}-${i}`, extra(s, `b${i}`), true, v),
-          op.submit(`bad${k}-${i}`, { families: [{ name: rnd.next() }] }, false),
+          op.submit(`bad${k}-${i}`, { families: [{ name: random.next() }] }, false),
         ]);
         await pause(s, 800);
       }
@@ -242,8 +242,8 @@
   ],
   [
     'empty',
-    async (s, rnd) => {
-      const n = any(rnd, ups(s.disks));
+    async (s, random) => {
+      const n = any(random, ups(s.disks));
       const disk = n?.kernel?.use('register').disk;
       if (!n || !disk) return;
       s.note(`empty the disk of ${n.name}`);
@@ -254,8 +254,12 @@
   ],
   [
     'join',
-    async (s, rnd) => {
-      const n = s.sim.add(`new${s.sim.nodes.size}`, { role: 'store', domain: any(rnd, s.site.domains)!, disk: true });
+    async (s, random) => {
+      const n = s.sim.add(`new${s.sim.nodes.size}`, {
+        role: 'store',
+        domain: any(random, s.site.domains)!,
+        disk: true,
+      });
       n.config.seeds = s.stores.slice(0, 3).map((x) => x.config.peer);
       s.note(`${n.name} joins`);
       await s.sim.start(n);
@@ -264,13 +268,13 @@
   ],
   [
     'clock',
-    async (s, rnd) => {
-      const n = any(rnd, ups([...s.stores, ...s.relays]));
+    async (s, random) => {
+      const n = any(random, ups([...s.stores, ...s.relays]));
       if (!n) return;
-      const by = (rnd.next() < 0.5 ? -1 : 1) * (1_000 + 600_000 * rnd.next());
+      const by = (random.next() < 0.5 ? -1 : 1) * (1_000 + 600_000 * random.next());
       s.note(`the clock of ${n.name} is corrected by ${Math.round(by)} ms and runs 3 % off`);
       n.stepMs += by;
-      s.sim.setRate(n, rnd.next() < 0.5 ? 0.97 : 1.03);
+      s.sim.setRate(n, random.next() < 0.5 ? 0.97 : 1.03);
       await pause(s, 8_000);
     },
   ],
@@ -296,13 +300,13 @@
  * pairOf(1); // a lost disk while another machine restarts
  */
 export function pairOf(seed: number): Step[] {
-  const rnd = seeded(seed ^ 0x9a1e5);
+  const random = seeded(seed ^ 0x9a1e5);
   const names = [...FAULTS.keys()];
-  const two = FIRST[seed - 1] ?? [any(rnd, names)!, any(rnd, names)!];
+  const two = FIRST[seed - 1] ?? [any(random, names)!, any(random, names)!];
   return two.map((fault, i) => ({
-    at: i * Math.round(3_000 * rnd.next()),
+    at: i * Math.round(3_000 * random.next()),
     fault,
-    pick: Math.floor(rnd.next() * 2 ** 31),
+    pick: Math.floor(random.next() * 2 ** 31),
   }));
 }
 
@@ -312,12 +316,12 @@
  * planOf(7, 4)
  */
 export function planOf(seed: number, n: number): Step[] {
-  const rnd = seeded(seed ^ 0x570e3);
+  const random = seeded(seed ^ 0x570e3);
   const names = [...FAULTS.keys()];
   return Array.from({ length: n }, () => ({
-    at: Math.round(5_000 * n * rnd.next() * 0.6),
-    fault: any(rnd, names)!,
-    pick: Math.floor(rnd.next() * 2 ** 31),
+    at: Math.round(5_000 * n * random.next() * 0.6),
+    fault: any(random, names)!,
+    pick: Math.floor(random.next() * 2 ** 31),
   })).sort((a, b) => a.at - b.at);
 }
 
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -1,5 +1,5 @@
 import { callFleet, newChangeId, type HttpAnswer, type Outcome } from 'harecross';
-import { C, Kernel, PEER_RPCS, isRepeatable, type PeerRpc, type RepeatablePeerRpc } from '@harecross/kernel';
+import { Kernel, MEMBERSHIP, PEER_RPCS, isRepeatable, type PeerRpc, type RepeatablePeerRpc } from '@harecross/kernel';
 import { mayRepeat, Rpcs, type Method } from '@harecross/schema';
 import { emit } from '@harecross/schema/openapi';
 import test from 'ava';
@@ -24,7 +24,7 @@
 
 test('every RPC that a node serves to nodes stands in the table, and every one in the table is served', async (t) => {
   const s = await smallFleet(5);
-  const served = new Set([...s.stores, ...s.relays].flatMap((n) => n.kernel!.served()));
+  const served = new Set([...s.stores, ...s.relays].flatMap((n) => n.kernel!.servedMethods()));
   t.deepEqual([...served].sort(), Object.keys(PEER_RPCS).sort());
 });
 
@@ -156,16 +156,16 @@
 const fenceOf = (n: SimNode, topicShard: number): string =>
   n
     .kernel!.use('owner')
-    .owned()
+    .ownedShards()
     .find((x) => x.shard === topicShard)!.fence;
 
 test('a request to take a shard that comes again, or late, takes nothing', async (t) => {
   const s: Small = await smallFleet(13);
   const from = s.ownerOf('feed/1');
-  const { shard, fence } = from.kernel!.use('owner').owned()[0]!;
+  const { shard, fence } = from.kernel!.use('owner').ownedShards()[0]!;
   const [to, third] = s.stores.filter((n) => n !== from) as [SimNode, SimNode];
   const ask = (n: SimNode, body: object): Promise<boolean> =>
-    settled(s.sim, from.kernel!.call<boolean>(n.config.peer, 'TakeKey', body, C.callMs));
+    settled(s.sim, from.kernel!.call<boolean>(n.config.peer, 'TakeKey', body, MEMBERSHIP.callMs));
   t.true(await ask(to, { shard, fence }));
   const taken = fenceOf(to, shard);
   t.true(await ask(to, { shard, fence }), 'it has the shard');
@@ -180,17 +180,17 @@
   const s = await smallFleet(17);
   const [here, there] = s.relays as [SimNode, SimNode];
   const { conn } = await s.attach(there, 'phone');
-  const k: Kernel = here.kernel!;
+  const kernel: Kernel = here.kernel!;
   const suspected: string[] = [];
-  const before = k.onUnreachable;
-  k.onUnreachable = (p) => {
+  const before = kernel.onUnreachable;
+  kernel.onUnreachable = (p) => {
     suspected.push(p);
     before(p);
   };
   const helper = s.stores[0]!;
-  k.helpersTo = () => [helper.config.peer];
+  kernel.intermediariesTo = () => [helper.config.peer];
   s.sim.cut(here.name, there.name);
-  k.breaks(there.config.peer);
+  kernel.markLinkBroken(there.config.peer);
   s.sim.kill(helper);
   const r = await s.ask(here, 'Probe', { conn });
   t.is(r.status, 503);
--- a/packages/trial/src/test/config.test.ts
+++ b/packages/trial/src/test/config.test.ts
@@ -1,5 +1,14 @@
-import { eraOf, erasAfter, fromText, sameText, textOf, toText, type Eras, type Value } from '@harecross/control';
-import { C, sleep, type Kernel } from '@harecross/kernel';
+import {
+  incarnationOf,
+  incarnationsAfter,
+  deserializeValue,
+  shareText,
+  cachedText,
+  serializeValue,
+  type TopicIncarnations,
+  type FleetValue,
+} from '@harecross/control';
+import { REGISTER, sleep, type Kernel } from '@harecross/kernel';
 import { familyOf, isUrgent, Patterns, urgencyOf, type Family, type FleetConfig, type Frame } from '@harecross/schema';
 import test from 'ava';
 import fc from 'fast-check';
@@ -100,16 +109,16 @@
   let most = 0;
   fc.assert(
     fc.property(fc.array(families, { minLength: 2, maxLength: 8 }), (configs) => {
-      let eras: Eras = new Map();
+      let eras: TopicIncarnations = new Map();
       let want = new Map<string, number>();
       const ever = new Set<string>();
       for (const [i, fs] of configs.entries()) {
         const before = want;
         want = new Map();
         for (const x of all) if (familyOf({ families: fs }, x)) want.set(x, before.get(x) ?? i + 1);
-        eras = erasAfter(eras, { families: fs }, i + 1);
+        eras = incarnationsAfter(eras, { families: fs }, i + 1);
         for (const [x, era] of want) {
-          if (eraOf(eras, x) !== era) return false;
+          if (incarnationOf(eras, x) !== era) return false;
           if (era <= i) kept++;
           else if (ever.has(x)) anew++;
           ever.add(x);
@@ -125,8 +134,8 @@
 });
 
 test('regions that nothing needs any more are let go', (t) => {
-  const after = (eras: Eras, version: number, ...patterns: string[]): Eras =>
-    erasAfter(eras, { families: patterns.length ? [family('f', patterns)] : [] }, version);
+  const after = (eras: TopicIncarnations, version: number, ...patterns: string[]): TopicIncarnations =>
+    incarnationsAfter(eras, { families: patterns.length ? [family('f', patterns)] : [] }, version);
   let e = after(new Map(), 1, 'a.*', 'b');
   t.deepEqual(
     [...e],
@@ -319,16 +328,16 @@
 /** A store that learns of newer values from nobody, though its links are whole: its keys stay with it. */
 function holdBack(n: SimNode): () => void {
   const k = n.kernel!;
-  const { onNewer } = k;
-  const reg = k.use('register') as unknown as { learn: (v: unknown) => void; read: () => Promise<unknown> };
-  const { learn, read } = reg;
-  k.onNewer = () => new Promise(() => undefined);
-  reg.learn = () => undefined;
-  reg.read = () => Promise.reject(new Error('held back'));
+  const { onNewerRevision: onNewer } = k;
+  const register = k.use('register') as unknown as { learn: (v: unknown) => void; read: () => Promise<unknown> };
+  const { learn, read } = register;
+  k.onNewerRevision = () => new Promise(() => undefined);
+  register.learn = () => undefined;
+  register.read = () => Promise.reject(new Error('held back'));
   return () => {
-    k.onNewer = onNewer;
-    reg.learn = learn;
-    reg.read = read;
+    k.onNewerRevision = onNewer;
+    register.learn = learn;
+    register.read = read;
   };
 }
 
@@ -344,7 +353,7 @@
   const value = (n: SimNode) => n.kernel!.use('register').value!;
   t.is(value(r1).version, 2);
   t.is(value(owner).version, 1);
-  t.true(owner.kernel!.use('register').fresh(), 'it may still serve by what it has');
+  t.true(owner.kernel!.use('register').hasReadLease(), 'it may still serve by what it has');
   const conn = (await s.attach(r1, 'phone')).conn;
   const got = await Promise.all([
     s.ask(r1, 'Publish', { sender: 'desk', topic: 'new/1', seq: 1, body: 'x' }),
@@ -372,7 +381,7 @@
   t.is((await s.ask(r2, 'SubmitConfig', { revision: 1, config: { families: [] } })).status, 200);
   t.is((await s.ask(r2, 'SubmitConfig', { revision: 2, config: { families: FAMILIES } })).status, 200);
   await s.pass(200);
-  t.true(owner.kernel!.use('register').fresh());
+  t.true(owner.kernel!.use('register').hasReadLease());
   t.is(owner.kernel!.use('register').value!.version, 1);
   t.is(
     (await s.ask(r1, 'Publish', { sender: 'desk', topic: 'feed/1', seq: 1, body: 'x' })).body.rejected?.reason,
@@ -450,7 +459,7 @@
     const s = await smallFleet(200 + i);
     const { sim } = s;
     const nodes = [...s.stores, ...s.relays];
-    const rnd = seeded(i);
+    const random = seeded(i);
     const what = (x: unknown): string => `run ${i}: ${JSON.stringify(x)}`;
     const sent = new Map(os.map((o) => [o.revision, o]));
     const told: { t: number; revision: number }[] = [];
@@ -459,7 +468,7 @@
       for (let pause = 100; ; pause = Math.min(1_600, pause * 2)) {
         const asked = sim.now;
         tries++;
-        const at = nodes[Math.floor(rnd.next() * nodes.length)]!;
+        const at = nodes[Math.floor(random.next() * nodes.length)]!;
         const r = await sim.outside.visit(
           at.config.client,
           'SubmitConfig',
@@ -489,7 +498,7 @@
           if (r.body.revision > o.revision) overtaken++;
           return;
         }
-        await sleep(sim.clock, pause * (0.5 + rnd.next()));
+        await sleep(sim.clock, pause * (0.5 + random.next()));
       }
     };
     for (const o of os) {
@@ -610,10 +619,10 @@
   sendOff(s, r1, 4);
   s.sim.kill(a);
   s.sim.kill(b);
-  await s.pass(C.submitMs / 2);
+  await s.pass(REGISTER.submitMs / 2);
   t.is(r1.kernel!.use('register').value!.revision, undefined);
   void s.sim.start(a);
-  await s.pass(C.submitMs / 2);
+  await s.pass(REGISTER.submitMs / 2);
   t.is(r1.kernel!.use('register').value!.revision, 5, 'its senders had gone long before');
   s.sim.kill(a);
   // Another configuration under the revision in force never comes into force: this node knows that without the others.
@@ -632,7 +641,7 @@
     t.true(s.sim.now - from < 1_000);
   }
   // Given up by now: it does not come into force when the majority is back.
-  await s.pass(C.submitMs + 500);
+  await s.pass(REGISTER.submitMs + 500);
   void s.sim.start(a);
   await s.pass(6_000);
   t.is((await s.ask(c, 'ReadConfig', {})).body.revision, 5);
@@ -676,11 +685,11 @@
   for (const [i, n] of nodes.entries()) {
     t.is(at(n).rev, before[i]!.rev + 1);
     t.is(at(n).config, before[i]!.config);
-    t.is(at(n).eras, before[i]!.eras);
+    t.is(at(n).incarnations, before[i]!.incarnations);
   }
   t.is((await s.ask(s.relays[0]!, 'SubmitConfig', { revision: 1, config: { families: [] } })).status, 200);
   await s.pass(1_000);
-  for (const n of nodes) t.deepEqual([at(n).config, [...at(n).eras]], [{ families: [] }, []]);
+  for (const n of nodes) t.deepEqual([at(n).config, [...at(n).incarnations]], [{ families: [] }, []]);
   s.sim.close();
 });
 
@@ -725,19 +734,19 @@
       .then((r) => got.push(`${r!.status} ${r!.body.error?.tag ?? r!.body.revision}`));
   };
   for (let i = 0; i < 100; i++) send(3);
-  for (let i = 0; i < C.submissionsN + 2; i++) {
+  for (let i = 0; i < REGISTER.submissionLimit + 2; i++) {
     await s.pass(10);
     send(4 + i);
   }
   await s.pass(20);
   t.deepEqual(got, ['503 overloaded', '503 overloaded', '503 overloaded']);
   // Longer than one try, so that the highest is at work; who sent the others was told in time that there is no majority.
-  await s.pass(C.submitTryMs + 500);
+  await s.pass(REGISTER.submitAttemptMs + 500);
   t.deepEqual(new Set(got.slice(3)), new Set(['503 no_majority']));
-  t.is(got.length, 100 + C.submissionsN + 2);
+  t.is(got.length, 100 + REGISTER.submissionLimit + 2);
   for (const n of s.stores) void s.sim.start(n);
   await s.pass(6_000);
-  const top = 4 + C.submissionsN - 2;
+  const top = 4 + REGISTER.submissionLimit - 2;
   for (const n of [...s.stores, r1]) t.is(n.kernel!.use('register').value!.revision, top);
   t.is((await s.ask(r1, 'SubmitConfig', { revision: 3, config: { families: FAMILIES } })).body.revision, top);
   s.sim.close();
@@ -749,15 +758,19 @@
 }
 
 test('a value is written once: its text is kept with it, an altered copy has its own, and a copy that says the same may have it', (t) => {
-  const value = { rev: 1, config: { families: FAMILIES }, disks: new Map([['d', { id: 'd' }]]) } as unknown as Value;
-  t.is(textOf(value), undefined);
-  const text = toText(value);
-  t.is(textOf(value), text);
-  const read = fromText(text);
+  const value = {
+    rev: 1,
+    config: { families: FAMILIES },
+    disks: new Map([['d', { id: 'd' }]]),
+  } as unknown as FleetValue;
+  t.is(cachedText(value), undefined);
+  const text = serializeValue(value);
+  t.is(cachedText(value), text);
+  const read = deserializeValue(text);
   t.deepEqual(read, value);
-  t.is(textOf(read), text, 'who read it need not write it');
+  t.is(cachedText(read), text, 'who read it need not write it');
   const next = { ...read, rev: 2 };
-  t.is(textOf(next), undefined);
-  t.is(fromText(toText(next)).rev, 2);
-  t.is(textOf(sameText({ ...read, config: value.config }, read)), text);
+  t.is(cachedText(next), undefined);
+  t.is(deserializeValue(serializeValue(next)).rev, 2);
+  t.is(cachedText(shareText({ ...read, config: value.config }, read)), text);
 });
--- a/packages/trial/src/test/constants.test.ts
+++ b/packages/trial/src/test/constants.test.ts
@@ -1,4 +1,5 @@
-import { C, MEMBERSHIP, PLACEMENT, PROCESS, REGISTER, REQUEST, SESSION, SHARD } from '@harecross/kernel';
+import { MEMBERSHIP, PLACEMENT, PROCESS, REGISTER, REQUEST, SESSION, SHARD } from '@harecross/kernel';
+import * as kernel from '@harecross/kernel';
 import test from 'ava';
 
 const GROUPS = { SESSION, SHARD, REQUEST, MEMBERSHIP, REGISTER, PLACEMENT, PROCESS };
@@ -9,15 +10,20 @@
   return names.filter((name, i) => names.indexOf(name) !== i);
 }
 
-test('every constant is in one group, and all groups together are C', (t) => {
+test('every constant is in one group, and in no other', (t) => {
   t.deepEqual(standTwice(Object.values(GROUPS)), []);
-  t.deepEqual({ ...C }, Object.assign({}, ...Object.values(GROUPS)));
+  const exported = Object.entries(kernel).filter(([name, x]) => /^[A-Z]+$/.test(name) && typeof x === 'object');
+  t.deepEqual(Object.fromEntries(exported), GROUPS, 'no group is left out here');
   t.deepEqual(standTwice([SESSION, { headsMs: 1 }]), ['headsMs'], 'planted');
 });
 
 test('every constant is a number whose name ends in its unit', (t) => {
-  const unnamed = Object.entries(C).filter(
-    ([name, value]) => !Number.isFinite(value) || !/(Ms|S|Bytes|N|X|[sS]hare|Slack)$/.test(name),
-  );
+  const unnamed = Object.values(GROUPS)
+    .flatMap((group) => Object.entries(group))
+    .filter(
+      ([name, value]) =>
+        !Number.isFinite(value) ||
+        !/(Ms|S|Bytes|Count|Limit|Size|Factor|FanOut|Concurrency|Divisor|Commits|[sS]hare|Slack)$/.test(name),
+    );
   t.deepEqual(unnamed, []);
 });
--- a/packages/trial/src/test/control-fleet.ts
+++ b/packages/trial/src/test/control-fleet.ts
@@ -22,7 +22,7 @@
   pass(ms: number): Promise<void>;
 }
 
-export const seatsOf = (n: SimNode): string[] => n.kernel!.use('register').value!.seats;
+export const seatsOf = (n: SimNode): string[] => n.kernel!.use('register').value!.voters;
 export const diskOf = (n: SimNode): string => n.kernel!.use('register').disk!;
 export const copiesAt = (n: SimNode): string[][] =>
   [...n.kernel!.use('register').value!.shards.values()].map((p) => p.copies);
--- a/packages/trial/src/test/copies.test.ts
+++ b/packages/trial/src/test/copies.test.ts
@@ -61,7 +61,7 @@
   const [a, b, c] = s.stores as [Small['stores'][0], Small['stores'][0], Small['stores'][0]];
   const seats = (): string => {
     const v = c.kernel!.use('register').value!;
-    return v.seats
+    return v.voters
       .map((d) => s.stores.findIndex((x) => x.config.peer === v.disks.get(d)!.peer) + 1)
       .sort((x, y) => x - y)
       .join();
--- a/packages/trial/src/test/cost.test.ts
+++ b/packages/trial/src/test/cost.test.ts
@@ -20,7 +20,7 @@
   const pairs = s.stores.length * (s.stores.length - 1);
   const beats = s.sim.traffic.get('Beats')!.n;
   t.true(beats > 0 && beats <= pairs * 27, `${beats} beats between ${pairs} pairs in 25 periods`);
-  const owned = s.stores.flatMap((n) => n.kernel!.use('owner').owned());
+  const owned = s.stores.flatMap((n) => n.kernel!.use('owner').ownedShards());
   t.is(owned.length, 32);
   s.sim.close();
 });
@@ -31,7 +31,7 @@
   const owner = s.stores.find((n) =>
     n
       .kernel!.use('owner')
-      .owned()
+      .ownedShards()
       .some((k) => k.shard === shard),
   )!;
   const copy = s.stores.find((n) => n !== owner && n.kernel!.use('copies').all.get(shard))!;
--- a/packages/trial/src/test/cut-off.test.ts
+++ b/packages/trial/src/test/cut-off.test.ts
@@ -1,4 +1,4 @@
-import { Acceptor, OperatorAnswers, Proposer, ReadLease, fromText } from '@harecross/control';
+import { Acceptor, OperatorAnswers, Proposer, ReadLease, deserializeValue } from '@harecross/control';
 import test, { type ExecutionContext } from 'ava';
 import type { Sim, SimNode } from '../sim.js';
 import { controlFleet, type ControlFleet } from './control-fleet.js';
@@ -108,7 +108,7 @@
     if (sim.now > begun + 8_000) cut.stepMs = seed % 2 ? 3_600_000 : -3_600_000;
     await f.pass(700);
     const old = cut.kernel!.use('register').value!.revision !== AGREED;
-    if (old && cut.kernel!.use('register').fresh()) run.servedOldMs.push(sim.now - acknowledgedAt);
+    if (old && cut.kernel!.use('register').hasReadLease()) run.servedOldMs.push(sim.now - acknowledgedAt);
   }
   sim.heal();
   await f.pass(10_000);
@@ -156,8 +156,8 @@
 
 /** Whether a voter's disk holds the stranded order as accepted. */
 const acceptedBy = (n: SimNode): boolean => {
-  const { value } = n.kernel!.use('state').seat();
-  return value !== undefined && fromText(value).revision === STRANDED;
+  const { value } = n.kernel!.use('state').acceptorState();
+  return value !== undefined && deserializeValue(value).revision === STRANDED;
 };
 
 /** What befalls the machine that is given an order, or the other two, while the order is on its way to the voters' disks. */
@@ -246,7 +246,7 @@
     what: 'orders that lay in the buffer of a machine that stood still are taken as new',
     trouble: 'proposer frozen',
     proto: OperatorAnswers.prototype,
-    method: 'mustBeNew',
+    method: 'rejectIfStale',
     fault: () => () => undefined,
   },
   {
