--- a/packages/trial/src/test/disk.test.ts
+++ b/packages/trial/src/test/disk.test.ts
@@ -18,7 +18,7 @@
 import { basename, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { openDb, realClock, type Log } from '@harecross/kernel';
-import { lastIdx, NO_FENCE, Store, type Entry } from '@harecross/state';
+import { lastIdx, NO_FENCE, DurableState, type Entry } from '@harecross/state';
 import test from 'ava';
 import { seeded } from '../sim.js';
 
@@ -44,7 +44,7 @@
 
 async function filled(dir: string): Promise<void> {
   const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
-  const st = new Store(db);
+  const st = new DurableState(db);
   st.init();
   await db.commit(() => {
     st.set('disk', 'd1');
@@ -54,10 +54,10 @@
       base: { idx: 0, fence: NO_FENCE, topics: new Map(), senders: new Map() },
       entries: [],
     };
-    st.promise(c, '1');
-    for (let i = 1; i <= 400; i++) st.add(c, entry(i));
+    st.savePromise(c, '1');
+    for (let i = 1; i <= 400; i++) st.appendEntry(c, entry(i));
     st.trim(c, 100, 0);
-    st.cut(c, 391);
+    st.truncateFrom(c, 391);
   });
   db.close();
 }
@@ -66,9 +66,9 @@
   const dir = folder();
   await filled(dir);
   const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
-  const st = new Store(db);
+  const st = new DurableState(db);
   st.init();
-  const c = st.copies(9_000).get(3)!;
+  const c = st.loadReplicas(9_000).get(3)!;
   t.is(st.get('disk'), 'd1');
   t.is(c.promised, '1');
   t.is(c.base.idx, 100);
@@ -98,10 +98,10 @@
     damage(join(dir, 'state.db'));
     told.length = 0;
     const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
-    const st = new Store(db);
+    const st = new DurableState(db);
     st.init();
     t.is(st.get('disk'), undefined, 'a new disk');
-    t.is(st.copies(0).size, 0);
+    t.is(st.loadReplicas(0).size, 0);
     t.regex(told.join('\n'), /is damaged .* kept as/);
     t.true(readdirSync(dir).some((f) => f.includes('.damaged-')));
     db.close();
@@ -122,14 +122,14 @@
   const dir = folder();
   const faults: string[] = [];
   const db = openDb(dir, realClock, log, (e) => faults.push(e.message), '127.0.0.1:1');
-  const st = new Store(db);
+  const st = new DurableState(db);
   st.init();
   await Promise.all(Array.from({ length: 20 }, (_, i) => db.commit(() => st.set(`k${i}`, 'v'))));
   t.is(db.commits, 1);
   db.sql.pragma(`max_page_count = ${Number(db.sql.pragma('page_count', { simple: true }))}`);
   const works = [db.commit(() => st.set('a', 'v')), db.commit(() => st.set('big', 'x'.repeat(1_000_000)))];
   for (const w of works)
-    t.is(((await t.throwsAsync(w)) as unknown as { fault: { tag: string } }).fault.tag, 'disk_ill');
+    t.is(((await t.throwsAsync(w)) as unknown as { details: { tag: string } }).details.tag, 'disk_ill');
   t.is(faults.length, 1);
   t.is(st.get('a'), undefined, 'nothing of it lasts');
   db.sql.close();
@@ -140,7 +140,7 @@
 async function killed(entries: number): Promise<string> {
   const dir = folder();
   const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
-  const st = new Store(db);
+  const st = new DurableState(db);
   st.init();
   const c = {
     shard: 3,
@@ -150,9 +150,9 @@
   };
   await db.commit(() => {
     st.set('disk', 'd1');
-    st.promise(c, '1');
+    st.savePromise(c, '1');
   });
-  for (let i = 1; i <= entries; i++) await db.commit(() => st.add(c, entry(i)));
+  for (let i = 1; i <= entries; i++) await db.commit(() => st.appendEntry(c, entry(i)));
   const left = folder();
   for (const x of ['', '-wal']) copyFileSync(join(dir, `state.db${x}`), join(left, `state.db${x}`));
   db.close();
@@ -169,9 +169,9 @@
 const open = (dir: string): { disk: string | undefined; last: number; db: ReturnType<typeof openDb> } => {
   told.length = 0;
   const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
-  const st = new Store(db);
+  const st = new DurableState(db);
   st.init();
-  const c = st.copies(0).get(3);
+  const c = st.loadReplicas(0).get(3);
   return { disk: st.get('disk'), last: c ? lastIdx(c) : 0, db };
 };
 
@@ -208,7 +208,7 @@
     t.is(db.sql.pragma('journal_mode', { simple: true }), 'wal');
     t.is(db.sql.pragma('locking_mode', { simple: true }), 'exclusive');
     for (const f of [main, wal]) safe.set(f, readFileSync(f));
-    const st = new Store(db);
+    const st = new DurableState(db);
     st.init();
     const c = {
       shard: 3,
@@ -223,8 +223,8 @@
         const idx = ++n;
         void db
           .commit(() => {
-            if (idx === 1) st.promise(c, '1');
-            st.add(c, entry(idx));
+            if (idx === 1) st.savePromise(c, '1');
+            st.appendEntry(c, entry(idx));
             if (idx % 97 === 0) st.trim(c, idx - 60, 0);
           })
           .then(() => {
@@ -236,15 +236,15 @@
       for (let i = 0; i < 5; i++) await new Promise((r) => setImmediate(r));
     };
     /** A file of which each block, and its cut, is as it was synced last or as it was made since. */
-    const rnd = seeded(7);
+    const random = seeded(7);
     const mixed = (f: string, lost: number): Buffer => {
       const [synced, is] = [safe.get(f)!, readFileSync(f)];
-      const was = rnd.next() < lost ? synced : synced.subarray(0, is.length);
+      const was = random.next() < lost ? synced : synced.subarray(0, is.length);
       const out = Buffer.alloc(Math.max(was.length, is.length));
       was.copy(out);
       let length = was.length;
       for (let at = 0; at < is.length; at += 4_096) {
-        if (rnd.next() < lost) continue;
+        if (random.next() < lost) continue;
         is.copy(out, at, at, at + 4_096);
         length = Math.max(length, Math.min(is.length, at + 4_096));
       }
@@ -322,7 +322,7 @@
           held = res;
         }),
     );
-    const st = new Store(db);
+    const st = new DurableState(db);
     st.init();
     t.is(await db.commit(() => st.get('disk')), undefined);
     await db.settled();
@@ -354,9 +354,9 @@
     '127.0.0.1:1',
     () => Promise.reject(new Error('EIO')),
   );
-  const st = new Store(db);
+  const st = new DurableState(db);
   st.init();
-  t.like(await t.throwsAsync(db.commit(() => st.set('a', 'v'))), { fault: { tag: 'disk_ill' } });
+  t.like(await t.throwsAsync(db.commit(() => st.set('a', 'v'))), { details: { tag: 'disk_ill' } });
   t.deepEqual(faults, ['EIO']);
   db.sql.close();
   rmSync(dir, { recursive: true });
@@ -421,7 +421,7 @@
   const o = open(dir);
   t.is(o.disk, 'd1');
   t.is(o.last, 390);
-  const st = new Store(o.db);
+  const st = new DurableState(o.db);
   await o.db.commit(() => st.set('more', 'v'));
   o.db.close();
   const again = open(dir);
@@ -440,11 +440,11 @@
   await Promise.all(
     Array.from({ length: LANES }, async (_, lane) => {
       const dir = folder();
-      const rnd = seeded(lane + 1);
+      const random = seeded(lane + 1);
       const last = Array<number>(SHARDS).fill(0);
       const promised = Array<string>(SHARDS).fill(NO_FENCE);
       for (let i = 0; i < KILLS; i++) {
-        const after = 3 + Math.floor(rnd.next() * 60);
+        const after = 3 + Math.floor(random.next() * 60);
         await new Promise<void>((res) => {
           const p = spawn(process.execPath, [writer, dir, String(SHARDS)], { stdio: ['ignore', 'pipe', 'inherit'] });
           let rest = '',
@@ -467,9 +467,9 @@
         });
       }
       const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
-      const st = new Store(db);
+      const st = new DurableState(db);
       st.init();
-      const copies = st.copies(0);
+      const copies = st.loadReplicas(0);
       t.false(readdirSync(dir).some((f) => f.includes('damaged')));
       for (let s = 0; s < SHARDS; s++) {
         const c = copies.get(s)!;
--- a/packages/trial/src/test/forget.test.ts
+++ b/packages/trial/src/test/forget.test.ts
@@ -1,5 +1,5 @@
-import { ForgetPlanner, type Value } from '@harecross/control';
-import { C } from '@harecross/kernel';
+import { ForgetPlanner, type FleetValue } from '@harecross/control';
+import { PLACEMENT } from '@harecross/kernel';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
 import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
@@ -11,7 +11,7 @@
 /** In which a disk that came back is let in. */
 const JOINED_MS = 3_000;
 
-const valueOf = (f: ControlFleet): Value => f.controls[0]!.kernel!.use('register').value!;
+const valueOf = (f: ControlFleet): FleetValue => f.controls[0]!.kernel!.use('register').value!;
 const stateOf = (f: ControlFleet, disk: string): string | undefined => valueOf(f).disks.get(disk)?.state;
 
 /** A store is emptied for an operator, and its machine taken away with the disk still in it. */
@@ -78,7 +78,7 @@
       const r = await f.ask(f.controls[0]!, 'SubmitConfig', { revision, document: {}, config: { families: FAMILIES } });
       t.is(r.status, 200);
     }
-    await f.pass(C.spareAfterMs + 2_000);
+    await f.pass(PLACEMENT.spareAfterMs + 2_000);
     t.is(stateOf(f, disk), 'lost');
     await f.pass(FORGET_DISK_MS + 5_000);
     t.is(stateOf(f, disk), undefined);
@@ -86,7 +86,7 @@
     void f.sim.start(voter);
     await f.pass(1_000);
     t.is(voter.kernel!.use('register').value?.revision, 30);
-    t.true(voter.kernel!.use('register').fresh());
+    t.true(voter.kernel!.use('register').hasReadLease());
     await f.pass(JOINED_MS);
     t.is(stateOf(f, disk), 'active');
     t.deepEqual(seatsOf(f.controls[0]!), seats, 'the votes stay where they are');
@@ -116,18 +116,18 @@
       ].map((disk) => [disk.id, disk]),
     ),
     shards: new Map([[0, { gen: 1, copies: ['replica', 'active'] }]]),
-    seats: ['voter', 'active'],
-    prevSeats: ['votedBefore', 'active'],
+    voters: ['voter', 'active'],
+    previousVoters: ['votedBefore', 'active'],
     config: { families: [], moves: [{ id: 'm', node: 'planned:1', kind: 'empty', from: 0, until: 1 }] },
-  } as unknown as Value;
+  } as unknown as FleetValue;
   let now = 0;
   const clock = { now: () => now };
-  const board = { ofDisk: (id: string) => (id === 'running' ? { state: 'live' } : undefined) };
-  const planner = new ForgetPlanner({ host: { clock } } as never, board as never);
+  const membership = { memberOfDisk: (id: string) => (id === 'running' ? { state: 'live' } : undefined) };
+  const planner = new ForgetPlanner({ host: { clock } } as never, membership as never);
   t.is(planner.plan(value), undefined, 'nothing is forgotten at once');
-  now = C.forgetDiskMs - 1;
+  now = PLACEMENT.forgetDiskMs - 1;
   t.is(planner.plan(value), undefined);
-  now = C.forgetDiskMs;
+  now = PLACEMENT.forgetDiskMs;
   t.deepEqual(planner.plan(value)?.forgotten, ['lost', 'emptied']);
   t.deepEqual(
     [...planner.plan(value)!.next.disks.keys()],
--- a/packages/trial/src/test/gossip.test.ts
+++ b/packages/trial/src/test/gossip.test.ts
@@ -1,6 +1,15 @@
-import { Outbox, PeerView, TableSums, packed, unpacked, valueAnswer, valueIn, valueRequest } from '@harecross/control';
+import {
+  Outbox,
+  PeerView,
+  TableSums,
+  compressList,
+  decompressList,
+  valueAnswer,
+  valueIn,
+  valueRequest,
+} from '@harecross/control';
 import type { Clock } from '@harecross/kernel';
-import type { Fact, Value } from '@harecross/control';
+import type { Fact, FleetValue } from '@harecross/control';
 import test from 'ava';
 import { seeded } from '../sim.js';
 
@@ -96,26 +105,26 @@
 
 test('packed lists come back as they were; long ones are much shorter on the way', (t) => {
   const short = [fact('m/1', '1')];
-  t.deepEqual(packed(short), short);
+  t.deepEqual(compressList(short), short);
   const long = Array.from({ length: 100 }, (_, i) => fact(`m/10.0.0.${i}:7100`, `00${i}`));
-  const sent = packed(long);
+  const sent = compressList(long);
   t.is(typeof sent, 'string');
   t.true(sent.length * 2 < JSON.stringify(long).length);
-  t.deepEqual(unpacked(sent), long);
-  t.throws(() => unpacked('no list'));
+  t.deepEqual(decompressList(sent), long);
+  t.throws(() => decompressList('no list'));
 });
 
-const value = (rev: number, version: number): Value => ({
+const value = (rev: number, version: number): FleetValue => ({
   fleet: 'f',
   rev,
   version,
   changeId: '',
   config: { families: [{ name: `family-${version}`, topics: ['a.*'], patienceMs: 1_000, memoryS: 0 }] },
-  eras: new Map([['a.*', version]]),
+  incarnations: new Map([['a.*', version]]),
   document: `document ${version}`,
   disks: new Map(),
-  seats: [`seat-${rev}`],
-  prevSeats: [],
+  voters: [`seat-${rev}`],
+  previousVoters: [],
   shards: new Map(),
   copies: 3,
   changes: new Map(),
--- a/packages/trial/src/test/grown-start.test.ts
+++ b/packages/trial/src/test/grown-start.test.ts
@@ -44,7 +44,7 @@
   sim.measure = true;
   for (const n of nodes) {
     n.config.seeds = seeds;
-    sim.clock.after(sim.rnd.next() * START_MS, () => void sim.start(n));
+    sim.clock.after(sim.random.next() * START_MS, () => void sim.start(n));
   }
   return { sim, nodes };
 }
@@ -88,9 +88,9 @@
 /** Whether a node serves and sees all others serve. */
 const isUp = (n: SimNode, all: SimNode[]): boolean =>
   n.kernel !== undefined &&
-  n.kernel.use('register').fresh() &&
+  n.kernel.use('register').hasReadLease() &&
   n.kernel.use('register').value?.revision === 1 &&
-  all.every((x) => x === n || n.kernel!.use('board').able(x.config.peer));
+  all.every((x) => x === n || n.kernel!.use('membership').isAvailable(x.config.peer));
 
 const framesOf = (nodes: SimNode[]): { n: number; bytes: number }[] => nodes.map((n) => ({ ...n.frames }));
 const most = (xs: number[]): number => Math.max(...xs);
--- a/packages/trial/src/test/growth.test.ts
+++ b/packages/trial/src/test/growth.test.ts
@@ -1,4 +1,10 @@
-import { Board, ForgetPlanner, fromText, Register, toText } from '@harecross/control';
+import {
+  MembershipTable,
+  ForgetPlanner,
+  deserializeValue,
+  ConsensusRegister,
+  serializeValue,
+} from '@harecross/control';
 import test, { type ExecutionContext } from 'ava';
 import { longLife, withConstants, type LongLife } from './long-life.js';
 
@@ -11,8 +17,8 @@
   forgetMs: 8_000,
   tombstoneMs: 20_000,
   forgetDiskMs: 20_000,
-  forgettableN: 8,
-  revisionOutcomesN: 8,
+  forgettableRecordLimit: 8,
+  revisionOutcomeLimit: 8,
 };
 const HALF_ROUNDS = 12;
 /** Sizes are the smallest of the last rounds of each half: what comes and goes in bursts is left out, what grows is not. */
@@ -45,7 +51,11 @@
     const second = await half(life);
     for (const node of [...life.fleet.controls, ...life.fleet.stores, ...life.fleet.relays]) {
       const value = node.kernel!.use('register').value!;
-      t.deepEqual(fromText(toText(value)), value, `${node.name}: the text that it keeps says what its value says`);
+      t.deepEqual(
+        deserializeValue(serializeValue(value)),
+        value,
+        `${node.name}: the text that it keeps says what its value says`,
+      );
     }
     life.fleet.sim.close();
     t.log(
@@ -70,12 +80,15 @@
   'planted: disk records and tombstones that are never forgotten, and a new set that grows, are noticed',
   async (t) => {
     const plan = Reflect.get(ForgetPlanner.prototype, 'plan') as ForgetPlanner['plan'];
-    const learn = Reflect.get(Register.prototype, 'learn') as (this: Register, value: unknown) => void;
+    const learn = Reflect.get(ConsensusRegister.prototype, 'learn') as (
+      this: ConsensusRegister,
+      value: unknown,
+    ) => void;
     ForgetPlanner.prototype.plan = () => undefined;
     Reflect.set(
-      Register.prototype,
+      ConsensusRegister.prototype,
       'learn',
-      function (this: Register & { everLearned?: Set<unknown> }, value: { rev: number }) {
+      function (this: ConsensusRegister & { everLearned?: Set<unknown> }, value: { rev: number }) {
         this.everLearned ??= new Set();
         this.everLearned.add(value.rev);
         learn.call(this, value);
@@ -83,14 +96,14 @@
     );
     try {
       const found = [...(await grown(t, 2, { tombstoneMs: Infinity })).keys()];
-      for (const part of ['value.disks', 'value as text', 'board.forgotten', 'everLearned'])
+      for (const part of ['value.disks', 'value as text', 'membership.table.tombstones', 'everLearned'])
         t.true(
           found.some((key) => key.includes(part)),
           `${part} among ${found.join(', ')}`,
         );
     } finally {
       ForgetPlanner.prototype.plan = plan;
-      Reflect.set(Register.prototype, 'learn', learn);
+      Reflect.set(ConsensusRegister.prototype, 'learn', learn);
     }
   },
 );
@@ -98,18 +111,21 @@
 test.serial(
   'planted: a record handed on without how long its member was silent is never forgotten where nodes come and go',
   async (t) => {
-    const wire = Reflect.get(Board.prototype, 'wire') as (this: Board, key: string) => unknown[];
-    Reflect.set(Board.prototype, 'wire', function (this: Board, key: string) {
+    const wire = Reflect.get(MembershipTable.prototype, 'toWireFact') as (
+      this: MembershipTable,
+      key: string,
+    ) => unknown[];
+    Reflect.set(MembershipTable.prototype, 'toWireFact', function (this: MembershipTable, key: string) {
       return wire.call(this, key).slice(0, 3);
     });
     try {
       const found = [...(await grown(t, 3)).keys()];
       t.true(
-        found.some((key) => key.endsWith('board.members')),
+        found.some((key) => key.endsWith('membership.members')),
         found.join(', '),
       );
     } finally {
-      Reflect.set(Board.prototype, 'wire', wire);
+      Reflect.set(MembershipTable.prototype, 'toWireFact', wire);
     }
   },
 );
--- a/packages/trial/src/test/holds.test.ts
+++ b/packages/trial/src/test/holds.test.ts
@@ -1,4 +1,4 @@
-import { C } from '@harecross/kernel';
+import { REQUEST, SESSION } from '@harecross/kernel';
 import { readInterestRow, type InterestItem, type InterestRow } from '@harecross/data';
 import test from 'ava';
 import type { Json } from '../json.js';
@@ -40,14 +40,14 @@
   await s.pass(1_000);
   const first = interest(s, 'feed/1')!;
   const left = first.deadline - now(s, 'feed/1');
-  t.true(left > C.holdTtlMs - 3_000 && left <= C.holdTtlMs + C.holdSkewMs);
+  t.true(left > SESSION.leaseTtlMs - 3_000 && left <= SESSION.leaseTtlMs + SESSION.leaseSkewMs);
   await s.pass(25_000);
   await s.ask(s.relays[0]!, 'Probe', { conn: c.conn });
   await s.pass(1_000);
   const renewed = interest(s, 'feed/1')!;
   t.true(renewed.deadline > first.deadline + 20_000, 'traffic after the renewal period moved the deadline');
   t.is(renewed.gen, first.gen, 'a renewal keeps its generation');
-  await s.pass(C.holdTtlMs - 3_000);
+  await s.pass(SESSION.leaseTtlMs - 3_000);
   t.false(c.frames.some((f) => f.t === 'LEFT'));
   await s.pass(4_000);
   t.like(
@@ -73,9 +73,9 @@
   const live = (): number => (owner.kernel!.use('owner') as Json).interests.interested('feed/1').length;
   // The relay vanishes without a word; only the deadline is left.
   s.sim.freeze(s.relays[0]!);
-  await s.pass(C.holdTtlMs - 4_000);
+  await s.pass(SESSION.leaseTtlMs - 4_000);
   t.is(live(), 1, 'before the deadline the owner goes on');
-  await s.pass(4_000 + C.holdSkewMs);
+  await s.pass(4_000 + SESSION.leaseSkewMs);
   t.is(live(), 0, 'after the deadline and the margin it has stopped');
   const before = owner.kernel!.counters.get('fan.frames') ?? 0;
   await publish(s, 2);
@@ -160,7 +160,7 @@
   t.like(a.frames.at(-1), { t: 'CLOSED', reason: 'replaced' });
   t.deepEqual((await s.ask(s.relays[1]!, 'Listeners', { topic: 'feed/1' })).body, { count: 0, partial: false });
   t.is((await s.ask(s.relays[1]!, 'Probe', { conn: a.conn })).status, 410);
-  await s.pass(C.silencePingsN * 2_000 + 500);
+  await s.pass(SESSION.silencePingCount * 2_000 + 500);
   t.like(b.frames.at(-1), { t: 'CLOSED', reason: 'silent' });
   s.sim.close();
 });
@@ -170,15 +170,15 @@
   const r = s.relays[0]!;
   const old = await s.attach(r, 'phone');
   await s.ask(r, 'Subscribe', { conn: old.conn, topic: 'feed/1' });
-  const inst = r.kernel!.inst;
+  const inst = r.kernel!.instanceId;
   s.sim.kill(r);
   r.skewMs -= 3_600_000;
   await s.pass(500);
   void s.sim.start(r);
   await s.pass(3_000);
   t.is(r.kernel!.counters.get('instance.outlived'), 1);
-  t.true(r.kernel!.inst > inst);
-  t.is(s.ownerOf('feed/1').kernel!.use('board').members.get(r.config.peer)!.inst, r.kernel!.inst);
+  t.true(r.kernel!.instanceId > inst);
+  t.is(s.ownerOf('feed/1').kernel!.use('membership').members.get(r.config.peer)!.inst, r.kernel!.instanceId);
   const c = await s.attach(r, 'phone');
   await s.ask(r, 'Subscribe', { conn: c.conn, topic: 'feed/1' });
   await s.pass(500);
@@ -227,7 +227,7 @@
   await s.pass(6_000);
   t.deepEqual(delivered(c.frames), []);
   for (const f of healed) f();
-  await s.pass(C.headsMs + C.ownerTryMs * 2 + 500);
+  await s.pass(SESSION.headsMs + REQUEST.ownerTryMs * 2 + 500);
   t.deepEqual(delivered(c.frames), [2, 3]);
   s.sim.close();
 });
--- a/packages/trial/src/test/hunt.test.ts
+++ b/packages/trial/src/test/hunt.test.ts
@@ -1,6 +1,6 @@
-import { Register } from '@harecross/control';
-import { Db } from '@harecross/kernel';
-import { Store } from '@harecross/state';
+import { ConsensusRegister } from '@harecross/control';
+import { SyncedDatabase } from '@harecross/kernel';
+import { DurableState } from '@harecross/state';
 import test from 'ava';
 import type { Rule } from '../oracle.js';
 import { playDay } from '../trouble/day.js';
@@ -77,7 +77,7 @@
     };
   t.is(
     await found({
-      proto: Db.prototype,
+      proto: SyncedDatabase.prototype,
       method: 'flush',
       fault,
       troubles: 'herd_kill@4000:on=core,how=taken,count=1,for=500,pick=1',
@@ -92,8 +92,8 @@
 test.serial('found: a voter that forgets its promise and what it accepted', async (t) => {
   t.is(
     await found({
-      proto: Store.prototype,
-      method: 'saveSeat',
+      proto: DurableState.prototype,
+      method: 'saveAcceptorState',
       fault: () => () => undefined,
       troubles: 'herd_kill@3000:on=core,how=power,count=1,for=500,pick=1',
       deployment: light('sss-control'),
@@ -116,8 +116,8 @@
     };
   t.is(
     await found({
-      proto: Register.prototype,
-      method: 'fresh',
+      proto: ConsensusRegister.prototype,
+      method: 'hasReadLease',
       fault,
       troubles: troubles.join('; '),
       deployment: light('sss-control'),
--- a/packages/trial/src/test/long-life.ts
+++ b/packages/trial/src/test/long-life.ts
@@ -1,5 +1,5 @@
-import { toText } from '@harecross/control';
-import { C } from '@harecross/kernel';
+import { serializeValue } from '@harecross/control';
+import { MEMBERSHIP, PLACEMENT, PROCESS, REGISTER, REQUEST, SESSION, SHARD } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
 import { collectionSizes } from '../collection-sizes.js';
 import type { SimNode } from '../sim.js';
@@ -119,15 +119,15 @@
       parts.set(`value.${name}`, part instanceof Map ? part.size : part.length);
   // The oldest of each kind has gathered most, but duties move.
   for (const node of [...fleet.controls, ...fleet.stores, ...fleet.relays]) {
-    const faces = Reflect.get(node.kernel!, 'faces') as Map<string, object>;
+    const services = Reflect.get(node.kernel!, 'services') as Map<string, object>;
     const roots = {
-      kernel: { ...Object.fromEntries(Object.entries(node.kernel!)), faces: undefined },
-      ...Object.fromEntries(faces),
+      kernel: { ...Object.fromEntries(Object.entries(node.kernel!)), services: undefined },
+      ...Object.fromEntries(services),
     };
     mergeLargest(parts, new Map([...collectionSizes(roots)].map(([k, n]) => [`${node.config.role}${k}`, n])));
     if (node.sql) mergeLargest(parts, diskSizes(node));
   }
-  return { valueChars: toText(value).length, parts };
+  return { valueChars: serializeValue(value).length, parts };
 }
 
 function diskSizes(node: SimNode): Map<string, number> {
@@ -137,12 +137,26 @@
   return new Map([...rows, ['disk.meta chars', count('select sum(length(v)) from meta')]]);
 }
 
-/** Constants of the product, set for one test and put back by the function that is returned. */
-export function withConstants(x: Partial<Record<keyof typeof C, number>>): () => void {
-  const constants = C as Record<string, unknown>;
-  const before = Object.fromEntries(Object.keys(x).map((key) => [key, constants[key]]));
-  Object.assign(constants, x);
+const CONSTANT_GROUPS: object[] = [SESSION, SHARD, REQUEST, MEMBERSHIP, REGISTER, PLACEMENT, PROCESS];
+type ConstantName =
+  | keyof typeof SESSION
+  | keyof typeof SHARD
+  | keyof typeof REQUEST
+  | keyof typeof MEMBERSHIP
+  | keyof typeof REGISTER
+  | keyof typeof PLACEMENT
+  | keyof typeof PROCESS;
+
+/** Sets constants of the product for one test; the returned function restores them. Throws for a name that no group has. */
+export function withConstants(overrides: Partial<Record<ConstantName, number>>): () => void {
+  const restores = Object.entries(overrides).map(([name, value]) => {
+    const group = CONSTANT_GROUPS.find((candidate) => Object.hasOwn(candidate, name));
+    if (!group) throw new Error(`no constant ${name}`);
+    const before: unknown = Reflect.get(group, name);
+    Reflect.set(group, name, value);
+    return () => Reflect.set(group, name, before);
+  });
   return () => {
-    Object.assign(constants, before);
+    for (const restore of restores) restore();
   };
 }
--- a/packages/trial/src/test/order-race.ts
+++ b/packages/trial/src/test/order-race.ts
@@ -1,4 +1,4 @@
-import { C, sleep } from '@harecross/kernel';
+import { REGISTER, sleep } from '@harecross/kernel';
 import type { RegisterCall } from '../linearizable.js';
 import { seeded, type SimNode } from '../sim.js';
 import { FAMILIES, settled, smallFleet, type Small } from './small-fleet.js';
@@ -11,7 +11,7 @@
 /** No trouble lasts longer than this. */
 const TROUBLE_MS = 4_000;
 /** An order may come into force until its node gives it up; a try of then ends, and what hangs at a cut or frozen machine is found. */
-const EXPIRES_MS = C.submitMs + C.submitTryMs + TROUBLE_MS + 2_000;
+const EXPIRES_MS = REGISTER.submitMs + REGISTER.submitAttemptMs + TROUBLE_MS + 2_000;
 
 /** What was seen of a race, for the check. */
 export interface Race {
@@ -39,9 +39,9 @@
  */
 export async function race(seed: number, operators: number): Promise<Race> {
   const s = await smallFleet(seed);
-  const rnd = seeded(seed + 77_777);
+  const random = seeded(seed + 77_777);
   const nodes = [...s.stores, ...s.relays];
-  const any = <T>(list: readonly T[]): T => list[Math.floor(rnd.next() * list.length)]!;
+  const any = <T>(list: readonly T[]): T => list[Math.floor(random.next() * list.length)]!;
   const seen: Race = { calls: [], wrong: [], lost: 0, conflicts: 0 };
   const orders: Order[] = [];
   let highest = 0;
@@ -51,7 +51,7 @@
     const invoked = sim.now;
     const got = await sim.outside.visit(any(nodes).config.client, 'SubmitConfig', bodyOf(order), PATIENCE_MS);
     const base = { kind: 'submit' as const, invoked, ...order };
-    if (got && rnd.next() < LOST_SHARE) seen.lost++;
+    if (got && random.next() < LOST_SHARE) seen.lost++;
     else if (got?.status === 200) {
       const { version, revision, outcome } = got.body;
       // Far fewer come into force than outcomes are kept of.
@@ -78,25 +78,25 @@
   };
   const operate = async (name: string): Promise<void> => {
     for (let i = 0; i < CALLS_EACH; i++) {
-      const what = rnd.next();
+      const what = random.next();
       if (what < 0.45 || orders.length === 0) {
         // Half of the new ones are under a number that another may have taken.
-        const revision = rnd.next() < 0.5 ? Math.max(1, highest) : highest + 1;
+        const revision = random.next() < 0.5 ? Math.max(1, highest) : highest + 1;
         highest = Math.max(highest, revision);
         const order = { revision, content: `${name}${i}` };
         orders.push(order);
         await send(order);
-      } else if (what < 0.8) await send(rnd.next() < 0.6 ? any(orders.slice(-4)) : any(orders));
+      } else if (what < 0.8) await send(random.next() < 0.6 ? any(orders.slice(-4)) : any(orders));
       else await read(any(nodes), PATIENCE_MS);
-      await sleep(s.sim.clock, 900 * rnd.next());
+      await sleep(s.sim.clock, 900 * random.next());
     }
   };
   const racing = Promise.all(Array.from({ length: operators }, (_, i) => operate('abcd'[i]!)));
   let over = false;
   const trouble = async (): Promise<void> => {
     while (!over) {
-      await sleep(s.sim.clock, 2_000 * rnd.next());
-      await strike(s, any(nodes), rnd.next(), rnd.next());
+      await sleep(s.sim.clock, 2_000 * random.next());
+      await strike(s, any(nodes), random.next(), random.next());
     }
   };
   const troubled = trouble();
--- a/packages/trial/src/test/orders.test.ts
+++ b/packages/trial/src/test/orders.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import { C, type PeerRpc } from '@harecross/kernel';
-import { digestOf, revisionOutcome, withConfig, type Value } from '@harecross/control';
+import { REGISTER, type PeerRpc } from '@harecross/kernel';
+import { digestOf, revisionOutcome, withConfig, type FleetValue } from '@harecross/control';
 import type { SimNode } from '../sim.js';
 import { FAMILIES, settled, smallFleet, type Small } from './small-fleet.js';
 
@@ -19,7 +19,7 @@
   answer.status === 200
     ? `${answer.body.outcome} ${answer.body.revision}`
     : `${answer.status} ${answer.body.error.tag} ${answer.body.error.revision}`;
-const valueOf = (node: SimNode): Value => node.kernel!.use('register').value!;
+const valueOf = (node: SimNode): FleetValue => node.kernel!.use('register').value!;
 
 test('two configurations under one number, sent to two stores at once: one is in force, the other conflicts, at every node', async (t) => {
   for (const seed of [301, 302, 303, 304]) {
@@ -81,12 +81,12 @@
     value = withConfig(value, { changeId: `revision-${revision}`, config, revised: order(revision, name) });
   };
   accept(10, 'first');
-  for (let i = 1; i < C.revisionOutcomesN; i++) accept(10 + 2 * i, `later ${i}`);
+  for (let i = 1; i < REGISTER.revisionOutcomeLimit; i++) accept(10 + 2 * i, `later ${i}`);
   t.is(revisionOutcome(value, order(10, 'first')), 'accepted');
   t.is(revisionOutcome(value, order(10, 'other')), 'conflict');
   t.is(revisionOutcome(value, order(11, 'other')), 'overtaken');
-  accept(10 + 2 * C.revisionOutcomesN, 'one too many');
-  t.is(value.revisionOutcomes!.digests.size, C.revisionOutcomesN, 'as many as the bound');
+  accept(10 + 2 * REGISTER.revisionOutcomeLimit, 'one too many');
+  t.is(value.revisionOutcomes!.digests.size, REGISTER.revisionOutcomeLimit, 'as many as the bound');
   t.is(revisionOutcome(value, order(10, 'first')), 'forgotten');
   t.is(revisionOutcome(value, order(10, 'other')), 'forgotten');
   t.is(revisionOutcome(value, order(11, 'other')), 'overtaken');
@@ -116,7 +116,7 @@
   const s = await smallFleet(308);
   const [a, b] = s.stores as [SimNode, SimNode];
   t.is(told(await submit(s, a, 50, 'left')), 'accepted 50');
-  const strip = (value: Value) => ({ next: { ...value, revisionOutcomes: undefined }, out: 0 });
+  const strip = (value: FleetValue) => ({ next: { ...value, revisionOutcomes: undefined }, out: 0 });
   await settled(s.sim, a.kernel!.use('register').change(strip));
   await s.pass(500);
   t.is(valueOf(b).revisionOutcomes, undefined);
@@ -129,7 +129,7 @@
   t.is(told(await submit(s, b, 51, 'left')), 'accepted 51');
   t.is(told(await submit(s, b, 51, 'right')), '409 conflict 51');
   // A node of before brings a revision: it knows nothing of the record.
-  const asBefore = (value: Value) => {
+  const asBefore = (value: FleetValue) => {
     const next = withConfig(value, { changeId: 'revision-60', config: configOf('old') as never });
     return { next: { ...next, revision: 60 }, out: 0 };
   };
@@ -147,9 +147,9 @@
   const change = (changeId: string, expect: number) => s.ask(a, 'SubmitConfig', { changeId, expect, config });
   t.is((await change('early', 1)).body.version, 2);
   // As many others as are remembered, in one step of the register.
-  const fill = (value: Value) => {
+  const fill = (value: FleetValue) => {
     const changes = new Map(value.changes);
-    while (changes.size < C.changeIdsN) changes.set(`filler ${changes.size}`, { tag: 'taken', version: 2 });
+    while (changes.size < REGISTER.changeIdLimit) changes.set(`filler ${changes.size}`, { tag: 'taken', version: 2 });
     return { next: { ...value, changes }, out: 0 };
   };
   await settled(s.sim, a.kernel!.use('register').change(fill));
@@ -157,7 +157,7 @@
   t.is((await change('next', 2)).body.version, 3);
   t.is((await change('next but one', 3)).body.version, 4);
   t.is((await change('next but two', 4)).body.version, 5);
-  t.true(valueOf(a).changes.size <= C.changeIdsN);
+  t.true(valueOf(a).changes.size <= REGISTER.changeIdLimit);
   t.false(valueOf(a).changes.has('early'), 'forgotten');
   const again = await change('early', 1);
   t.deepEqual([again.status, again.body.error.tag], [504, 'outcome_unknown']);
@@ -176,12 +176,12 @@
     const config = { families: FAMILIES, moves };
     const order = by === 'revision' ? { revision: 50, config } : { changeId: 'fifty', config };
     // Its first try is accepted by one disk alone, and the node that tried is gone.
-    const reg = r1.kernel!.use('register') as unknown as {
-      ask(disks: string[], method: string, body: object): Promise<unknown>[];
+    const register = r1.kernel!.use('register') as unknown as {
+      callVoters(disks: string[], method: string, body: object): Promise<unknown>[];
     };
-    const ask = reg.ask.bind(reg);
+    const ask = register.callVoters.bind(register);
     const disk = a.kernel!.use('register').disk!;
-    reg.ask = (disks, method, body) =>
+    register.callVoters = (disks, method, body) =>
       ask(method === 'RegAccept' ? disks.filter((d) => d === disk) : disks, method, body);
     void s.sim.outside.visit(r1.config.client, 'SubmitConfig', order, 900);
     await s.pass(60);
@@ -199,8 +199,8 @@
 
 test('an order that waits comes into force within its time after it was last sent, and not later', async (t) => {
   for (const [waitMs, comes] of [
-    [C.submitMs - 3_000, true],
-    [C.submitMs + 1_000, false],
+    [REGISTER.submitMs - 3_000, true],
+    [REGISTER.submitMs + 1_000, false],
   ] as const) {
     const s = await smallFleet(311);
     const [r1] = s.relays as [SimNode];
@@ -229,15 +229,19 @@
       got.set(tag, (got.get(tag) ?? 0) + 1);
     });
   };
-  for (let i = 0; i < C.submissionWaitsN + 5; i++) send({ revision: 3, config: configOf('same') });
-  // Before C.operatorAnswerMs, when those that wait are told that there is no majority.
+  for (let i = 0; i < REGISTER.submissionWaiterLimit + 5; i++) send({ revision: 3, config: configOf('same') });
+  // Before REGISTER.operatorAnswerMs, when those that wait are told that there is no majority.
   await s.pass(200);
   t.deepEqual([...got], [['503 overloaded', 5]]);
-  for (let i = 0; i < C.changesAtOnceN + 7; i++) send({ changeId: `c${i}`, config: configOf('same') });
+  for (let i = 0; i < REGISTER.concurrentChangeLimit + 7; i++) send({ changeId: `c${i}`, config: configOf('same') });
   await s.pass(200);
   t.deepEqual([...got], [['503 overloaded', 12]]);
-  await s.pass(C.submitMs + C.submitTryMs);
-  t.is(got.get('503 no_majority'), C.submissionWaitsN + C.changesAtOnceN, 'and all of them get an answer');
+  await s.pass(REGISTER.submitMs + REGISTER.submitAttemptMs);
+  t.is(
+    got.get('503 no_majority'),
+    REGISTER.submissionWaiterLimit + REGISTER.concurrentChangeLimit,
+    'and all of them get an answer',
+  );
   s.sim.close();
 });
 
@@ -299,7 +303,7 @@
   // By its machine's name, once what is left could not hold the copies.
   const { sim } = s;
   const name = 'machine-c';
-  const named = (value: Value) => {
+  const named = (value: FleetValue) => {
     const disks = new Map([...value.disks].map(([id, d]) => [id, d.peer === c.config.peer ? { ...d, name } : d]));
     return { next: { ...value, disks }, out: 0 };
   };
--- a/packages/trial/src/test/peer-net.test.ts
+++ b/packages/trial/src/test/peer-net.test.ts
@@ -1,15 +1,22 @@
 import { once } from 'node:events';
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { Worker } from 'node:worker_threads';
-import { Failure, peerNet, type Fault, type Net, type NetNews, type PeerNetBounds } from '@harecross/kernel';
+import {
+  HarecrossError,
+  peerNet,
+  type ErrorDetails,
+  type Net,
+  type NetEvents,
+  type PeerNetBounds,
+} from '@harecross/kernel';
 import test, { type ExecutionContext } from 'ava';
 import { freePorts } from '../fleet.js';
 
 const LONG = 60_000;
-const fault = (p: Promise<unknown>): Promise<Fault | 'answered'> =>
+const fault = (p: Promise<unknown>): Promise<ErrorDetails | 'answered'> =>
   p.then(
     () => 'answered' as const,
-    (e: Failure) => e.fault,
+    (e: HarecrossError) => e.details,
   );
 const tag = async (p: Promise<unknown>): Promise<string> => {
   const f = await fault(p);
@@ -18,7 +25,7 @@
 const address = async (): Promise<string> => `127.0.0.1:${(await freePorts(1))[0]}`;
 
 /** Counts, and lets a test wait for them. */
-class News implements NetNews {
+class News implements NetEvents {
   readonly lines: string[] = [];
   private waits: (() => void)[] = [];
   count(name: string): void {
@@ -460,7 +467,7 @@
   t.is(await a.net.call(p.at, 'first', LONG), 'first');
   // The large frame fills the way out, so that the one behind it is not written when the connection breaks.
   const big = fault(a.net.call(p.at, `big ${'x'.repeat(30_000_000)}`, LONG));
-  const behind = new Promise<Fault | 'answered'>((res) =>
+  const behind = new Promise<ErrorDetails | 'answered'>((res) =>
     setImmediate(() => void fault(a.net.call(p.at, 'behind', LONG)).then(res)),
   );
   t.like(await big, { tag: 'cut' });
--- a/packages/trial/src/test/placement.test.ts
+++ b/packages/trial/src/test/placement.test.ts
@@ -1,9 +1,9 @@
-import { copiesFor, matchCopies, matchOwners, type DiskRec, type Placement } from '@harecross/control';
-import { C } from '@harecross/kernel';
+import { copiesFor, matchCopies, matchOwners, type DiskRecord, type Placement } from '@harecross/control';
+import { SHARD } from '@harecross/kernel';
 import test from 'ava';
 import fc from 'fast-check';
 
-const disksOf = (ids: number[], domains: number): DiskRec[] =>
+const disksOf = (ids: number[], domains: number): DiskRecord[] =>
   ids.map((i) => ({ id: `d${i}`, peer: `10.0.0.${i}:1`, domain: `z${i % domains}`, state: 'active' }));
 const fleets = fc.record({
   ids: fc.uniqueArray(fc.integer({ min: 1, max: 500 }), { minLength: 1, maxLength: 40 }),
@@ -34,7 +34,7 @@
               )
                 return false;
         }
-        return all.size === C.shardsN;
+        return all.size === SHARD.shardCount;
       }),
       { seed: SEED, numRuns: 150 },
     ),
@@ -58,7 +58,7 @@
     ).values())
       for (const d of got) weight.set(d, (weight.get(d) ?? 0) + 1);
     t.true(
-      Math.max(...weight.values()) <= Math.ceil(((C.shardsN * 5) / n) * C.copiesSlack) + 2,
+      Math.max(...weight.values()) <= Math.ceil(((SHARD.shardCount * 5) / n) * SHARD.replicaSlack) + 2,
       `${n} disks: ${Math.max(...weight.values())}`,
     );
   }
@@ -98,15 +98,15 @@
         if (all.get(s) !== gone && all.get(s) !== o) others++;
       }
       runs++;
-      return all.size === C.shardsN;
+      return all.size === SHARD.shardCount;
     }),
     { seed: SEED, numRuns: 150 },
   );
   t.true(others / runs < 4, `${(others / runs).toFixed(2)} other keys moved on average`);
 });
 
-const fleet = (controlMs: number, storeMs: number): DiskRec[] => [
-  ...[0, 1, 2].map((i): DiskRec => ({
+const fleet = (controlMs: number, storeMs: number): DiskRecord[] => [
+  ...[0, 1, 2].map((i): DiskRecord => ({
     id: `c${i}`,
     peer: `c${i}`,
     domain: `z${i}`,
@@ -114,7 +114,7 @@
     uses: ['seat', 'copies'],
     ms: controlMs + i / 10,
   })),
-  ...Array.from({ length: 12 }, (_, i): DiskRec => ({
+  ...Array.from({ length: 12 }, (_, i): DiskRecord => ({
     id: `s${i}`,
     peer: `s${i}`,
     domain: `z${i % 3}`,
--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -1,18 +1,20 @@
-import { Operators, Proposer, Register, Submissions } from '@harecross/control';
+import { Operators, Proposer, ConsensusRegister, Submissions } from '@harecross/control';
 import {
-  Copies,
+  ReplicaStore,
   Delivery,
   Edge,
-  Interests,
-  Key,
+  HistoryTrimmer,
+  InterestTable,
+  ShardState,
   LeaseTable,
-  Owner,
+  PublishHandler,
+  ShardOwner,
   Replication,
   Route,
   Sessions,
 } from '@harecross/data';
-import { C, Db, Failure } from '@harecross/kernel';
-import { senderKey, Store } from '@harecross/state';
+import { SHARD, SyncedDatabase, HarecrossError } from '@harecross/kernel';
+import { senderKey, DurableState } from '@harecross/state';
 import test from 'ava';
 import { SCENARIOS } from '../faults.js';
 import type { Rule } from '../oracle.js';
@@ -56,7 +58,7 @@
 const plants: Plant[] = [
   {
     what: 'a disk that answers before it has synced',
-    proto: Db.prototype,
+    proto: SyncedDatabase.prototype,
     sc: 'blackout',
     seeds: [1, 2, 3],
     rules: ['lost', 'skipped', 'once'],
@@ -87,23 +89,23 @@
     seeds: [1, 2, 3, 4],
     rules: ['lost', 'skipped', 'once'],
     patch: {
-      advance: (old) =>
+      advanceCommit: (old) =>
         function (this: any, key: any) {
-          const c = key.copies;
-          key.copies = [this.reg.disk];
+          const c = key.replicas;
+          key.replicas = [this.register.disk];
           old.call(this, key);
-          key.copies = c;
+          key.replicas = c;
         },
     },
   },
   {
     what: 'a copy that takes appends under any fence',
-    proto: Copies.prototype,
+    proto: ReplicaStore.prototype,
     sc: 'stale-owner',
     seeds: Array.from({ length: 24 }, (_, i) => i + 1),
     rules: ['lost', 'skipped', 'once', 'order'],
     patch: {
-      append: (old) =>
+      handleAppend: (old) =>
         function (this: any, b: any) {
           const c = this.get(b.shard);
           return old.call(this, { ...b, fence: b.fence < c.promised ? c.promised : b.fence });
@@ -112,26 +114,26 @@
   },
   {
     what: 'an owner that forgets what senders said',
-    proto: Owner.prototype,
+    proto: PublishHandler.prototype,
     sc: 'mixed',
     seeds: [1, 2, 3, 4],
     rules: ['once', 'order'],
     patch: {
       publish: (old) =>
         function (this: any, b: any) {
-          for (const k of this.keys.values()) k.senders.clear();
+          for (const shard of this.shards.all()) shard.senders.clear();
           return old.call(this, b);
         },
     },
   },
   {
     what: 'an owner that knows only the last number of each sender',
-    proto: Key.prototype,
+    proto: ShardState.prototype,
     sc: 'calm',
     seeds: [1],
     rules: ['final'],
     patch: {
-      outcome: (old) =>
+      outcomeOf: (old) =>
         function (this: any, topic: string, sender: string, seq: number) {
           const last = this.senders.get(senderKey(topic, sender))?.at(-1);
           return last && seq < last.seq
@@ -142,12 +144,12 @@
   },
   {
     what: 'an owner that forgets the outcome of some repeats',
-    proto: Key.prototype,
+    proto: ShardState.prototype,
     sc: 'calm',
     seeds: [1],
     rules: ['repeat'],
     patch: {
-      outcome: (old) =>
+      outcomeOf: (old) =>
         function (this: any, topic: string, sender: string, seq: number) {
           const r = old.call(this, topic, sender, seq);
           return r.tag === 'stored' && seq % 2 ? { tag: 'forgotten' } : r;
@@ -156,7 +158,7 @@
   },
   {
     what: 'an owner that stores publishes as they come',
-    proto: Owner.prototype,
+    proto: PublishHandler.prototype,
     sc: 'handovers',
     seeds: [1, 2, 3],
     rules: ['overtaken'],
@@ -174,26 +176,26 @@
     seeds: [1, 2, 3, 4, 5, 6],
     rules: ['lost', 'skipped', 'once'],
     patch: Object.fromEntries(
-      ['advance', 'kick'].map((m) => [
+      ['advanceCommit', 'replicate'].map((m) => [
         m,
         (old: any) =>
           function (this: any, key: any, beat: boolean) {
-            const c = key.copies;
-            if (!beat) key.copies = [this.reg.disk];
+            const c = key.replicas;
+            if (!beat) key.replicas = [this.register.disk];
             old.call(this, key, beat);
-            key.copies = c;
+            key.replicas = c;
           },
       ]),
     ),
   },
   {
     what: 'a disk whose matter comes back an hour old',
-    proto: Store.prototype,
+    proto: DurableState.prototype,
     sc: 'cursors',
     seeds: [1, 2],
     rules: ['resume'],
     patch: {
-      copies: (old) =>
+      loadReplicas: (old) =>
         function (this: any, now: number) {
           const out = old.call(this, now);
           for (const c of out.values()) for (const e of c.entries) e.at = now - 3_600_000;
@@ -211,12 +213,12 @@
   },
   {
     what: 'a node that serves by a configuration it cannot confirm',
-    proto: Register.prototype,
+    proto: ConsensusRegister.prototype,
     sc: 'cut-config',
     seeds: [1, 2],
     rules: ['config_late', 'removed_flow'],
     patch: {
-      fresh: () =>
+      hasReadLease: () =>
         function (this: any) {
           return this.value !== undefined;
         },
@@ -237,7 +239,7 @@
   },
   {
     what: 'an owner that counts nobody',
-    proto: Interests.prototype,
+    proto: InterestTable.prototype,
     sc: 'calm',
     seeds: [1],
     rules: ['counts'],
@@ -245,19 +247,19 @@
   },
   {
     what: 'history trimmed after a few seconds',
-    proto: Owner.prototype,
+    proto: HistoryTrimmer.prototype,
     sc: 'churn',
     seeds: [1, 2],
     rules: ['resume'],
     patch: {
       trim: (old) =>
-        async function (this: any) {
-          const { memorySlack, memorySlackMs } = C;
-          Object.assign(C, { memorySlack: 0.1, memorySlackMs: 0 });
+        function (this: any) {
+          const { memorySlack, memorySlackMs } = SHARD;
+          Object.assign(SHARD, { memorySlack: 0.1, memorySlackMs: 0 });
           try {
-            await old.call(this);
+            old.call(this);
           } finally {
-            Object.assign(C, { memorySlack, memorySlackMs });
+            Object.assign(SHARD, { memorySlack, memorySlackMs });
           }
         },
     },
@@ -273,7 +275,7 @@
         async function (this: any, request: any) {
           const r = await old.call(this, request);
           if (request.m === 'Publish' && request.body.seq % 5 === 0)
-            throw new Failure({ tag: 'not_ready', step: request.m, peer: 'planted', retryAfterMs: 100 });
+            throw new HarecrossError({ tag: 'not_ready', step: request.m, peer: 'planted', retryAfterMs: 100 });
           return r;
         },
     },
@@ -295,7 +297,7 @@
   },
   {
     what: 'a node that takes any value it is told',
-    proto: Register.prototype,
+    proto: ConsensusRegister.prototype,
     sc: 'late-change',
     seeds: [1, 2],
     rules: ['fell_back', 'config_late', 'config_lost', 'read_back'],
@@ -304,18 +306,18 @@
         function (this: any, v: any) {
           this.older ??= v;
           old.call(this, v);
-          if (this.k.host.rnd.next() < 0.3) this.value$.next(this.older);
+          if (this.kernel.host.random.next() < 0.3) this.value$.next(this.older);
         },
     },
   },
   {
     what: 'a store of state that loses the register',
-    proto: Store.prototype,
+    proto: DurableState.prototype,
     sc: 'blackout',
     seeds: [1],
     rules: ['read_back', 'config_lost', 'served', 'fell_back', 'lost'],
     patch: {
-      saveSeat: (old) =>
+      saveAcceptorState: (old) =>
         function (this: any, s: any) {
           old.call(this, { ...s, value: undefined });
         },
@@ -323,26 +325,26 @@
   },
   {
     what: 'a register that stops confirming after a while',
-    proto: Register.prototype,
+    proto: ConsensusRegister.prototype,
     sc: 'closing',
     seeds: [1],
     rules: ['served'],
     patch: {
       confirm: (old) =>
         async function (this: any) {
-          this.since ??= this.k.host.clock.now();
-          return this.k.host.clock.now() - this.since < 24_000 ? old.call(this) : false;
+          this.since ??= this.kernel.host.clock.now();
+          return this.kernel.host.clock.now() - this.since < 24_000 ? old.call(this) : false;
         },
     },
   },
   {
     what: 'an owner that alters some messages',
-    proto: Interests.prototype,
+    proto: InterestTable.prototype,
     sc: 'calm',
     seeds: [1],
     rules: ['invented'],
     patch: {
-      fan: (old) =>
+      fanOut: (old) =>
         function (this: any, e: any) {
           old.call(this, e.seq % 7 === 0 ? { ...e, body: `${e.body}!` } : e);
         },
@@ -389,7 +391,7 @@
       submit: (old) =>
         function (this: any, b: any) {
           if (b.changeId.startsWith('free'))
-            throw new Failure({ tag: 'invalid_config', step: 'SubmitConfig', peer: 'planted', faults: [] });
+            throw new HarecrossError({ tag: 'invalid_config', step: 'SubmitConfig', peer: 'planted', faults: [] });
           return old.call(this, b);
         },
     },
@@ -415,7 +417,7 @@
     seeds: [1],
     rules: ['read_back'],
     patch: {
-      applied: (old) =>
+      applySubmission: (old) =>
         function (this: any, value: any, submission: any) {
           return old.call(this, value, { ...submission, document: undefined });
         },
@@ -428,13 +430,13 @@
     seeds: [1, 2],
     rules: ['lost', 'skipped', 'resume'],
     patch: {
-      applied: (old) =>
+      applySubmission: (old) =>
         function (this: any, value: any, submission: any) {
           const result = old.call(this, value, submission);
           if (!result.next) return result;
           const patterns = submission.config.families.flatMap((f: any) => f.topics);
-          const eras = new Map(patterns.map((p: string) => [p, result.next.version]));
-          return { ...result, next: { ...result.next, eras } };
+          const incarnations = new Map(patterns.map((p: string) => [p, result.next.version]));
+          return { ...result, next: { ...result.next, incarnations } };
         },
     },
   },
@@ -468,21 +470,21 @@
   },
   {
     what: 'an owner that keeps no history of what nobody listens to',
-    proto: Owner.prototype,
+    proto: ShardOwner.prototype,
     sc: 'calm',
     seeds: [1],
     rules: ['lost'],
     patch: {
-      apply: (old) =>
+      applyCommitted: (old) =>
         function (this: any, key: any, e: any, fan: boolean) {
           old.call(this, key, e, fan);
-          if (e.topic && !this.interests.interested(e.topic).length) key.topicOf(e.topic, e.era).entries.pop();
+          if (e.topic && !this.interests.interestedRelays(e.topic).length) key.topicOf(e.topic, e.era).entries.pop();
         },
     },
   },
   {
     what: 'a node that takes up an old value when it thaws',
-    proto: Register.prototype,
+    proto: ConsensusRegister.prototype,
     sc: 'marks',
     seeds: [1, 2],
     rules: ['fell_back'],
@@ -492,11 +494,11 @@
           const was = this.value;
           old.call(this, v);
           // For a fifth of a second, once per change, the old value again.
-          if (!was || this.value === was || this.k.host.rnd.next() < 0.7) return;
-          this.k.host.clock.after(400, () => {
+          if (!was || this.value === was || this.kernel.host.random.next() < 0.7) return;
+          this.kernel.host.clock.after(400, () => {
             const now = this.value;
             this.value$.next(was);
-            this.k.host.clock.after(200, () => {
+            this.kernel.host.clock.after(200, () => {
               if (this.value === was) this.value$.next(now);
             });
           });
@@ -505,19 +507,22 @@
   },
   {
     what: 'a node that falls silent for six seconds when the configuration changes',
-    proto: Register.prototype,
+    proto: ConsensusRegister.prototype,
     sc: 'late-change',
     seeds: [1],
     rules: ['config_late'],
     patch: {
       learn: (old) =>
         function (this: any, v: any) {
-          if (this.value && v.version > this.value.version) this.quietTo = this.k.host.clock.now() + 6_000;
+          if (this.value && v.version > this.value.version) this.quietTo = this.kernel.host.clock.now() + 6_000;
           old.call(this, v);
         },
-      fresh: (old) =>
+      hasReadLease: (old) =>
         function (this: any) {
-          return old.call(this) && !(this.k.self.endsWith('.7:7100') && this.k.host.clock.now() < (this.quietTo ?? 0));
+          return (
+            old.call(this) &&
+            !(this.kernel.self.endsWith('.7:7100') && this.kernel.host.clock.now() < (this.quietTo ?? 0))
+          );
         },
     },
   },
@@ -530,7 +535,7 @@
     patch: {
       enqueue: (old) =>
         function (this: any, c: any, w: any) {
-          if (w.subscription && this.kernel.use('board').live().length < 8) return;
+          if (w.subscription && this.kernel.use('membership').liveMembers().length < 8) return;
           old.call(this, c, w);
         },
     },
@@ -558,14 +563,14 @@
     patch: {
       atOwner: (old) =>
         async function (this: any, t: string, m: string, b: any, ms: number, sent: any) {
-          const t0 = this.k.host.clock.now();
+          const t0 = this.kernel.host.clock.now();
           try {
             return await old.call(this, t, m, b, ms, sent);
           } catch (e) {
-            const left = ms - 50 - (this.k.host.clock.now() - t0);
+            const left = ms - 50 - (this.kernel.host.clock.now() - t0);
             if (left > 0 && m === 'Publish')
               await new Promise<void>((res) => {
-                this.k.host.clock.after(left, res);
+                this.kernel.host.clock.after(left, res);
               });
             throw e;
           }
--- a/packages/trial/src/test/platform-access.test.ts
+++ b/packages/trial/src/test/platform-access.test.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs';
-import { C, Failure, type Clock, type Fault, type Kernel } from '@harecross/kernel';
+import { HarecrossError, PROCESS, REQUEST, type Clock, type ErrorDetails, type Kernel } from '@harecross/kernel';
 import type { Edge, Outgoing, Reply, Sink } from '@harecross/data';
 import { causeOf, serveClients } from '@harecross/platform/access';
 import type { Cause, Word } from '@harecross/platform/lines';
@@ -119,7 +119,7 @@
       return { status: 200, body: { count: 3, partial: false } };
   }
 };
-const fault = (f: Fault): Reply => ({ status: 503, body: { error: f } });
+const fault = (f: ErrorDetails): Reply => ({ status: 503, body: { error: f } });
 
 interface Stage {
   clock: HandClock;
@@ -136,8 +136,8 @@
   const edge = new FakeEdge();
   const kernel = {
     host: { clock, config: { pingS: 2 } },
-    keep: () => undefined,
-    count: (n: string, by = 1) => counters.set(n, (counters.get(n) ?? 0) + by),
+    addSubscription: () => undefined,
+    incrementCounter: (n: string, by = 1) => counters.set(n, (counters.get(n) ?? 0) + by),
   };
   // A port that the OS called free may be another process's by now: then the next one.
   for (let tries = 0; ; tries++) {
@@ -198,7 +198,7 @@
     wont_hold: told('INDETERM'),
     disk_ill: told('INDETERM'),
     internal: told('INDETERM'),
-  } satisfies Record<Fault['tag'], Told>),
+  } satisfies Record<ErrorDetails['tag'], Told>),
 );
 const WORDS: Word[] = ['ATTACH', 'SUBSCRIBE', 'UNSUBSCR', 'PUBLISH', 'ENQUIRE'];
 
@@ -212,7 +212,7 @@
       continue;
     }
     for (const w of WORDS) {
-      const is = map(w, { tag: tag as Fault['tag'] });
+      const is = map(w, { tag: tag as ErrorDetails['tag'] });
       const want = w === 'PUBLISH' ? d.publish : d.other;
       if (is !== want) out.push(`${w} ${tag}: ${is}, not ${want}`);
       if (w === 'PUBLISH' && is === 'CONGEST' && tag !== 'stale_seq')
@@ -232,7 +232,7 @@
   t.deepEqual([...DECIDED.keys()].sort(), [...tags].sort());
   t.deepEqual(wrongIn(causeOf, tags), []);
   t.is(
-    causeOf('SUBSCRIBE', { tag: 'from_the_future' as Fault['tag'] }),
+    causeOf('SUBSCRIBE', { tag: 'from_the_future' as ErrorDetails['tag'] }),
     'INDETERM',
     'what a newer peer says: no promise',
   );
@@ -276,8 +276,8 @@
   const s = await stage(t);
   const peer = '10.0.0.1:7100';
   const c = await attached(s, 'u1');
-  const say = async (message: string, f: Fault): Promise<string | undefined> => {
-    s.edge.at = () => fault({ ...f, step: 'x', peer } as Fault);
+  const say = async (message: string, f: ErrorDetails): Promise<string | undefined> => {
+    s.edge.at = () => fault({ ...f, step: 'x', peer } as ErrorDetails);
     return c.ask(message);
   };
   const at = { step: 'x', peer };
@@ -306,7 +306,7 @@
   s.edge.at = () => ({ status: 500, body: undefined as unknown as Reply['body'] });
   t.is(await c.ask('PUBLISH a 4 2\r\nhi'), 'REJECT PUBLISH a 4 INDETERM', 'an answer that says nothing');
   const d = await s.to();
-  s.edge.refuse = fault(new Failure({ tag: 'not_ready', ...at, retryAfterMs: 1 }).fault);
+  s.edge.refuse = fault(new HarecrossError({ tag: 'not_ready', ...at, retryAfterMs: 1 }).details);
   t.is(await d.ask('ATTACH u2'), 'REJECT ATTACH - - CONGEST');
   s.edge.refuse = fault({ tag: 'internal', ...at, detail: '' });
   t.is(await d.ask('ATTACH u2'), 'REJECT ATTACH - - INDETERM');
@@ -382,8 +382,8 @@
   const other = await attached(s, 'other');
   for (const [bad, want] of [
     ['PROBE\n', 'REJECT - - - MALFORMED'],
-    ['x'.repeat(C.accessLineBytes + 1), 'REJECT - - - OVERSIZE'],
-    [`PUBLISH a 1 ${C.accessSkipBytes + 1}\r\n`, 'REJECT PUBLISH - - OVERSIZE'],
+    ['x'.repeat(REQUEST.accessLineBytes + 1), 'REJECT - - - OVERSIZE'],
+    [`PUBLISH a 1 ${REQUEST.accessSkipBytes + 1}\r\n`, 'REJECT PUBLISH - - OVERSIZE'],
     ['PUBLISH a 1\r\n', 'REJECT PUBLISH - - MALFORMED'],
     ['\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n', 'REJECT - - - MALFORMED'],
     ['GET / HTTP/1.1\r\n\n', 'REJECT - - - MALFORMED'],
@@ -405,14 +405,14 @@
   const s = await stage(t);
   s.edge.at = well;
   const c = await attached(s, 'u1');
-  for (const n of [C.edgeBodyBytes + 1, C.accessSkipBytes]) {
+  for (const n of [REQUEST.edgeBodyBytes + 1, REQUEST.accessSkipBytes]) {
     c.send(`PUBLISH a 1 ${n}\r\n`);
     c.send(Buffer.alloc(n, 'x'));
     t.is(await c.ask(''), 'REJECT PUBLISH a 1 OVERSIZE');
     t.is(await c.ask('PROBE'), 'PROBEACK');
   }
-  c.send(`PUBLISH a 1 ${C.edgeBodyBytes}\r\n`);
-  c.send(Buffer.alloc(C.edgeBodyBytes, 'x'));
+  c.send(`PUBLISH a 1 ${REQUEST.edgeBodyBytes}\r\n`);
+  c.send(Buffer.alloc(REQUEST.edgeBodyBytes, 'x'));
   t.is(await c.ask(''), 'ACCEPT a 1', 'the largest that is read');
   t.is(s.edge.visits.length, 1);
 });
@@ -420,11 +420,11 @@
 test('bodies of all connections together take so much room and no more', async (t) => {
   const s = await stage(t);
   s.edge.at = well;
-  const n = C.accessBodiesBytes / C.edgeBodyBytes;
+  const n = REQUEST.accessBodiesBytes / REQUEST.edgeBodyBytes;
   const all: LineClient[] = [];
   for (let i = 0; i < n; i++) {
     const c = await attached(s, `u${i}`);
-    c.send(`PUBLISH a 1 ${C.edgeBodyBytes}\r\nx`);
+    c.send(`PUBLISH a 1 ${REQUEST.edgeBodyBytes}\r\nx`);
     all.push(c);
   }
   const [other, pulse] = [await attached(s, 'other'), await attached(s, 'pulse')];
@@ -534,7 +534,8 @@
   // A product that would not wait is stopped at a bound.
   deaf.socket.pause();
   const before = s.edge.goneIds.length;
-  for (let i = 0; i < 4 * C.accessUnreadBytes && s.edge.goneIds.length === before; i += 10_000) sink.write([frame(1)]);
+  for (let i = 0; i < 4 * REQUEST.accessUnreadBytes && s.edge.goneIds.length === before; i += 10_000)
+    sink.write([frame(1)]);
   t.is(s.edge.goneIds.length, before + 1);
   t.is(s.counters.get('access.unread'), 1);
   await turns(other, 5);
@@ -547,22 +548,22 @@
   const slow: LineClient[] = [];
   for (let i = 0; i < N; i += 50) slow.push(...(await Promise.all(Array.from({ length: 50 }, () => s.to()))));
   for (const c of slow.slice(0, 500)) c.send('ATTA');
-  await Promise.all(slow.slice(0, N - C.accessOpenersN - 50).map((c) => c.closed));
+  await Promise.all(slow.slice(0, N - REQUEST.accessUnattachedLimit - 50).map((c) => c.closed));
   t.is(await first.ask('PROBE'), 'PROBEACK');
   // The listener may not have met all of them yet: the last wait in the OS's queue while the machine is busy.
-  while ((s.counters.get('access.crowded') ?? 0) < N - C.accessOpenersN) await turns(first, 1);
+  while ((s.counters.get('access.crowded') ?? 0) < N - REQUEST.accessUnattachedLimit) await turns(first, 1);
   const late = await attached(s, 'late');
-  t.is(s.counters.get('access.crowded'), N - C.accessOpenersN + 1, 'as many as were too many');
+  t.is(s.counters.get('access.crowded'), N - REQUEST.accessUnattachedLimit + 1, 'as many as were too many');
   t.true(
     slow.slice(-900).every((c) => !c.over),
     'the newest are still there',
   );
-  s.clock.pass(C.accessOpenMs - 1_000);
+  s.clock.pass(REQUEST.accessOpenMs - 1_000);
   await turns(first, 3);
   t.is(s.counters.get('access.slow'), undefined, 'not before their time');
-  s.clock.pass(3 * C.accessSweepMs);
+  s.clock.pass(3 * REQUEST.accessSweepMs);
   await Promise.all(slow.map((c) => c.closed));
-  t.is(s.counters.get('access.slow'), C.accessOpenersN - 1);
+  t.is(s.counters.get('access.slow'), REQUEST.accessUnattachedLimit - 1);
   t.is(await first.ask('PROBE'), 'PROBEACK');
   t.is(await late.ask('PROBE'), 'PROBEACK');
   t.is(s.edge.goneIds.length, 0, 'the product never heard of them');
@@ -590,7 +591,7 @@
   const topics = Array.from({ length: N }, (_, i) => `t.${i}`);
   c.send(topics.map((x, i) => (i % 3 ? `ENQUIRE ${x}\r\n` : `PUBLISH ${x} ${i + 1} 2\r\nhi\r\n`)).join(''));
   let seed = SEED;
-  const rnd = (n: number): number => {
+  const random = (n: number): number => {
     seed = (seed * 1_103_515_245 + 12_345) % 2_147_483_648;
     return Math.floor((seed / 2_147_483_648) * n);
   };
@@ -604,7 +605,7 @@
       continue;
     }
     // In whatever order: the last first, or one from the middle.
-    const [v] = waiting.splice(rnd(waiting.length), 1) as [Visited];
+    const [v] = waiting.splice(random(waiting.length), 1) as [Visited];
     const n = Number(v.body.topic.slice(2));
     v.answer({
       status: 200,
@@ -613,7 +614,7 @@
     if (++served % 500 === 0) await turns(other, 1);
   }
   await c.until((all) => all.length === N + 1);
-  t.is(s.edge.mostOpen, C.accessRunningN);
+  t.is(s.edge.mostOpen, REQUEST.accessRunningLimit);
   const got = c.all.slice(1).map((x) => x.fields.join(' '));
   t.deepEqual([...got].sort(), topics.map((x, i) => (i % 3 ? `TALLY ${x} ${i}` : `ACCEPT ${x} ${i + 1}`)).sort());
   t.deepEqual(
@@ -651,7 +652,7 @@
   t.is(await c.line(), 'CONFIRM SUBSCRIBE b 9', 'what is about another topic waits for nothing');
   await turns(other, 3);
   t.is(c.all.length, 2);
-  const lost: Fault = { tag: 'unknown_conn', step: 's', peer: 'p' };
+  const lost: ErrorDetails = { tag: 'unknown_conn', step: 's', peer: 'p' };
   first.answer(fault(lost));
   for (const said of [
     'REJECT SUBSCRIBE a - INDETERM',
@@ -809,7 +810,7 @@
   sink.close();
   await turns(other, 2);
   t.false(deaf.over);
-  s.clock.pass(C.closeGraceMs);
+  s.clock.pass(PROCESS.closeGraceMs);
   deaf.listen();
   await deaf.closed;
   t.true(deaf.all.filter((x) => x.fields[0] === 'DELIVER').length < n, 'what it had not taken by then is given up');
--- a/packages/trial/src/test/platform-management.test.ts
+++ b/packages/trial/src/test/platform-management.test.ts
@@ -7,7 +7,7 @@
   type Configuration,
 } from '@harecross/platform/management';
 import { serveClients } from '@harecross/platform/access';
-import { C } from '@harecross/kernel';
+import { REGISTER, REQUEST } from '@harecross/kernel';
 import { configFaults } from '@harecross/schema';
 import test, { type ExecutionContext } from 'ava';
 import fc from 'fast-check';
@@ -316,7 +316,7 @@
   }
   t.is((await s.http('POST', a.management + REPLACE, whole, 'text/html')).status, 415);
   const large = shown(50, (c) => {
-    c.pad = 'x'.repeat(C.accessSkipBytes);
+    c.pad = 'x'.repeat(REQUEST.accessSkipBytes);
   });
   t.is((await s.http('POST', a.management + REPLACE, large)).status, 413);
   t.is((await s.http('GET', a.management + REPLACE)).status, 404);
@@ -504,7 +504,7 @@
   t.is((await s.http('POST', `${a.readiness}/api/readiness`, {})).status, 404);
   // Cut off from the others it cannot say what is in force.
   for (const n of s.sim.nodes.values()) if (n !== relay) s.sim.cut(relay.name, n.name);
-  await s.pass(C.applyMs);
+  await s.pass(REGISTER.applyMs);
   t.is(await ready(a), '503 draining', 'cut off');
   s.sim.heal();
   await s.pass(3_000);
--- a/packages/trial/src/test/platform-names.test.ts
+++ b/packages/trial/src/test/platform-names.test.ts
@@ -174,14 +174,28 @@
 
 /** What the folder may take from the product: the edge, the clock, counters, and the reading of configs. */
 const MAY_IMPORT = new Map<string, Set<string>>([
-  ['@harecross/kernel', new Set(['C', 'addr', 'every', 'Fault', 'Kernel', 'checkedNodeConfig', 'NodeConfig', 'Role'])],
+  [
+    '@harecross/kernel',
+    new Set([
+      'PROCESS',
+      'REQUEST',
+      'SESSION',
+      'parseAddress',
+      'periodicTicks',
+      'ErrorDetails',
+      'Kernel',
+      'checkedNodeConfig',
+      'NodeConfig',
+      'Role',
+    ]),
+  ],
   ['@harecross/data', new Set(['Edge', 'Message', 'Outgoing', 'Reply', 'Sink', 'runProcess'])],
   // Loaded for its plug-ins, which the product starts by itself; nothing is named.
   ['@harecross/control', new Set()],
 ]);
 const LIBRARIES = /^(node:(net|http|fs)|typebox(\/compile)?|fastify|\.\/(access|boot|lines|main|management)\.js)$/;
 const OF_EDGE = new Set(['attach', 'starting', 'heard', 'gone', 'drained', 'visit', 'ready']);
-const OF_KERNEL = new Set(['count', 'keep', 'host']);
+const OF_KERNEL = new Set(['incrementCounter', 'addSubscription', 'host']);
 const OF_HOST = new Set(['clock', 'config']);
 /** What would decide by itself: chance, times of its own, state that lasts. */
 const DECIDING =
@@ -244,16 +258,16 @@
   // Planted.
   const planted = (line: string): string[] => beyond(new Map([...platform, ['platform/src/more.ts', line]]));
   for (const [line, said] of [
-    ["import { Register } from '@harecross/control';", 'imports Register of @harecross/control'],
+    ["import { ConsensusRegister } from '@harecross/control';", 'imports ConsensusRegister of @harecross/control'],
     ["import { Sessions, type Edge } from '@harecross/data';", 'imports Sessions of @harecross/data'],
-    ["import { register } from '@harecross/kernel';", 'imports register of @harecross/kernel'],
+    ["import { registerPlugin } from '@harecross/kernel';", 'imports registerPlugin of @harecross/kernel'],
     ["import { familyOf } from '@harecross/schema';", 'imports @harecross/schema'],
     ["import Database from 'better-sqlite3';", 'imports better-sqlite3'],
     ["const b = await import('@harecross/state');", 'imports @harecross/state'],
-    ["if (k.use('register').fresh()) serve();", 'uses kernel.use'],
+    ["if (k.use('register').hasReadLease()) serve();", 'uses kernel.use'],
     ["kernel.call(peer, 'Fan', {})", 'uses kernel.call'],
     ['edge.sessions.close(c)', 'uses edge.sessions'],
-    ['k.host.rnd.next()', 'uses host.rnd'],
+    ['k.host.random.next()', 'uses host.random'],
     ['setTimeout(retry, 500);', 'uses setTimeout'],
     ['if (Math.random() < 0.5) refuse();', 'uses Math.random'],
     ['x'.repeat(141), 'line 1 has 141 characters'],
--- a/packages/trial/src/test/recovery.test.ts
+++ b/packages/trial/src/test/recovery.test.ts
@@ -1,4 +1,4 @@
-import { C } from '@harecross/kernel';
+import { SHARD } from '@harecross/kernel';
 import test from 'ava';
 import type { Json } from '../json.js';
 import { smallFleet } from './small-fleet.js';
@@ -23,15 +23,15 @@
   test(`a fleet that comes back together serves within 400 ms, its keys shared, what was accepted there (seed ${seed})`, async (t) => {
     const s = await outage(seed, 30);
     const owned = (): number[] =>
-      s.stores.map((n) => (n.up && n.kernel?.has('owner') ? n.kernel.use('owner').owned().length : 0));
+      s.stores.map((n) => (n.up && n.kernel?.has('owner') ? n.kernel.use('owner').ownedShards().length : 0));
     let at = 0;
     while (!at && s.sim.now < s.from + 5_000) {
       await s.sim.run(s.sim.now + 10);
-      if (owned().reduce((a, b) => a + b, 0) === C.shardsN) at = s.sim.now;
+      if (owned().reduce((a, b) => a + b, 0) === SHARD.shardCount) at = s.sim.now;
     }
     t.true(at > 0 && at - s.up <= 400, `virtual time; all keys served ${at - s.up} ms after the last start`);
     t.true(
-      Math.max(...owned()) <= Math.ceil((C.shardsN / 3) * C.ownersSlack) + 2,
+      Math.max(...owned()) <= Math.ceil((SHARD.shardCount / 3) * SHARD.ownerSlack) + 2,
       `no store has all the keys: ${owned().join()}`,
     );
     t.true(
--- a/packages/trial/src/test/register.test.ts
+++ b/packages/trial/src/test/register.test.ts
@@ -23,7 +23,7 @@
   void sim.start(seeds[2]!);
   await sim.run(12_000);
   t.is(fleets(all).length, 1);
-  t.true(all.every((n) => n.kernel!.use('register').fresh()));
+  t.true(all.every((n) => n.kernel!.use('register').hasReadLease()));
   const id = fleets(all)[0];
   // The founder's machine comes back with an empty disk, and so does another seed, one after the other.
   for (const s of seeds.slice(0, 2)) {
@@ -49,7 +49,7 @@
       void sim.start(s);
       await sim.run(sim.now + 9_000);
     }
-    const seats = value(all[5]!)!.seats;
+    const seats = value(all[5]!)!.voters;
     if (!seeds.some((s) => seats.includes(s.kernel!.use('register').disk!))) {
       caused++;
       for (const n of all) sim.kill(n);
@@ -63,7 +63,7 @@
       for (const n of all) void sim.start(n);
       await sim.run(sim.now + 10_000);
       t.deepEqual(fleets(all), [id]);
-      t.true(all.every((n) => n.kernel!.use('register').fresh()));
+      t.true(all.every((n) => n.kernel!.use('register').hasReadLease()));
     }
     sim.close();
   }
--- a/packages/trial/src/test/rejoin.test.ts
+++ b/packages/trial/src/test/rejoin.test.ts
@@ -1,4 +1,4 @@
-import { fromText, Register, toText, type Value } from '@harecross/control';
+import { deserializeValue, ConsensusRegister, serializeValue, type FleetValue } from '@harecross/control';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
 import { controlFleet, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
@@ -20,7 +20,7 @@
   wrong: string[];
 }
 
-const registerOf = (n: SimNode): Register => n.kernel!.use('register');
+const registerOf = (n: SimNode): ConsensusRegister => n.kernel!.use('register');
 
 async function life(seed: number): Promise<Life> {
   return { fleet: await controlFleet(seed, { relays: 1 }), revision: 1, version: 1, wrong: [] };
@@ -54,7 +54,7 @@
   while (sim.now - from < 5 * CURRENT_MS) {
     await sim.run(sim.now + STEP_MS);
     const register = n.kernel?.has('register') ? registerOf(n) : undefined;
-    if (!register?.fresh()) continue;
+    if (!register?.hasReadLease()) continue;
     if (register.value!.revision === l.revision) break;
     l.wrong.push(`${n.name} serves by revision ${register.value!.revision}, ${l.revision} was acknowledged`);
     break;
@@ -87,11 +87,11 @@
     // A row without a sum is one from before there were sums, and is taken as it is.
     n.sql!.prepare('update meta set v = ?, sum = null where k = ?').run(v, k);
   };
-  const value: Value = fromText(get('seat.value'));
+  const value: FleetValue = deserializeValue(get('seat.value'));
   const number = Math.max(Number(get('seat.ballot').slice(0, 12)), Number(get('seat.promised').slice(0, 12))) + 1;
   const ballot = `${String(number).padStart(12, '0')}.10.9.9.9:7100~dead`;
   const never = { ...value, rev: value.rev + 1, version: value.version + 1, revision: NEVER_CHOSEN };
-  set('seat.value', toText(never));
+  set('seat.value', serializeValue(never));
   set('seat.ballot', ballot);
   set('seat.promised', ballot);
 }
@@ -218,7 +218,7 @@
   let everFresh = false;
   for (let passed = 0; passed < 5_000; passed += STEP_MS) {
     await l.fleet.pass(STEP_MS);
-    everFresh ||= n.kernel?.has('register') === true && registerOf(n).fresh();
+    everFresh ||= n.kernel?.has('register') === true && registerOf(n).hasReadLease();
   }
   const read = await l.fleet.ask(n, 'ReadConfig', {});
   const publish = await l.fleet.ask(n, 'Publish', { sender: 'desk', topic: 'feed/1', seq: 1, body: 'm' });
@@ -252,11 +252,11 @@
 
 /** The register's inside, for faults. */
 interface Inside {
-  value?: Value;
-  acceptor?: { accepted?: Value };
+  value?: FleetValue;
+  acceptor?: { accepted?: FleetValue };
   lease: { renew(at: number): void };
   k: { host: { clock: { now(): number } } };
-  learn(v: Value): void;
+  learn(v: FleetValue): void;
 }
 /** The proposer's inside, for faults. */
 interface InsideProposer {
@@ -273,11 +273,13 @@
       this.lease.renew(this.k.host.clock.now());
       return Promise.resolve(true);
     };
-  const alone = await withFault(Register.prototype, 'confirm', fault, async () => servedAlone(await life(411)));
+  const alone = await withFault(ConsensusRegister.prototype, 'confirm', fault, async () =>
+    servedAlone(await life(411)),
+  );
   t.true(alone.length > 0);
   for (const way of RETURNS.slice(0, 2)) {
     const l = await life(420);
-    await withFault(Register.prototype, 'confirm', fault, () => leaveAndReturn(l, way, 5));
+    await withFault(ConsensusRegister.prototype, 'confirm', fault, () => leaveAndReturn(l, way, 5));
     t.true(
       l.wrong.some((x) => x.includes('serves by revision')),
       `${way.what}: ${l.wrong.join(', ')}`,
@@ -287,11 +289,15 @@
 
 test.serial('planted: a member that proposes by its disk, without asking a majority first, is noticed', async (t) => {
   const fault = () =>
-    async function (this: InsideProposer, start: Value, fn: (v: Value) => { next?: Value; out: unknown }) {
+    async function (
+      this: InsideProposer,
+      start: FleetValue,
+      fn: (v: FleetValue) => { next?: FleetValue; out: unknown },
+    ) {
       const { next, out } = fn(start);
-      const value = toText({ ...(next ?? start), rev: start.rev + 1 });
+      const value = serializeValue({ ...(next ?? start), rev: start.rev + 1 });
       const ballot = `9${this.ballots.next().slice(1)}`;
-      await Promise.allSettled(this.context.ask(start.seats, 'RegAccept', { ballot, value }));
+      await Promise.allSettled(this.context.ask(start.voters, 'RegAccept', { ballot, value }));
       return { tag: 'done', out };
     };
   const l = await life(421);
@@ -311,6 +317,6 @@
 
 test.serial('planted: a member that waits for its period to confirm again is noticed', async (t) => {
   const wait = () => () => Promise.resolve();
-  const l = await withFault(Register.prototype, 'confirmAgain', wait, () => letInAgain(2));
+  const l = await withFault(ConsensusRegister.prototype, 'renewExpiredLease', wait, () => letInAgain(2));
   t.true(l.wrong.some((x) => x.includes('is current after')));
 });
--- a/packages/trial/src/test/repair.test.ts
+++ b/packages/trial/src/test/repair.test.ts
@@ -1,5 +1,5 @@
 /** One loss after another: from the start of a successor's process until every majority bears the next loss. */
-import { Owner, type Key } from '@harecross/data';
+import { ShardTable } from '@harecross/data';
 import { lastIdx } from '@harecross/state';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
@@ -60,11 +60,11 @@
 
   look(fleet: ControlFleet): void {
     for (const node of fleet.stores.filter(isUp)) {
-      const keys = Reflect.get(node.kernel!.use('owner'), 'keys') as Map<number, Key>;
-      for (const key of keys.values())
-        for (const [disk, last] of key.state === 'owner' ? key.match : []) {
-          const id = `${key.shard} ${disk}`;
-          if (last > (this.most.get(id)?.last ?? 0)) this.most.set(id, { shard: key.shard, disk, last });
+      const keys = Reflect.get(node.kernel!.use('owner'), 'shards') as ShardTable;
+      for (const key of keys.all())
+        for (const [disk, last] of key.phase === 'owner' ? key.matchIndex : []) {
+          const id = `${key.id} ${disk}`;
+          if (last > (this.most.get(id)?.last ?? 0)) this.most.set(id, { shard: key.id, disk, last });
         }
     }
   }
@@ -92,13 +92,13 @@
 function bearsALoss(fleet: ControlFleet): boolean {
   const live = new Set([...fleet.controls, ...fleet.stores].filter(isUp).map(diskOf));
   const value = fleet.controls.find(isUp)!.kernel!.use('register').value!;
-  if (![...value.seats, ...value.prevSeats].every((disk) => live.has(disk))) return false;
+  if (![...value.voters, ...value.previousVoters].every((disk) => live.has(disk))) return false;
   if (![...value.shards.values()].every((placement) => placement.copies.every((disk) => live.has(disk)))) return false;
   const owned = new Set(
     fleet.stores.filter(isUp).flatMap((node) =>
       node
         .kernel!.use('owner')
-        .owned()
+        .ownedShards()
         .map((o) => o.shard),
     ),
   );
@@ -253,8 +253,8 @@
 test.serial(
   'planted: owners that call no copy behind have a store emptied before the copies in its place have everything',
   async (t) => {
-    const behind = Object.getOwnPropertyDescriptor(Owner.prototype, 'behind')!;
-    Object.defineProperty(Owner.prototype, 'behind', { ...behind, value: () => [] });
+    const behind = Object.getOwnPropertyDescriptor(ShardTable.prototype, 'laggingReplicas')!;
+    Object.defineProperty(ShardTable.prototype, 'laggingReplicas', { ...behind, value: () => [] });
     try {
       const found: string[] = [];
       for (const seed of EMPTYING_SEEDS) {
@@ -265,7 +265,7 @@
       t.not(found.length, 0);
       t.log(found[0]);
     } finally {
-      Object.defineProperty(Owner.prototype, 'behind', behind);
+      Object.defineProperty(ShardTable.prototype, 'laggingReplicas', behind);
     }
   },
 );
--- a/packages/trial/src/test/resume.test.ts
+++ b/packages/trial/src/test/resume.test.ts
@@ -11,12 +11,12 @@
   const { sim } = f;
   const offsets = new Set<number>();
   const come = async (): Promise<void> => {
-    const relay = f.relays[Math.floor(sim.rnd.next() * f.relays.length)]!.config.client;
+    const relay = f.relays[Math.floor(sim.random.next() * f.relays.length)]!.config.client;
     let over = false;
     const again = (): void => {
       if (over) return;
       over = true;
-      void sleep(sim.clock, 100 + 200 * sim.rnd.next()).then(come);
+      void sleep(sim.clock, 100 + 200 * sim.random.next()).then(come);
     };
     const subscribe = async (conn: string): Promise<void> => {
       while (!over) {
@@ -51,11 +51,11 @@
   for (const seed of [102, 104, 105, 110]) {
     const f = await controlFleet(seed, { stores: 4, relays: 8, controls: 4 });
     const { sim } = f;
-    const { rnd } = sim;
+    const { random } = sim;
     const accepted = new Map(topics.map((x) => [x, [] as number[]]));
     let n = 0;
     const say = (topic: string): void => {
-      const relay = f.relays[Math.floor(rnd.next() * f.relays.length)]!;
+      const relay = f.relays[Math.floor(random.next() * f.relays.length)]!;
       void sim.outside
         .visit(relay.config.client, 'Publish', { sender: `desk${++n}`, topic, seq: 1, body: `message ${n}` }, 2_000)
         .then((r) => {
@@ -77,7 +77,7 @@
     const all = [...sim.nodes.values()];
     for (const x of all) sim.kill(x);
     await f.pass(500);
-    const back = (x: SimNode): void => void sleep(sim.clock, 200 + 700 * rnd.next()).then(() => sim.start(x));
+    const back = (x: SimNode): void => void sleep(sim.clock, 200 + 700 * random.next()).then(() => sim.start(x));
     all.forEach(back);
     const from = sim.lines.length;
     const late = topics.map((topic, i) => {
--- a/packages/trial/src/test/retries.test.ts
+++ b/packages/trial/src/test/retries.test.ts
@@ -8,7 +8,7 @@
   const b = new RetryBudget(clock, { perS: 10, share: 0.5, burst: 20 });
   const many = (urgent: boolean): number => {
     let n = 0;
-    while (n < 1_000 && b.retry(urgent)) n++;
+    while (n < 1_000 && b.tryRetry(urgent)) n++;
     return n;
   };
   t.is(many(false), 10, 'routine ones have half');
@@ -16,7 +16,7 @@
   t.is(many(true), 0);
   now = 500;
   t.is(many(true), 5, 'half a second later');
-  for (let i = 0; i < 8; i++) b.first();
+  for (let i = 0; i < 8; i++) b.recordFirstAttempt();
   t.is(many(true), 4, 'half of eight first tries');
   now = 1_000_000;
   t.is(many(true), 20, 'never more than the burst');
@@ -88,6 +88,6 @@
   await f.pass(2_500);
   t.log(`asked for the configuration a node and second: ${first.toFixed(1)} at first, ${later.toFixed(1)} later`);
   t.true(later < 5 && later < first / 2);
-  for (const n of others) t.true(n.kernel!.use('register').fresh(), n.name);
+  for (const n of others) t.true(n.kernel!.use('register').hasReadLease(), n.name);
   f.sim.close();
 });
--- a/packages/trial/src/test/senders.test.ts
+++ b/packages/trial/src/test/senders.test.ts
@@ -1,4 +1,4 @@
-import { C, shardOf } from '@harecross/kernel';
+import { SHARD, shardOf } from '@harecross/kernel';
 import test from 'ava';
 import type { Json } from '../json.js';
 import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
@@ -245,7 +245,7 @@
     const owned = (n: SimNode): number[] =>
       n
         .kernel!.use('owner')
-        .owned()
+        .ownedShards()
         .map((k) => k.shard);
     const before = others.map(owned);
     for (const n of others) sim.cut(victim.name, n.name);
@@ -254,7 +254,7 @@
       others.map(owned).map((now, i) => before[i]!.filter((k) => !now.includes(k))),
       others.map(() => []),
     );
-    t.is(others.flatMap(owned).length, C.shardsN, 'the keys of the one that was cut off are with the others');
+    t.is(others.flatMap(owned).length, SHARD.shardCount, 'the keys of the one that was cut off are with the others');
     sim.close();
   }
 });
@@ -266,11 +266,11 @@
   // The majority's answer and another's fence come in one moment.
   let lost = 0;
   for (const n of s.stores) {
-    const owner = n.kernel!.use('owner') as Json;
-    const confirm = owner.confirm;
-    owner.confirm = async function (this: Json, key: Json) {
-      await confirm.call(this, key);
-      if (lost++ === 0) this.turn(key, 'none');
+    const { history } = n.kernel!.use('owner') as Json;
+    const confirm = history.confirmOwnership;
+    history.confirmOwnership = async function (this: Json, shard: Json) {
+      await confirm.call(this, shard);
+      if (lost++ === 0) this.shards.setPhase(shard, 'none');
     };
   }
   const c = await s.attach(r2, 'phone');
--- a/packages/trial/src/test/tools.test.ts
+++ b/packages/trial/src/test/tools.test.ts
@@ -1,4 +1,4 @@
-import { C, shardOf } from '@harecross/kernel';
+import { SHARD, shardOf } from '@harecross/kernel';
 import test from 'ava';
 import {
   answer,
@@ -19,7 +19,9 @@
 const disks: Disk[] = ['a', 'b', 'c'].flatMap((domain, z) =>
   [1, 2].map((i) => ({ peer: `10.0.${z}.${i}:7100`, domain })),
 );
-const now = new Map([...Array(C.shardsN).keys()].map((s) => [s, [0, 2, 4].map((i) => disks[(i + s) % 6]!.peer)]));
+const now = new Map(
+  [...Array(SHARD.shardCount).keys()].map((s) => [s, [0, 2, 4].map((i) => disks[(i + s) % 6]!.peer)]),
+);
 
 test('queries: read, filtered, sorted, cut, and told what is wrong with them', (t) => {
   const rows = [
@@ -135,7 +137,7 @@
   }
   t.deepEqual(planFaults(c, disks, r.plan.placement), []);
   t.true(r.plan.placement.find((p) => p.shard === shardOf('flood/1'))!.nodes.includes(disks[1]!.peer));
-  t.true(r.plan.moved > 0 && r.plan.moved < C.shardsN * 2, `${r.plan.moved} moves`);
+  t.true(r.plan.moved > 0 && r.plan.moved < SHARD.shardCount * 2, `${r.plan.moved} moves`);
   t.is((place({ copies: 3 }, disks, now) as { plan: { moved: number } }).plan.moved, 0, 'nothing moves without need');
 
   // The check by counting sees a wrong plan, for each kind of constraint.
--- a/packages/trial/src/test/transcripts.test.ts
+++ b/packages/trial/src/test/transcripts.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { C } from '@harecross/kernel';
+import { SHARD } from '@harecross/kernel';
 import type { Json } from '../json.js';
 import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
 import type { SimNode } from '../sim.js';
@@ -149,7 +149,7 @@
   const r = s.relays[0]!;
   const owner = r.kernel!.use('owner');
   // Its keys come to it once they have been matched to it for a while.
-  await s.pass(C.steadyMs * 2);
+  await s.pass(SHARD.steadyAssignmentMs * 2);
   const topic = Array.from({ length: 200 }, (_, i) => `feed/${i}`).find((x) => owner.owns(x))!;
   t.truthy(topic, 'it owns a key');
   for (const o of s.sim.nodes.values()) if (o !== r) s.sim.cut(r.name, o.name);
@@ -160,7 +160,7 @@
   t.true(got.body.error.retryAfterMs > 0);
   t.true(s.sim.now - t0 <= 2_100, `virtual time; the family waits 2 s, it took ${s.sim.now - t0}`);
   await s.pass(1_000);
-  t.is(owner.holdings()[0]!.length, 0, 'nothing waits on in the holding of an owner that lost its majority');
+  t.is(owner.queues()[0]!.length, 0, 'nothing waits on in the holding of an owner that lost its majority');
   // Once healed, the same seq gets one outcome, and only one message is there.
   s.sim.heal();
   await s.pass(4_000);
--- a/packages/trial/src/test/trouble.test.ts
+++ b/packages/trial/src/test/trouble.test.ts
@@ -1,7 +1,7 @@
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { sleep, type Db, type Log } from '@harecross/kernel';
+import { sleep, type SyncedDatabase, type Log } from '@harecross/kernel';
 import test from 'ava';
 import { seeded, Sim } from '../sim.js';
 import { SimDisk } from '../sim-disk.js';
@@ -44,15 +44,15 @@
     const tolerance = new Tolerance(sim.clock, deployment.losses, deployment.syncMs);
     const lostUntil = new Map<Machine, number>();
     let strikes = 0;
-    const rnd = seeded(7);
+    const random = seeded(7);
     const trouble = async (): Promise<void> => {
-      await sleep(sim.clock, 20_000 * rnd.next());
-      const claim = await tolerance.claim(() => stores, 1 + Math.floor(2 * rnd.next()), rnd);
+      await sleep(sim.clock, 20_000 * random.next());
+      const claim = await tolerance.claim(() => stores, 1 + Math.floor(2 * random.next()), random);
       for (const machine of claim?.machines ?? []) lostUntil.set(machine, Infinity);
       strikes += claim?.machines.length ?? 0;
       const lost = [...lostUntil.values()].filter((until) => until > sim.now).length;
       t.true(lost <= deployment.losses, `${lost} are lost`);
-      await sleep(sim.clock, 1_000 * rnd.next());
+      await sleep(sim.clock, 1_000 * random.next());
       claim?.back();
       for (const machine of claim?.machines ?? []) lostUntil.set(machine, sim.now + deployment.syncMs);
     };
@@ -69,11 +69,11 @@
 test('a loss of power takes only what was not synced, block by block or all of it', async (t) => {
   const root = mkdtempSync(join(tmpdir(), 'harecross-trouble-'));
   const sim = new Sim(3);
-  const rnd = seeded(3);
+  const random = seeded(3);
   let outcomes = { kept: 0, gone: 0 };
   let acknowledged = 0;
   let written = 0;
-  const disk = new SimDisk(root, { afterSync: (fn) => void sim.clock.after(5 * rnd.next(), fn) });
+  const disk = new SimDisk(root, { afterSync: (fn) => void sim.clock.after(5 * random.next(), fn) });
   for (let life = 0; life < 30; life++) {
     const db = disk.open(sim.clock, quiet, (e) => t.fail(e.message), 'a');
     db.sql.exec('create table if not exists t (n integer primary key, body text)');
@@ -84,16 +84,16 @@
     if (written > acknowledged) outcomes = last > acknowledged ? more(outcomes, 'kept') : more(outcomes, 'gone');
     acknowledged = last;
     written = last;
-    const until = sim.now + 200 * rnd.next();
+    const until = sim.now + 200 * random.next();
     while (sim.now < until) {
       const n = ++written;
       void write(db, n).then(() => {
         acknowledged = Math.max(acknowledged, n);
       });
-      await sim.run(sim.now + 2 * rnd.next());
+      await sim.run(sim.now + 2 * random.next());
     }
     if (life % 3 === 0) disk.endProcess();
-    else disk.losePower(rnd);
+    else disk.losePower(random);
   }
   t.true(outcomes.kept > 3 && outcomes.gone > 3, JSON.stringify(outcomes));
   disk.wipe();
@@ -101,7 +101,7 @@
   sim.close();
 });
 
-const write = (db: Db, n: number): Promise<unknown> =>
+const write = (db: SyncedDatabase, n: number): Promise<unknown> =>
   db.commit((sql) => sql.prepare('insert into t values (?, ?)').run(n, 'x'.repeat(3_000)));
 const more = (outcomes: { kept: number; gone: number }, which: 'kept' | 'gone'): { kept: number; gone: number } => ({
   ...outcomes,
--- a/packages/trial/src/test/turnover.test.ts
+++ b/packages/trial/src/test/turnover.test.ts
@@ -117,7 +117,7 @@
   for (const n of all) void f.sim.start(n);
   await f.pass(5_000);
   for (const n of all) t.is(n.kernel!.use('register').value?.revision, 5, n.name);
-  t.true(all.every((n) => n.kernel!.use('register').fresh()));
+  t.true(all.every((n) => n.kernel!.use('register').hasReadLease()));
   t.is((await publish(f, f.relays[2]!, 'feed/1', 1)).status, 200);
   f.sim.close();
 });
@@ -133,7 +133,7 @@
     await f.pass(1_000);
     void f.sim.start(n);
     await f.pass(3_000);
-    t.true(n.kernel!.use('register').fresh(), n.name);
+    t.true(n.kernel!.use('register').hasReadLease(), n.name);
   }
   t.is(fleets().size, 1);
   f.sim.close();
--- a/packages/trial/src/trouble/loss-kinds.ts
+++ b/packages/trial/src/trouble/loss-kinds.ts
@@ -1,5 +1,5 @@
 /** Losses of power and of disks: of machines that have just acknowledged something, of all at once, and at the end of a day. */
-import type { Rnd } from '@harecross/kernel';
+import type { RandomSource } from '@harecross/kernel';
 import type { Machine } from './machines.js';
 import { bringBack } from './machine-kinds.js';
 import type { KindName, Trouble } from './schedule.js';
@@ -16,29 +16,29 @@
 const SETTLE_MS = 500;
 
 /** Lets the moment come that the words of a trouble ask for; gives the machine that it points at. */
-async function moment(s: TroubleStage, trouble: Trouble, rnd: Rnd): Promise<Machine | undefined> {
-  if (trouble.how.includes('taken')) return nextWork(s, trouble.on, rnd);
+async function moment(s: TroubleStage, trouble: Trouble, random: RandomSource): Promise<Machine | undefined> {
+  if (trouble.how.includes('taken')) return nextWork(s, trouble.on, random);
   const acked = s.orders.nextAck();
   const done = s.orders.change('route');
   if (trouble.how.includes('timed')) {
-    await pause(s, TIMED_MS.least + (TIMED_MS.most - TIMED_MS.least) * rnd.next());
+    await pause(s, TIMED_MS.least + (TIMED_MS.most - TIMED_MS.least) * random.next());
     return undefined;
   }
   const ack = await Promise.race([acked, done.then(() => undefined)]);
-  await pause(s, AFTER_ACK_MS * rnd.next());
+  await pause(s, AFTER_ACK_MS * random.next());
   return ack?.machine;
 }
 
 /** Victims of a fault that follows an acknowledgement: who gave it, and others by lot. */
-async function struck(s: TroubleStage, trouble: Trouble, rnd: Rnd): Promise<Claim | undefined> {
-  const first = await moment(s, trouble, rnd);
+async function struck(s: TroubleStage, trouble: Trouble, random: RandomSource): Promise<Claim | undefined> {
+  const first = await moment(s, trouble, random);
   const preferred = first && s.machines.of(trouble.on).includes(first) && first.isUp() ? [first] : undefined;
-  if (!preferred || trouble.count > 1) return claim(s, trouble, rnd);
-  return s.tolerance.claim(() => preferred, 1, rnd);
+  if (!preferred || trouble.count > 1) return claim(s, trouble, random);
+  return s.tolerance.claim(() => preferred, 1, random);
 }
 
-const afterAckKill: Play = async (s, trouble, rnd) => {
-  const victims = await struck(s, trouble, rnd);
+const afterAckKill: Play = async (s, trouble, random) => {
+  const victims = await struck(s, trouble, random);
   if (!victims) return;
   const killed = trouble.how.includes('kill');
   note(s, killed ? 'kill after an acknowledgement' : 'power fails after an acknowledgement', victims.machines);
@@ -50,8 +50,8 @@
   victims.back();
 };
 
-const afterAckWipe: Play = async (s, trouble, rnd) => {
-  const victims = await struck(s, trouble, rnd);
+const afterAckWipe: Play = async (s, trouble, random) => {
+  const victims = await struck(s, trouble, random);
   if (!victims) return;
   note(s, 'disk lost after an acknowledgement', victims.machines);
   for (const m of victims.machines) s.machines.wipe(m);
@@ -60,10 +60,10 @@
 };
 
 /** All machines that count at once, or many of the others. */
-const herdKill: Play = async (s, trouble, rnd) => {
+const herdKill: Play = async (s, trouble, random) => {
   if (trouble.on === 'access') {
     const share = Math.ceil(0.6 * s.machines.of('access').length);
-    const victims = await claim(s, { ...trouble, count: share }, rnd);
+    const victims = await claim(s, { ...trouble, count: share }, random);
     if (!victims) return;
     note(s, 'kill at once', victims.machines);
     for (const m of victims.machines) s.machines.kill(m);
@@ -73,7 +73,7 @@
   }
   const all = await s.tolerance.claimAll(() => s.machines.counted());
   if (!all) return;
-  if (trouble.how.includes('taken')) await nextWork(s, 'store', rnd);
+  if (trouble.how.includes('taken')) await nextWork(s, 'store', random);
   const power = trouble.how.includes('power') || trouble.how.includes('taken');
   note(s, power ? 'power fails everywhere that counts' : 'kill all that count', all.machines);
   for (const m of all.machines) {
@@ -85,15 +85,15 @@
 };
 
 /** The fault that ends a day: right after an acknowledgement, all lose power, or are killed, or some lose their disks. */
-const closing: Play = async (s, trouble, rnd) => {
+const closing: Play = async (s, trouble, random) => {
   const everyone = trouble.how.includes('power_off_all') || trouble.how.includes('kill_all');
   while (s.tolerance.count() > 0) await pause(s, SETTLE_MS);
   const wiping = !everyone;
   const victims = wiping
-    ? await claim(s, { ...trouble, count: s.machines.deployment.losses, on: lot(rnd) }, rnd)
+    ? await claim(s, { ...trouble, count: s.machines.deployment.losses, on: lot(random) }, random)
     : undefined;
   if (wiping && !victims) return;
-  await moment(s, { ...trouble, on: 'store' }, rnd);
+  await moment(s, { ...trouble, on: 'store' }, random);
   const others = s.machines.all.filter((m) => !m.removed && m.isUp() && !victims?.machines.includes(m));
   const dark = wiping ? others.filter((m) => m.counted && trouble.how.includes('all')) : others;
   note(s, `closing fault ${trouble.how.join(' ')}: disks lost of`, victims?.machines ?? []);
@@ -107,7 +107,7 @@
   await pause(s, RECOVERY_MS);
   victims?.back();
 };
-const lot = (rnd: Rnd): 'core' | 'store' => (rnd.next() < 0.5 ? 'core' : 'store');
+const lot = (random: RandomSource): 'core' | 'store' => (random.next() < 0.5 ? 'core' : 'store');
 
 export const LOSS_KINDS: Partial<Record<KindName, Play>> = {
   after_ack_kill: afterAckKill,
--- a/packages/trial/src/trouble/machine-kinds.ts
+++ b/packages/trial/src/trouble/machine-kinds.ts
@@ -1,5 +1,5 @@
 /** Troubles of single machines: their processes, their clocks and their connections. */
-import { sample, type Rnd } from '@harecross/kernel';
+import { randomSample, type RandomSource } from '@harecross/kernel';
 import type { Machine } from './machines.js';
 import type { KindName, Trouble } from './schedule.js';
 import { claim, note, pause, targets, type Play, type TroubleStage } from './stage.js';
@@ -26,8 +26,8 @@
   await Promise.all(machines.map((m) => s.machines.start(m)));
 }
 
-const nodeKill: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const nodeKill: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   const power = trouble.how.includes('power');
   note(s, power ? 'power of' : 'kill', victims.machines);
@@ -41,8 +41,8 @@
   await Promise.all(victims.machines.flatMap((m) => meet(s, trouble, m)));
 };
 
-const nodeFreeze: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const nodeFreeze: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   note(s, 'freeze', victims.machines);
   for (const m of victims.machines) s.machines.freeze(m);
@@ -52,8 +52,8 @@
   victims.back();
 };
 
-const nodeSlow: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const nodeSlow: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   note(s, 'slow', victims.machines);
   const nodes = victims.machines.flatMap((m) => m.nodes);
@@ -64,10 +64,10 @@
   victims.back();
 };
 
-const rollTerm: Play = async (s, trouble, rnd) => {
+const rollTerm: Play = async (s, trouble, random) => {
   const removing = trouble.how.includes('remove') && trouble.on === 'access';
   for (let i = 0; i < trouble.count; i++) {
-    const victims = await claim(s, { ...trouble, count: 1 }, rnd);
+    const victims = await claim(s, { ...trouble, count: 1 }, random);
     if (!victims) return;
     note(s, removing ? 'leaves' : 'stop', victims.machines);
     for (const m of victims.machines) await s.machines.stop(m);
@@ -83,27 +83,27 @@
 };
 
 /** The settings are read again, and say what they said. */
-const hup: Play = async (s, trouble, rnd) => {
-  const machines = sample(rnd, s.machines.of(trouble.on), trouble.count).filter((m) => m.isUp());
+const hup: Play = async (s, trouble, random) => {
+  const machines = randomSample(random, s.machines.of(trouble.on), trouble.count).filter((m) => m.isUp());
   note(s, 'SIGHUP', machines);
   for (const m of machines) {
-    for (const n of m.nodes) if (n.up && !n.frozen) n.kernel?.use('board').sayMine();
+    for (const n of m.nodes) if (n.up && !n.frozen) n.kernel?.use('membership').publishOwnRecord();
     await pause(s, trouble.forMs / machines.length);
   }
 };
 
-const resetConns: Play = async (s, trouble, rnd) => {
-  const machines = sample(rnd, s.machines.of(trouble.on), trouble.count);
+const resetConns: Play = async (s, trouble, random) => {
+  const machines = randomSample(random, s.machines.of(trouble.on), trouble.count);
   note(s, 'reset connections of', machines);
   for (const n of machines.flatMap((m) => m.nodes)) {
     n.resetAt = s.machines.sim.now;
-    for (const reset of n.calls) if (rnd.next() < RESET_SHARE) reset();
-    for (const reset of n.streams) if (rnd.next() < RESET_SHARE) reset();
+    for (const reset of n.calls) if (random.next() < RESET_SHARE) reset();
+    for (const reset of n.streams) if (random.next() < RESET_SHARE) reset();
   }
 };
 
-const clockStep: Play = async (s, trouble, rnd) => {
-  const nodes = sample(rnd, s.machines.of(trouble.on), trouble.count).flatMap((m) => m.nodes);
+const clockStep: Play = async (s, trouble, random) => {
+  const nodes = randomSample(random, s.machines.of(trouble.on), trouble.count).flatMap((m) => m.nodes);
   const by = trouble.how.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
   s.stage.note(`the time of day jumps by ${by} ms on ${nodes.map((n) => n.name).join(' ')}`);
   for (const n of nodes) n.stepMs += by;
@@ -118,8 +118,8 @@
 };
 
 /** One is gone for good, and an empty one comes at another address. */
-const replaceCore: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, { ...trouble, count: 1 }, rnd);
+const replaceCore: Play = async (s, trouble, random) => {
+  const victims = await claim(s, { ...trouble, count: 1 }, random);
   const old = victims?.machines[0];
   if (!victims || !old) return;
   const successor = s.machines.add(old.type, old.zone);
@@ -139,9 +139,9 @@
   victims.succeeded(successor);
 };
 
-const seedTurnover: Play = async (s, trouble, rnd) => {
+const seedTurnover: Play = async (s, trouble, random) => {
   note(s, 'other seeds');
-  s.machines.turnOverSeeds(sample(rnd, targets(s, trouble), 1));
+  s.machines.turnOverSeeds(randomSample(random, targets(s, trouble), 1));
 };
 
 export const MACHINE_KINDS: Partial<Record<KindName, Play>> = {
@@ -164,4 +164,4 @@
 }
 
 /** Draws some of these. */
-export const draw = <T>(rnd: Rnd, xs: readonly T[], count: number): T[] => sample(rnd, xs, count);
+export const draw = <T>(random: RandomSource, xs: readonly T[], count: number): T[] => randomSample(random, xs, count);
--- a/packages/trial/src/trouble/machines.ts
+++ b/packages/trial/src/trouble/machines.ts
@@ -72,7 +72,7 @@
       for (const n of m.nodes) {
         n.config.seeds = seeds;
         n.config.firstStart = true;
-        this.sim.clock.after(this.sim.rnd.next() * START_SPREAD_MS, () => {
+        this.sim.clock.after(this.sim.random.next() * START_SPREAD_MS, () => {
           void this.sim.start(n);
         });
       }
@@ -90,7 +90,7 @@
     this.numbers.set(type, number);
     const place = zone ?? zones[(number - 1) % zones.length]!;
     const name = `${type}${number}`;
-    const skewMs = Math.round((this.sim.rnd.next() * 2 - 1) * this.skewMs);
+    const skewMs = Math.round((this.sim.random.next() * 2 - 1) * this.skewMs);
     const process = (role: 'control' | 'store' | 'relay', label: string): SimNode => {
       const n = this.sim.add(label, { role, domain: place, disk: role !== 'relay', skewMs });
       Object.assign(n.config, {
--- a/packages/trial/src/trouble/network-kinds.ts
+++ b/packages/trial/src/trouble/network-kinds.ts
@@ -9,8 +9,8 @@
 const SLOW_DISK_FACTOR = 30;
 
 /** Machines are cut off from all whose loss counts. */
-const nodeCut: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const nodeCut: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   note(s, 'cut off from all that count:', victims.machines);
   const others = s.machines.all.filter((m) => m.counted && !victims.machines.includes(m));
@@ -22,8 +22,8 @@
 };
 
 /** Counted machines are cut off from the other counted ones. */
-const coreCut: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const coreCut: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   const oneWay = trouble.how.includes('one_way');
   note(s, `cut off from the core${oneWay ? ', one way' : ''}:`, victims.machines);
@@ -33,7 +33,7 @@
   const meetings: Promise<unknown>[] = meet(s, trouble, cutOff);
   if (trouble.how.includes('seeds')) {
     s.machines.turnOverSeeds(victims.machines.filter((m) => m.type === 'core'));
-    await restartOne(s, rnd);
+    await restartOne(s, random);
   }
   if (trouble.how.includes('both')) {
     for (const m of victims.machines) {
@@ -50,8 +50,8 @@
 };
 
 /** A machine whose loss does not count is restarted, and must find the fleet by its settings. */
-const restartOne: (...args: [Parameters<Play>[0], Parameters<Play>[2]]) => Promise<void> = async (s, rnd) => {
-  const victims = await s.tolerance.claim(() => s.machines.of('access'), 1, rnd);
+const restartOne: (...args: [Parameters<Play>[0], Parameters<Play>[2]]) => Promise<void> = async (s, random) => {
+  const victims = await s.tolerance.claim(() => s.machines.of('access'), 1, random);
   if (!victims) return;
   note(s, 'restart', victims.machines);
   for (const m of victims.machines) {
@@ -62,8 +62,8 @@
   victims.back();
 };
 
-const diskSlow: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const diskSlow: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   note(s, 'slow disks:', victims.machines);
   const nodes = victims.machines.map((m) => m.main);
@@ -74,8 +74,8 @@
 };
 
 /** The next write stops the whole process until the disk answers again. */
-const diskStall: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, trouble, rnd);
+const diskStall: Play = async (s, trouble, random) => {
+  const victims = await claim(s, trouble, random);
   if (!victims) return;
   note(s, 'disks stall:', victims.machines);
   const { clock } = s.machines.sim;
@@ -89,8 +89,8 @@
   victims.back();
 };
 
-const diskFull: Play = async (s, trouble, rnd) => {
-  const victims = await claim(s, { ...trouble, count: 1 }, rnd);
+const diskFull: Play = async (s, trouble, random) => {
+  const victims = await claim(s, { ...trouble, count: 1 }, random);
   if (!victims) return;
   note(s, 'disk full:', victims.machines);
   const nodes = victims.machines.map((m) => m.main);
--- a/packages/trial/src/trouble/operator-kinds.ts
+++ b/packages/trial/src/trouble/operator-kinds.ts
@@ -55,14 +55,14 @@
 }
 
 /** A store machine is emptied and taken away; with `wipe` others lose their disks right after. */
-const retire: Play = async (s, trouble, rnd) => {
+const retire: Play = async (s, trouble, random) => {
   const stores = s.machines.of('store').filter((m) => m.isUp());
   if (stores.length <= STORES_LEFT_MIN) {
     // A spare machine comes first, as an operator would see to.
     await s.machines.start(s.machines.add('store'));
     await pause(s, s.machines.deployment.syncMs);
   }
-  const leaving = stores[Math.floor(rnd.next() * stores.length)];
+  const leaving = stores[Math.floor(random.next() * stores.length)];
   if (!leaving || leaving.removed) return;
   note(s, 'retire', [leaving]);
   const asked = await s.orders.operator.ask('EmptyDisk', { disk: leaving.name });
@@ -77,14 +77,14 @@
   note(s, 'emptied and taken away:', [leaving]);
   await s.machines.stop(leaving);
   s.machines.remove(leaving);
-  if (trouble.how.includes('wipe')) await wipeOthers(s, trouble, rnd);
+  if (trouble.how.includes('wipe')) await wipeOthers(s, trouble, random);
 };
 /** An emptying may take this much longer than it was asked to, beside other troubles. */
 const RETIRE_SLACK_MS = 15_000;
 
-async function wipeOthers(s: TroubleStage, trouble: Trouble, rnd: Parameters<Play>[2]): Promise<void> {
+async function wipeOthers(s: TroubleStage, trouble: Trouble, random: Parameters<Play>[2]): Promise<void> {
   const { losses } = s.machines.deployment;
-  const victims = await s.tolerance.claim(() => s.machines.of('store'), losses, rnd);
+  const victims = await s.tolerance.claim(() => s.machines.of('store'), losses, random);
   if (!victims) return;
   note(s, 'disk lost right after a retirement:', victims.machines);
   for (const m of victims.machines) s.machines.wipe(m);
--- a/packages/trial/src/trouble/orders.ts
+++ b/packages/trial/src/trouble/orders.ts
@@ -55,7 +55,7 @@
     if (method !== 'SubmitConfig') return answer;
     this.lastAck = seen;
     for (const waiter of this.waiters.splice(0)) waiter(seen);
-    return this.world.rnd.next() < this.lostShare ? undefined : answer;
+    return this.world.random.next() < this.lostShare ? undefined : answer;
   }
 
   /** The next acknowledgement of a change, whether it reaches its operator or not. */
@@ -107,7 +107,7 @@
   /** An order that must not come into force; `how` as in the platform's `bad_config`. */
   async bad(how: string): Promise<void> {
     if (how === 'old_version') {
-      const revision = this.revision - 1 - Math.floor(this.world.rnd.next() * (REVISION_STEP - 2));
+      const revision = this.revision - 1 - Math.floor(this.world.random.next() * (REVISION_STEP - 2));
       await this.operator.revise(revision, configOf(this.site), true, { revision });
       return;
     }
--- a/packages/trial/src/trouble/schedule.ts
+++ b/packages/trial/src/trouble/schedule.ts
@@ -128,19 +128,19 @@
 /** The share of days that end with a closing fault. */
 const CLOSING_SHARE = 0.4;
 
-const oneOf = <T>(rnd: { next(): number }, xs: readonly T[]): T => xs[Math.floor(rnd.next() * xs.length)]!;
+const oneOf = <T>(random: { next(): number }, xs: readonly T[]): T => xs[Math.floor(random.next() * xs.length)]!;
 
-function drawTrouble(kind: KindName, at: number, rnd: { next(): number }): Trouble {
+function drawTrouble(kind: KindName, at: number, random: { next(): number }): Trouble {
   const draft = DRAFTS[kind];
   const [least, most] = draft.forMs ?? [0, 0];
   return {
     at: Math.round(at),
     kind,
-    on: oneOf(rnd, draft.on),
-    how: (draft.how ?? []).map((words) => oneOf(rnd, words)).filter((word) => word !== ''),
-    count: 1 + Math.floor(rnd.next() * (draft.most ?? 1)),
-    forMs: Math.round(least + (most - least) * rnd.next()),
-    pick: Math.floor(rnd.next() * 2 ** 31),
+    on: oneOf(random, draft.on),
+    how: (draft.how ?? []).map((words) => oneOf(random, words)).filter((word) => word !== ''),
+    count: 1 + Math.floor(random.next() * (draft.most ?? 1)),
+    forMs: Math.round(least + (most - least) * random.next()),
+    pick: Math.floor(random.next() * 2 ** 31),
   };
 }
 
@@ -150,10 +150,10 @@
  * drawSchedule(7, 6)
  */
 export function drawSchedule(seed: number, count: number, only?: readonly KindName[]): Trouble[] {
-  const rnd = seeded(seed ^ 0x7d0b1e);
+  const random = seeded(seed ^ 0x7d0b1e);
   const names = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
-  const out = Array.from({ length: count }, () => drawTrouble(oneOf(rnd, names), DAY_MS * rnd.next(), rnd));
-  if (rnd.next() < CLOSING_SHARE) out.push(drawTrouble('closing', DAY_MS, rnd));
+  const out = Array.from({ length: count }, () => drawTrouble(oneOf(random, names), DAY_MS * random.next(), random));
+  if (random.next() < CLOSING_SHARE) out.push(drawTrouble('closing', DAY_MS, random));
   return out.sort((a, b) => a.at - b.at);
 }
 
--- a/packages/trial/src/trouble/stage.ts
+++ b/packages/trial/src/trouble/stage.ts
@@ -1,5 +1,5 @@
 /** What a trouble has at hand while it is played. */
-import { sample, sleep, type Rnd } from '@harecross/kernel';
+import { randomSample, sleep, type RandomSource } from '@harecross/kernel';
 import type { Stage } from '../scenario.js';
 import type { Machine, Machines } from './machines.js';
 import type { Orders } from './orders.js';
@@ -15,7 +15,7 @@
 }
 
 /** Plays one trouble to its end, when the fleet is as whole as before it. */
-export type Play = (s: TroubleStage, trouble: Trouble, rnd: Rnd) => Promise<void>;
+export type Play = (s: TroubleStage, trouble: Trouble, random: RandomSource) => Promise<void>;
 
 export const pause = (s: TroubleStage, ms: number): Promise<void> => sleep(s.machines.sim.clock, ms);
 
@@ -37,14 +37,14 @@
 }
 
 /** Claims the victims of a trouble; undefined where its turn never came. */
-export async function claim(s: TroubleStage, trouble: Trouble, rnd: Rnd): Promise<Claim | undefined> {
-  const claimed = await s.tolerance.claim(() => targets(s, trouble), trouble.count, rnd);
+export async function claim(s: TroubleStage, trouble: Trouble, random: RandomSource): Promise<Claim | undefined> {
+  const claimed = await s.tolerance.claim(() => targets(s, trouble), trouble.count, random);
   if (!claimed) note(s, `no turn for ${trouble.kind}`);
   return claimed;
 }
 
 /** Resolves at the next work of a client that is accepted, with the machine that stored it; or after a while without one. */
-export async function nextWork(s: TroubleStage, on: MachineClass, rnd: Rnd): Promise<Machine | undefined> {
+export async function nextWork(s: TroubleStage, on: MachineClass, random: RandomSource): Promise<Machine | undefined> {
   const { seen } = s.stage.world.journal;
   const from = seen.length;
   const accepted = (): boolean => seen.slice(from).some((x) => x.k === 'pub.answer' && x.out === 'accepted');
@@ -53,8 +53,8 @@
   if (last?.k !== 'pub.answer') return undefined;
   const owners = s.machines
     .of(on)
-    .filter((m) => m.isUp() && m.main.kernel?.has('owner') && m.main.kernel.use('owner').owned().length > 0);
-  return sample(rnd, owners, 1)[0] ?? sample(rnd, s.machines.of(on), 1)[0];
+    .filter((m) => m.isUp() && m.main.kernel?.has('owner') && m.main.kernel.use('owner').ownedShards().length > 0);
+  return randomSample(random, owners, 1)[0] ?? randomSample(random, s.machines.of(on), 1)[0];
 }
 const WORK_LOOK_MS = 3;
 const WORK_LOOKS = 700;
--- a/packages/trial/src/trouble/tolerance.ts
+++ b/packages/trial/src/trouble/tolerance.ts
@@ -1,5 +1,5 @@
 /** Who may be lost: troubles ask here before they strike a machine whose loss counts, and wait their turn. */
-import { sleep, sample, type Clock, type Rnd } from '@harecross/kernel';
+import { sleep, randomSample, type Clock, type RandomSource } from '@harecross/kernel';
 import type { Machine } from './machines.js';
 
 /** A trouble that waits looks again this often (ms) ... */
@@ -19,7 +19,7 @@
 /**
  * Counts the machines that are lost: down, frozen, slowed or cut off, and for `syncMs` after they are back.
  * @example
- * const claim = await tolerance.claim(stores, 1, rnd); ...; claim?.back();
+ * const claim = await tolerance.claim(stores, 1, random); ...; claim?.back();
  */
 export class Tolerance {
   private lost = new Set<Machine>();
@@ -46,11 +46,11 @@
   }
 
   /** Up to `count` of these machines that may be lost together now; undefined if their turn does not come. */
-  async claim(machines: () => readonly Machine[], count: number, rnd: Rnd): Promise<Claim | undefined> {
+  async claim(machines: () => readonly Machine[], count: number, random: RandomSource): Promise<Claim | undefined> {
     for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, LOOK_MS)) {
       if (this.closed) continue;
       const lost = this.count();
-      const chosen = sample(rnd, this.free(machines()), count);
+      const chosen = randomSample(random, this.free(machines()), count);
       let room = this.losses - lost;
       const may = chosen.filter((m) => !m.counted || room-- > 0);
       if (!may.length) continue;
