--- a/packages/control/src/membership/anti-entropy.ts
+++ b/packages/control/src/membership/anti-entropy.ts
@@ -42,6 +42,8 @@
   /** Peers of an earlier process of this machine that are not members now. */
   rememberedStrangers(): string[];
   ping(peer: string): Promise<boolean>;
+  /** Tells how long a peer took to answer a small call (ms). */
+  recordAnswerTime(tookMs: number): void;
 }
 
 /** Compares this node's table with those of a few peers, each period and more often after the start. */
@@ -114,7 +116,9 @@
       const { total: sums, partSums: parts } = table;
       // Equal tables are the rule, and the sums by part are long: they go along only when ours has just changed.
       const changed = clock.now() - table.changedAt < 2 * MEMBERSHIP.gossipMs;
+      const sentAt = clock.now();
       let answer = await this.kernel.call<GossipAnswer>(peer, 'Gossip', changed ? { sums, parts } : { sums });
+      this.context.recordAnswerTime(clock.now() - sentAt);
       if (answer === 'differs' && !changed)
         answer = await this.kernel.call<GossipAnswer>(peer, 'Gossip', { sums, parts });
       // A node of before there were parts.
--- a/packages/control/src/membership/membership-table.ts
+++ b/packages/control/src/membership/membership-table.ts
@@ -121,6 +121,7 @@
       randomPeersOrContacts: (count) => this.randomPeersOrContacts(count),
       rememberedStrangers: () => this.rememberedPeers?.peers.filter((peer) => !this.members.has(peer)) ?? [],
       ping: (peer) => this.failureDetector.ping(peer),
+      recordAnswerTime: (tookMs) => this.failureDetector.recordAnswerTime(tookMs),
     });
   }
 
