--- a/packages/trial/src/faults/operator-faults.ts
+++ b/packages/trial/src/faults/operator-faults.ts
@@ -1,10 +1,16 @@
 /** Scenarios of operators: configurations, races, emptied disks, the calendar and placements. */
-import { SHARD } from '@harecross/kernel';
+import { isInPlannedRestart } from '@harecross/control';
+import { SESSION, SHARD } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
 import { Marker, Operator } from '../actors.js';
 import { configOf, type Scenario } from '../scenario.js';
 import { any, pause, SIX_DISKS } from './common.js';
 
+/** A machine knows of its planned restart this long after its time at the latest: the controller's period and one agreed change. */
+const RESTART_KNOWN_MS = 1_000;
+/** A client that is sent away has left after this long: its detach is a way there. */
+const CLIENT_LEAVES_MS = 100;
+
 export const OPERATOR_FAULTS: [string, Scenario][] = [
   [
     'operators',
@@ -321,7 +327,12 @@
         const p = await op.plan('plan', configOf(s.site), moves);
         if (p.status !== 200) throw new Error(JSON.stringify(p.body));
         await s.sim.start(a);
-        await pause(s, 19_000);
+        // It knows of its restart soon after that began, and its last client is sent away at the end of the spread.
+        const knows = (): boolean => isInPlannedRestart(r.kernel!.use('register').value, r.config.peer);
+        const restart = moves[1]!;
+        while (!knows() && at(0) <= restart.from + RESTART_KNOWN_MS) await pause(s, 50);
+        if (!knows()) throw new Error(`${r.name} does not know of its restart after ${RESTART_KNOWN_MS} ms`);
+        await pause(s, SESSION.plannedDrainSpreadMs + CLIENT_LEAVES_MS);
         if (r.edge!.ready()) throw new Error(`${r.name} takes conns while it is away`);
         const conns = r.kernel!.use('sessions').size;
         if (conns) throw new Error(`${r.name} still has ${conns} conns`);
