--- a/packages/trial/src/test/holds.test.ts
+++ b/packages/trial/src/test/holds.test.ts
@@ -18,11 +18,11 @@
   const s = await smallFleet(31);
   const said: InterestItem[] = [];
   for (const n of s.stores) {
-    const handlers = (n.kernel as Json).handlers as Map<string, { h: (b: Json, f: Json) => unknown; current: boolean }>;
+    const handlers = (n.kernel as Json).rpc.handlers as Map<string, { handle: (b: Json, f: Json) => unknown }>;
     const old = handlers.get('Interest')!;
     handlers.set('Interest', {
       ...old,
-      h: (b: { items: InterestRow[] }, f) => {
+      handle: (b: { items: InterestRow[] }, f) => {
         for (const r of b.items)
           t.deepEqual(
             r.map((x) => typeof x),
@@ -30,7 +30,7 @@
             'nothing but topic, revision, end, generation',
           );
         said.push(...b.items.map(readInterestRow));
-        return old.h(b, f);
+        return old.handle(b, f);
       },
     });
   }
@@ -70,7 +70,7 @@
   await s.pass(500);
   t.deepEqual(delivered(c.frames), [1]);
   const owner = s.ownerOf('feed/1');
-  const live = (): number => (owner.kernel!.use('owner') as Json).interests.interested('feed/1').length;
+  const live = (): number => (owner.kernel!.use('owner') as Json).interests.interestedRelays('feed/1').length;
   // The relay vanishes without a word; only the deadline is left.
   s.sim.freeze(s.relays[0]!);
   await s.pass(SESSION.leaseTtlMs - 4_000);
@@ -88,13 +88,13 @@
   const o = (s.ownerOf('feed/1').kernel!.use('owner') as Json).interests;
   const at = now(s, 'feed/1');
   const same = (x: number): number => x;
-  const gens = (): string[] => o.interested('feed/1').map(([, i]: [string, { gen: string }]) => i.gen);
-  o.hear('r', '0001-a', [{ topic: 'feed/1', rev: 5, expiresAt: at + 50_000, gen: 'g5' }], same);
-  o.hear('r', '0001-a', [{ topic: 'feed/1', rev: 4, expiresAt: 0, gen: 'g4' }], same);
+  const gens = (): string[] => o.interestedRelays('feed/1').map(([, i]: [string, { gen: string }]) => i.gen);
+  o.receive('r', '0001-a', [{ topic: 'feed/1', rev: 5, expiresAt: at + 50_000, gen: 'g5' }], same);
+  o.receive('r', '0001-a', [{ topic: 'feed/1', rev: 4, expiresAt: 0, gen: 'g4' }], same);
   t.deepEqual(gens(), ['g5'], 'an older revision came late');
-  o.hear('r', '0001-a', [{ topic: 'feed/1', rev: 6, expiresAt: 0, gen: 'g5' }], same);
+  o.receive('r', '0001-a', [{ topic: 'feed/1', rev: 6, expiresAt: 0, gen: 'g5' }], same);
   t.deepEqual(gens(), []);
-  o.hear(
+  o.receive(
     'r',
     '0001-a',
     [
@@ -103,10 +103,10 @@
     ],
     same,
   );
-  o.hear('r', '0002-b', [{ topic: 'feed/1', rev: 1, expiresAt: at + 50_000, gen: 'new' }], same);
+  o.receive('r', '0002-b', [{ topic: 'feed/1', rev: 1, expiresAt: at + 50_000, gen: 'new' }], same);
   t.deepEqual(gens(), ['new']);
-  t.is(o.interested('feed/2').length, 0, 'the other topic went with the old instance');
-  o.hear('r', '0001-a', [{ topic: 'feed/1', rev: 99, expiresAt: 0, gen: 'g' }], same);
+  t.is(o.interestedRelays('feed/2').length, 0, 'the other topic went with the old instance');
+  o.receive('r', '0001-a', [{ topic: 'feed/1', rev: 99, expiresAt: 0, gen: 'g' }], same);
   t.deepEqual(gens(), ['new'], 'a frame of the instance before changes nothing');
   s.sim.close();
 });
@@ -216,9 +216,9 @@
   // The owner answers where a subscription begins and is then too busy to be read, until the relay has given up.
   const healed: (() => void)[] = [];
   for (const n of s.stores) {
-    const handlers = (n.kernel as Json).handlers as Map<string, { h: (b: Json, f: Json) => unknown; current: boolean }>;
+    const handlers = (n.kernel as Json).rpc.handlers as Map<string, { handle: (b: Json, f: Json) => unknown }>;
     const old = handlers.get('History')!;
-    handlers.set('History', { ...old, h: () => new Promise(() => undefined) });
+    handlers.set('History', { ...old, handle: () => new Promise(() => undefined) });
     healed.push(() => handlers.set('History', old));
   }
   const c = await s.attach(s.relays[0]!, 'phone', 40);
--- a/packages/trial/src/test/rejoin.test.ts
+++ b/packages/trial/src/test/rejoin.test.ts
@@ -255,7 +255,7 @@
   value?: FleetValue;
   acceptor?: { accepted?: FleetValue };
   lease: { renew(at: number): void };
-  k: { host: { clock: { now(): number } } };
+  kernel: { host: { clock: { now(): number } } };
   learn(v: FleetValue): void;
 }
 /** The proposer's inside, for faults. */
@@ -270,7 +270,7 @@
       const accepted = this.acceptor?.accepted;
       if (this.value || !accepted) return old.call(this);
       this.learn(accepted);
-      this.lease.renew(this.k.host.clock.now());
+      this.lease.renew(this.kernel.host.clock.now());
       return Promise.resolve(true);
     };
   const alone = await withFault(ConsensusRegister.prototype, 'confirm', fault, async () =>
