--- a/packages/data/src/interest/interest-table.ts
+++ b/packages/data/src/interest/interest-table.ts
@@ -52,6 +52,13 @@
   gen,
 });
 
+/** Listeners of a topic; `partial`: there may be more. Wire format. */
+export interface ListenerCount {
+  count: number;
+  partial: boolean;
+}
+
+/** What the owner knows of one relay's interest in one topic. */
 interface Interest {
   rev: number;
   deadline: number;
@@ -185,33 +192,47 @@
     o.flying = false;
   }
 
-  async countListeners(topic: string, takenAt: number): Promise<{ count: number; partial: boolean }> {
-    const asked = new Set(this.interestedRelays(topic).map(([relay]) => relay));
+  /**
+   * How many listen on a topic, by what the relays answer that may have listeners. `partial` where one of them was silent, or where this
+   * process may not know of all relays yet. `ownedSince`: since when this node owns the topic's shard (steady clock, ms).
+   */
+  async countListeners(topic: string, ownedSince: number): Promise<ListenerCount> {
+    const now = this.kernel.host.clock.now();
     // A process that began this lately may not have heard of every relay.
-    const young = this.kernel.host.clock.now() - this.kernel.startedAt < SESSION.countAllMs;
-    // A new owner has not heard of every interest yet: it asks all relays.
-    if (this.kernel.host.clock.now() - takenAt < SESSION.countAllMs)
-      for (const m of this.membership.liveMembers()) if (m.role === 'relay') asked.add(m.peer);
-    // One that is suspected may have listeners of whom it could not tell us; one that is dead has sent them elsewhere.
-    for (const m of this.membership.members.values()) {
-      if (m.role === 'relay' && m.state === 'suspect') asked.add(m.peer);
-      else if (m.state === 'dead') asked.delete(m.peer);
-    }
-    const got = await Promise.all(
-      [...asked].map(async (relay) => {
-        try {
-          return await this.kernel.callAnyPath<number>(relay, 'CountHolds', { topic }, SESSION.countWaitMs);
-        } catch (e) {
-          // No process there: it has no listeners any more. One that is there and silent, or to which no way leads,
-          // makes the answer partial.
-          const f = toErrorDetails(e, 'CountHolds', relay);
-          return f.tag === 'unreachable' && f.detail !== 'ETIMEDOUT' ? 0 : 'silent';
-        }
-      }),
+    const isYoung = now - this.kernel.startedAt < SESSION.countAllMs;
+    const answers = await Promise.all(
+      this.relaysToCount(topic, ownedSince).map((relay) => this.countAtRelay(relay, topic)),
     );
+    const counts = answers.filter((answer) => answer !== 'silent');
     return {
-      count: got.reduce<number>((a, n) => a + (n === 'silent' ? 0 : n), 0),
-      partial: young || got.includes('silent'),
+      count: counts.reduce((sum, count) => sum + count, 0),
+      partial: isYoung || counts.length < answers.length,
     };
   }
+
+  /** The relays that told us of interest, and those that may have listeners of whom they could not tell us. */
+  private relaysToCount(topic: string, ownedSince: number): string[] {
+    const now = this.kernel.host.clock.now();
+    const relays = new Set(this.interestedRelays(topic).map(([relay]) => relay));
+    for (const member of this.membership.members.values()) {
+      // One that is dead has sent its listeners elsewhere.
+      if (member.state === 'dead') relays.delete(member.peer);
+      if (member.role !== 'relay') continue;
+      // A new owner has not heard of every interest yet; nor may one have told us that was suspected until lately: its loop stood still.
+      const since = Math.max(ownedSince, member.liveSince);
+      if (member.state === 'suspect' || (member.state === 'live' && now - since < SESSION.countAllMs))
+        relays.add(member.peer);
+    }
+    return [...relays];
+  }
+
+  private async countAtRelay(relay: string, topic: string): Promise<number | 'silent'> {
+    try {
+      return await this.kernel.callAnyPath<number>(relay, 'CountHolds', { topic }, SESSION.countWaitMs);
+    } catch (error) {
+      // No process there: it has no listeners any more. One that is there and silent, or to which no way leads, makes the answer partial.
+      const details = toErrorDetails(error, 'CountHolds', relay);
+      return details.tag === 'unreachable' && details.detail !== 'ETIMEDOUT' ? 0 : 'silent';
+    }
+  }
 }
--- a/packages/data/src/ownership/topic-history.ts
+++ b/packages/data/src/ownership/topic-history.ts
@@ -2,7 +2,7 @@
 import { notReady, type ConsensusRegister } from '@harecross/control';
 import { HarecrossError, REQUEST, SESSION, sleep, type Kernel } from '@harecross/kernel';
 import { familyOf } from '@harecross/schema';
-import { positionChecksum, type InterestTable } from '../interest/interest-table.js';
+import { positionChecksum, type InterestTable, type ListenerCount } from '../interest/interest-table.js';
 import type { Replication } from '../replication/replication.js';
 import type { ShardState, TopicState } from './shard-state.js';
 import type { ShardTable } from './shard-table.js';
@@ -61,7 +61,7 @@
     kernel.on('Count', (request: { topic: string }) => this.countListeners(request.topic), true);
   }
 
-  private async countListeners(topic: string): Promise<{ count: number; partial: boolean }> {
+  private async countListeners(topic: string): Promise<ListenerCount> {
     this.shards.family(topic, 'Count');
     await this.shards.awaitPhase(this.shards.ofTopic(topic), ['owner']);
     return this.interests.countListeners(topic, this.shards.serving(topic, 'Count').ownedSince);
