--- a/packages/control/src/consensus/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -2,99 +2,134 @@
 import { REGISTER, SHARD, type Kernel } from '@harecross/kernel';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { matchCopies } from '../placement/placement.js';
+import { isUsedFor, type DiskRecord, type FleetValue, type Placement } from '../value/fleet-value.js';
 import { deserializeValue, serializeValue } from '../value/value-text.js';
-import { isUsedFor, type DiskRecord, type Placement, type FleetValue } from '../value/fleet-value.js';
 import type { Accepted, BallotSource, Prepared } from './ballots.js';
 
-/** Founds the fleet, once. */
+/** Fewest voters of a fleet: one may be lost. */
+const LEAST_VOTERS = 3;
+/** Fleet ids are random numbers below this. */
+const FLEET_ID_RANGE = 2 ** 48;
+const FLEET_ID_RADIX = 36;
+
+/** A seed's answer to `RegWho`: its disk, and the fleet that the disk belongs to, if any. */
+interface SeedIdentity {
+  disk: string;
+  fleet?: string;
+}
+
+/** A seed with its disk. */
+interface Seed {
+  peer: string;
+  disk: string;
+}
+
+/** Bootstraps the fleet, once. */
 export class Bootstrap {
   constructor(
-    private kernel: Kernel,
-    private membership: MembershipTable,
-    private ballots: BallotSource,
+    private readonly kernel: Kernel,
+    private readonly membership: MembershipTable,
+    private readonly ballots: BallotSource,
     /** The value that is known here, if any. */
-    private known: () => FleetValue | undefined,
+    private readonly known: () => FleetValue | undefined,
     /** Called with the first value once it is chosen. */
-    private learn: (v: FleetValue) => void,
+    private readonly learn: (value: FleetValue) => void,
   ) {}
 
   /**
-   * Founding. Only the first seed founds, and only while all three seeds answer that their disks belong to no
+   * One attempt. Only the first seed makes it, and only while all three seeds answer that their disks belong to no
    * fleet: asking, preparing and accepting all need all three. A value accepted anywhere is on a seed's disk and is
-   * found again; a disk that learns of its fleet marks it, with a seat or without. So a second fleet could arise only
+   * found again; a disk that learns of its fleet remembers it, with a vote or without. So a second fleet could arise only
    * if all three seeds' disks were emptied together and none had joined since.
    */
   async tryBootstrap(): Promise<void> {
-    const { config, clock, random } = this.kernel.host;
-    if (this.known() || config.firstStart === false) return;
-    const since = clock.now() - this.kernel.startedAt;
-    if (since < REGISTER.bootstrapAfterMs) return;
-    const wanted = config.losses === undefined ? SHARD.replicaCount : 2 * config.losses + 1;
-    if (
-      since < REGISTER.bootstrapAnywayMs &&
-      this.membership.liveMembers().filter((m) => m.diskUses?.[0] === 'copies').length < wanted
-    )
-      return;
-    const who = await Promise.all(
-      config.seeds.map((s) =>
-        this.kernel.call<{ disk: string; fleet?: string }>(s, 'RegWho', {}).catch(() => undefined),
-      ),
-    );
-    if (who.some((w) => !w || w.fleet !== undefined)) return;
-    const seats = who.map((w) => w!.disk);
+    if (!this.isDue()) return;
+    const seeds = await this.seedsWithoutFleet();
+    if (!seeds) return;
     const ballot = this.ballots.next();
-    const ps = await Promise.all(
-      seats.map((d, i) =>
-        this.kernel.call<Prepared>(config.seeds[i]!, 'RegPrepare', { disk: d, ballot }).catch(() => undefined),
-      ),
-    );
-    for (const p of ps) if (p && !p.ok) this.ballots.outbid(p.promised);
-    if (ps.some((p) => !p?.ok)) return;
-    const held = ps
-      .filter((p) => p!.value)
-      .reduce<Prepared | undefined>((a, b) => (!a || b!.ballot > a.ballot ? b : a), undefined);
-    // A founding that was cut short: the same value, not another one.
-    const v = held
-      ? deserializeValue(held.value!)
-      : this.genesis(seats, `${Math.floor(random.next() * 2 ** 48).toString(36)}`);
-    if (v.rev !== 1) return; // a fleet that lives: the ordinary way finds it
-    const value = serializeValue(v);
-    const as = await Promise.all(
-      seats.map((d, i) =>
-        this.kernel
-          .call<Accepted>(config.seeds[i]!, 'RegAccept', { disk: d, ballot, value, promisedAt: ps[i]!.at })
-          .catch(() => undefined),
-      ),
-    );
-    if (as.every((a) => a?.ok)) {
-      this.kernel.host.log.info('fleet founded', { fleet: v.fleet, disks: v.disks.size });
-      this.learn(v);
-    }
+    const promises = await this.prepare(seeds, ballot);
+    if (!promises) return;
+    const value = this.firstValue(seeds, promises);
+    // A fleet that lives: the ordinary way finds it.
+    if (value.rev !== 1) return;
+    if (!(await this.accept(seeds, ballot, promises, value))) return;
+    this.kernel.host.log.info('fleet founded', { fleet: value.fleet, disks: value.disks.size });
+    this.learn(value);
   }
 
-  private genesis(seats: string[], fleet: string): FleetValue {
-    const disks = new Map<string, DiskRecord>();
-    for (const m of this.membership.liveMembers())
-      if (m.disk)
-        disks.set(m.disk, {
-          id: m.disk,
-          peer: m.peer,
-          domain: m.domain,
-          state: 'active',
-          uses: m.diskUses,
-          name: m.name,
-          ms: m.diskMs,
-        });
-    seats.forEach((d, i) => {
-      if (!disks.has(d))
-        disks.set(d, { id: d, peer: this.kernel.host.config.seeds[i]!, domain: '', state: 'active', uses: ['seat'] });
-    });
+  /** Whether enough disks for a shard's replicas are there, or have been waited for long enough. */
+  private isDue(): boolean {
+    const { config, clock } = this.kernel.host;
+    if (this.known() || config.firstStart === false) return false;
+    const waitedMs = clock.now() - this.kernel.startedAt;
+    if (waitedMs < REGISTER.bootstrapAfterMs) return false;
+    if (waitedMs >= REGISTER.bootstrapAnywayMs) return true;
+    const forReplicas = this.membership.liveMembers().filter((member) => member.diskUses?.[0] === 'copies');
+    return forReplicas.length >= this.replicaCount();
+  }
+
+  /** As many replicas as bear the losses that the configuration of the process asks for. */
+  private replicaCount(): number {
+    const { losses } = this.kernel.host.config;
+    return losses === undefined ? SHARD.replicaCount : 2 * losses + 1;
+  }
+
+  private voterCount(): number {
     const { losses } = this.kernel.host.config;
-    const copies = losses === undefined ? SHARD.replicaCount : 2 * losses + 1;
-    const keepers = [...disks.values()].filter((d) => isUsedFor(d, 'copies'));
-    const shards = new Map(
-      [...matchCopies(keepers, copies)].map(([s, at]) => [s, { gen: 1, copies: at }] as [number, Placement]),
+    if (losses === undefined) return REGISTER.voterCount;
+    return Math.min(REGISTER.voterCount, Math.max(LEAST_VOTERS, 2 * losses + 1));
+  }
+
+  /** All seeds with their disks; undefined unless each answers that it belongs to no fleet. */
+  private async seedsWithoutFleet(): Promise<Seed[] | undefined> {
+    const peers = this.kernel.host.config.seeds;
+    const calls = peers.map((peer) => this.kernel.call<SeedIdentity>(peer, 'RegWho', {}).catch(() => undefined));
+    const identities = await Promise.all(calls);
+    const seeds: Seed[] = [];
+    for (const [i, identity] of identities.entries()) {
+      if (!identity || identity.fleet !== undefined) return undefined;
+      seeds.push({ peer: peers[i]!, disk: identity.disk });
+    }
+    return seeds;
+  }
+
+  /** The promises of all seeds; undefined where one is missing. */
+  private async prepare(seeds: Seed[], ballot: string): Promise<Prepared[] | undefined> {
+    const calls = seeds.map(({ peer, disk }) =>
+      this.kernel.call<Prepared>(peer, 'RegPrepare', { disk, ballot }).catch(() => undefined),
     );
+    const answers = await Promise.all(calls);
+    for (const answer of answers) if (answer && !answer.ok) this.ballots.outbid(answer.promised);
+    const promises = answers.filter((answer) => answer?.ok === true);
+    return promises.length === seeds.length ? (promises as Prepared[]) : undefined;
+  }
+
+  /** The value of a bootstrap that was cut short, if there was one; else a new one. */
+  private firstValue(seeds: Seed[], promises: Prepared[]): FleetValue {
+    const accepted = promises
+      .filter((promise) => promise.value)
+      .reduce<Prepared | undefined>((one, other) => (!one || other.ballot > one.ballot ? other : one), undefined);
+    return accepted ? deserializeValue(accepted.value!) : this.genesis(seeds);
+  }
+
+  /** Whether all seeds accepted the value. */
+  private async accept(seeds: Seed[], ballot: string, promises: Prepared[], value: FleetValue): Promise<boolean> {
+    const text = serializeValue(value);
+    const calls = seeds.map(({ peer, disk }, i) =>
+      this.kernel
+        .call<Accepted>(peer, 'RegAccept', { disk, ballot, value: text, promisedAt: promises[i]!.at })
+        .catch(() => undefined),
+    );
+    return (await Promise.all(calls)).every((answer) => answer?.ok);
+  }
+
+  private genesis(seeds: Seed[]): FleetValue {
+    const fleet = Math.floor(this.kernel.host.random.next() * FLEET_ID_RANGE).toString(FLEET_ID_RADIX);
+    const disks = this.firstDisks(seeds);
+    const copies = this.replicaCount();
+    const forReplicas = [...disks.values()].filter((disk) => isUsedFor(disk, 'copies'));
+    const placements = [...matchCopies(forReplicas, copies)];
+    const voters = seeds.map((seed) => seed.disk);
     return {
       fleet,
       rev: 1,
@@ -103,14 +138,23 @@
       config: { families: [] },
       incarnations: new Map(),
       disks,
-      voters: seats,
-      previousVoters: seats,
-      shards,
+      voters,
+      previousVoters: voters,
+      shards: new Map(placements.map(([shard, on]): [number, Placement] => [shard, { gen: 1, copies: on }])),
       copies,
-      votersWanted:
-        losses === undefined ? REGISTER.voterCount : Math.min(REGISTER.voterCount, Math.max(3, 2 * losses + 1)),
+      votersWanted: this.voterCount(),
       changes: new Map(),
       moves: new Map(),
     };
   }
+
+  /** The disks of all live members, and those of the seeds. */
+  private firstDisks(seeds: Seed[]): Map<string, DiskRecord> {
+    const disks = new Map<string, DiskRecord>();
+    for (const { disk: id, peer, domain, diskUses: uses, name, diskMs: ms } of this.membership.liveMembers())
+      if (id) disks.set(id, { id, peer, domain, state: 'active', uses, name, ms });
+    for (const { peer, disk: id } of seeds)
+      if (!disks.has(id)) disks.set(id, { id, peer, domain: '', state: 'active', uses: ['seat'] });
+    return disks;
+  }
 }
--- a/packages/control/src/consensus/consensus-register.ts
+++ b/packages/control/src/consensus/consensus-register.ts
@@ -2,14 +2,12 @@
 import {
   HarecrossError,
   Kernel,
-  MEMBERSHIP,
   REGISTER,
   REQUEST,
   jitteredRetryMs,
   periodicTicks,
   registerPlugin as plug,
   runPeriodically,
-  withTimeout,
   type PeerRpc,
 } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
@@ -23,7 +21,8 @@
 import { Proposer, type ChangeFn } from './proposer.js';
 import { Reader } from './reader.js';
 import { deserializeValue, shareText, cachedText } from '../value/value-text.js';
-import { valueAnswer, valueIn, valueRequest, type ValueAnswer, type ValueRequest } from './value-transfer.js';
+import { ValueFetcher } from './value-fetcher.js';
+import { valueAnswer, type ValueRequest } from './value-transfer.js';
 import type { FleetValue } from '../value/fleet-value.js';
 
 declare module '@harecross/kernel' {
@@ -32,11 +31,14 @@
   }
 }
 
+/** The key under which a disk keeps the id of its fleet. Stored data: it stays. */
+const FLEET_ROW = 'fleet';
+
 /**
- * The register: one compare-and-set value, agreed on a majority of the seats' disks by ballots. There is no log
+ * The consensus register: one compare-and-set value, agreed on by a majority of the voters' disks under ballots. There is no log
  * and no leader: whoever wants a change prepares a ballot, takes the highest accepted value, applies the change
- * and has it accepted. A value that changes the seats needs a majority of the old and of the new ones, until the next
- * change; one seat comes or goes at a time, or one is replaced by another.
+ * and has it accepted. A value that changes the voters needs a majority of the old and of the new ones, until the next
+ * change; one voter comes or goes at a time, or one is replaced by another.
  * @example
  * await register.change((v) => ({ next: { ...v, version: v.version + 1 }, out: v.version + 1 }));
  */
@@ -49,8 +51,8 @@
   private readonly proposer: Proposer;
   private readonly reader: Reader;
   private renewingExpiredLease = false;
-  private fetchesInFlight = new Map<string, Promise<void>>();
-  private store?: DurableState;
+  private readonly fetcher: ValueFetcher;
+  private readonly state?: DurableState;
 
   constructor(
     private kernel: Kernel,
@@ -60,15 +62,20 @@
     this.lease = new ReadLease(clock, kernel.host.config.applyMs);
     this.ballots = new BallotSource(kernel);
     if (db) {
-      this.store = kernel.use('state');
-      this.disk = this.store.get('disk')!;
+      this.state = kernel.use('state');
+      this.disk = this.state.get('disk')!;
       membership.updateOwnState({ disk: this.disk });
-      this.acceptor = new Acceptor(kernel, this.store, this.disk, () => this.value?.rev ?? 0);
-      rememberEmptied(kernel, membership, this, this.store);
+      this.acceptor = new Acceptor(kernel, this.state, this.disk, () => this.value?.rev ?? 0);
+      rememberEmptied(kernel, membership, this, this.state);
     }
     const ask = <T>(disks: string[], method: PeerRpc, body: object): Promise<T>[] =>
       this.callVoters<T>(disks, method, body);
-    const learn = (v: FleetValue): void => this.learn(v);
+    const learn = (value: FleetValue): void => this.learn(value);
+    this.fetcher = new ValueFetcher(kernel, membership, {
+      learn,
+      value: () => this.value,
+      readText: (text) => this.readText(text),
+    });
     this.proposer = new Proposer(kernel, this.ballots, {
       ask,
       learn,
@@ -80,10 +87,10 @@
       learn,
       value: () => this.value,
       peerOf: (disk) => this.peerOf(disk),
-      fetch: (peer) => this.fetch(peer),
+      fetch: (peer) => this.fetcher.fetch(peer),
       readByBallot: () => this.read(),
     });
-    kernel.onNewerRevision = (rev, peer) => this.fetchNewer(rev, peer);
+    kernel.onNewerRevision = (revision, peer) => this.fetcher.fetchNewer(revision, peer);
     kernel.on('RegGet', (request: ValueRequest) => valueAnswer(request, this.value$.value));
     kernel.addSubscription(
       runPeriodically(clock, REGISTER.confirmMs, random, async () => this.isConfirmationDue() && this.confirm()),
@@ -177,69 +184,26 @@
   }
 
   /** Takes a value that is known to be agreed. Never goes back. */
-  private learn(v: FleetValue): void {
+  private learn(value: FleetValue): void {
     const old = this.value$.value;
-    if (old && old.rev >= v.rev) return;
-    if (old && old.fleet !== v.fleet) {
+    if (old && old.rev >= value.rev) return;
+    if (old && old.fleet !== value.fleet) {
       this.kernel.incrementCounter('register.foreign');
       return;
     }
-    if (!old || old.version !== v.version)
-      this.kernel.host.log.info(`configuration ${v.version} in force`, { rev: v.rev });
-    this.kernel.rev = v.rev;
-    // The same version is the same configuration: what was laid out for looking things up in it stays.
-    this.value$.next(
-      old?.version === v.version ? shareText({ ...v, config: old.config, incarnations: old.incarnations }, v) : v,
-    );
-    // Every disk remembers its fleet, with a seat or without: founding asks for it.
-    const { store } = this;
-    if (store && store.get('fleet') !== v.fleet)
-      store.db.commit(() => store.set('fleet', v.fleet)).catch(() => undefined);
+    const { fleet, version, rev } = value;
+    if (old?.version !== version) this.kernel.host.log.info(`configuration ${version} in force`, { rev });
+    this.kernel.rev = rev;
+    this.value$.next(old?.version === version ? withConfigurationOf(old, value) : value);
+    this.rememberFleet(fleet);
     this.membership.disseminate([]);
   }
 
-  /** Takes a newer value that a peer has. Who hears of it from several fetches it once, and from the others only if that takes long. */
-  private async fetchNewer(rev: number, peer: string): Promise<void> {
-    if (this.fetchesInFlight.size) {
-      const aloneMs = this.membership.scaledPeriodMs(
-        REGISTER.valueFetchExclusiveMs,
-        REGISTER.valueFetchExclusivePerMemberMs,
-      );
-      await withTimeout(this.kernel.host.clock, aloneMs, Promise.race(this.fetchesInFlight.values()));
-      if (this.kernel.rev >= rev) return;
-    }
-    // Each may bring the whole value, and our link is shared by them: more at once would make all of them late.
-    if (this.fetchesInFlight.size >= REGISTER.valueFetchConcurrency) await Promise.race(this.fetchesInFlight.values());
-    else await this.fetchFrom(this.membership.preferPeerWithDisk(peer), rev, peer);
-  }
-
-  /** Takes the value from one peer, and from the one that told us of it where that has not got it yet. */
-  private async fetchFrom(source: string, rev: number, teller: string): Promise<void> {
-    await this.fetch(source);
-    if (this.kernel.rev < rev && source !== teller) await this.fetch(teller);
-  }
-
-  private fetch(peer: string): Promise<void> {
-    let p = this.fetchesInFlight.get(peer);
-    if (!p) {
-      p = this.kernel
-        .call<ValueAnswer>(
-          peer,
-          'RegGet',
-          valueRequest(this.value),
-          this.membership.scaledPeriodMs(MEMBERSHIP.callMs, REGISTER.fetchPerMemberMs),
-        )
-        .then(
-          (answer) => {
-            const newer = valueIn(answer, this.value, (text) => this.readText(text));
-            if (newer) this.learn(newer);
-          },
-          () => undefined /* the next frame tells us again */,
-        )
-        .finally(() => this.fetchesInFlight.delete(peer));
-      this.fetchesInFlight.set(peer, p);
-    }
-    return p;
+  /** Every disk remembers its fleet, with a vote or without: the bootstrap asks for it. */
+  private rememberFleet(fleet: string): void {
+    const { state } = this;
+    if (!state || state.get(FLEET_ROW) === fleet) return;
+    state.db.commit(() => state.set(FLEET_ROW, fleet)).catch(() => undefined);
   }
 
   /** The value in a text; a voter has read the one that it accepted. */
@@ -291,8 +255,13 @@
   }
 }
 
+/** A newer value of the same version has the same configuration: what was laid out for looking things up in it stays. */
+function withConfigurationOf(old: FleetValue, value: FleetValue): FleetValue {
+  return shareText({ ...value, config: old.config, incarnations: old.incarnations }, value);
+}
+
 /**
- * The answer for a visit that came before we may serve.
+ * The answer for a request that came before we may serve.
  * @example
  * if (!register.value) throw notReady(k, 'ReadConfig');
  */
--- a/packages/control/src/consensus/proposer.ts
+++ b/packages/control/src/consensus/proposer.ts
@@ -106,11 +106,11 @@
       );
       if (refused) return { tag: 'again', why: 'another ballot is higher' };
       if (!isMajority(sets, heard))
-        return { tag: 'again', why: `only ${heard.size} of ${voters.length} seats answered` };
+        return { tag: 'again', why: `only ${heard.size} of ${voters.length} voters answered` };
       const top = [...answers.values()]
         .filter((r) => r.value)
         .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
-      if (!top) return { tag: 'again', why: 'seats are empty' };
+      if (!top) return { tag: 'again', why: 'the voters are empty' };
       // Mostly what is known here already: a large value is not read again.
       latest = cachedText(start) === top.value ? start : deserializeValue(top.value!);
       if (isMajority(voterSets(latest), new Set(answers.keys()))) return { tag: 'prepared', value: latest, promises };
@@ -154,7 +154,7 @@
     await collectUntil(voters.filter((d) => !own.includes(d)).map(send), withOwn);
     if (withOwn()) await collectUntil(own.map(send), () => true);
     if (isMajority(sets, heard)) return undefined;
-    return refused ? 'another ballot is higher' : `only ${heard.size} of ${voters.length} seats accepted`;
+    return refused ? 'another ballot is higher' : `only ${heard.size} of ${voters.length} voters accepted`;
   }
 }
 
--- a/packages/control/src/reconcile/plan-voters.ts
+++ b/packages/control/src/reconcile/plan-voters.ts
@@ -4,6 +4,9 @@
 import { liveMember, type FleetView, type Step } from './planner.js';
 import { isPrimarilyFor, isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
+/** Seeds the rendezvous order of candidates. All nodes of a fleet agree on it, also those of earlier versions. */
+const VOTER_HASH_KEY = 'seat';
+
 /**
  * The next change of the voters. Each needs a majority of the voters before and of those after, until the next change is agreed; so each
  * is followed at once by one that changes nothing, after which the voters that went are needed no more.
@@ -15,16 +18,16 @@
   const candidate = goodCount < wanted ? candidateFor(value, fleet) : undefined;
   if (candidate && bad.length > 0 && value.voters.length <= wanted) {
     const gone = bad[0]!;
-    const seats = value.voters.map((disk) => (disk === gone ? candidate.id : disk));
-    if (majorityLive(fleet, seats))
-      return { next: { ...value, voters: seats }, why: `seat of ${gone} goes to ${candidate.id}` };
+    const voters = value.voters.map((disk) => (disk === gone ? candidate.id : disk));
+    if (majorityLive(fleet, voters))
+      return { next: { ...value, voters }, why: `vote of ${gone} goes to ${candidate.id}` };
   } else if (candidate && bad.length === 0) {
-    return { next: { ...value, voters: [...value.voters, candidate.id] }, why: `seat for ${candidate.id}` };
+    return { next: { ...value, voters: [...value.voters, candidate.id] }, why: `vote for ${candidate.id}` };
   }
   const drop = value.voters.length > wanted || goodCount >= wanted ? toDrop(value, fleet, bad, wanted) : undefined;
-  const seats = value.voters.filter((disk) => disk !== drop);
-  if (drop !== undefined && majorityLive(fleet, seats))
-    return { next: { ...value, voters: seats }, why: `seat of ${drop} is given up` };
+  const voters = value.voters.filter((disk) => disk !== drop);
+  if (drop !== undefined && majorityLive(fleet, voters))
+    return { next: { ...value, voters }, why: `vote of ${drop} is given up` };
   return settle(value);
 }
 
@@ -35,8 +38,8 @@
   return wanted % 2 === 0 ? Math.max(1, wanted - 1) : wanted;
 }
 
-function majorityLive(fleet: FleetView, seats: string[]): boolean {
-  return seats.filter((disk) => liveMember(fleet, disk)).length * 2 > seats.length;
+function majorityLive(fleet: FleetView, voters: string[]): boolean {
+  return voters.filter((disk) => liveMember(fleet, disk)).length * 2 > voters.length;
 }
 
 function candidateFor(value: FleetValue, fleet: FleetView): DiskRecord | undefined {
@@ -51,7 +54,7 @@
     value.voters.filter((disk) => value.disks.get(disk)?.domain === domain && value.disks.get(disk)?.state === 'active')
       .length;
   // Disks that are for nothing else first: voters are asked by every node, and copies have work of their own.
-  return rendezvousOrder('seat', able, (disk) => disk.id).sort(
+  return rendezvousOrder(VOTER_HASH_KEY, able, (disk) => disk.id).sort(
     (one, other) =>
       Number(isPrimarilyFor(one, 'copies')) - Number(isPrimarilyFor(other, 'copies')) ||
       votersIn(one.domain) - votersIn(other.domain),
@@ -70,5 +73,5 @@
 /** Until the next change a majority of the voters before is needed too: that change is made now. */
 function settle(value: FleetValue): Step | undefined {
   if (value.voters.join() === value.previousVoters.join()) return undefined;
-  return { next: { ...value }, why: 'seats are settled' };
+  return { next: { ...value }, why: 'voters are settled' };
 }
