--- a/packages/data/src/interest/interest-table.ts
+++ b/packages/data/src/interest/interest-table.ts
@@ -1,14 +1,21 @@
+/**
+ * The owner's side of interest leases: which relays have subscribers of a topic, fan-out to them, and listener counts.
+ */
 import type { MembershipTable } from '@harecross/control';
 import { SESSION, SHARD, type QueueInfo, type Kernel, toErrorDetails, hash, shardOf } from '@harecross/kernel';
 import type { Entry } from '@harecross/state';
 
-/** What a relay tells the owner of a topic: a deadline, never who or how many. */
+/** A relay's report of its interest to a topic's owner: only a deadline, never who subscribes or how many. */
 export interface InterestItem {
   topic: string;
+  /** Rises with every report of the relay's process, so that the owner can ignore outdated ones. */
   rev: number;
+  /** Deadline by the relay's clock; 0: the interest has ended. */
   expiresAt: number;
+  /** The relay's lease generation for the topic. */
   gen: string;
 }
+/** A message as the owner sends it to a relay, with the relay's lease generation. */
 export interface FanFrame {
   topic: string;
   gen: string;
@@ -17,12 +24,13 @@
   seq: number;
   body: string;
 }
-/** On the way both are rows: their fields' names would be most of what is sent. */
+/** Wire format of a `FanFrame`: an array, because field names would make up most of the bytes sent. */
 export type FanRow = [topic: string, gen: string, off: number, sender: string, seq: number, body: string];
+/** Wire format of an `InterestItem`: an array for the same reason. */
 export type InterestRow = [topic: string, rev: number, expiresAt: number, gen: string];
-const fanRow = (f: FanFrame): FanRow => [f.topic, f.gen, f.off, f.sender, f.seq, f.body];
+const toFanRow = (frame: FanFrame): FanRow => [frame.topic, frame.gen, frame.off, frame.sender, frame.seq, frame.body];
 /**
- * A frame as it came.
+ * Decodes a message frame.
  * @example
  * readFanRow(['pay/7', 'x1.4', 18, 'desk', 7, 'hello']).off; // 18
  */
@@ -35,15 +43,20 @@
   body,
 });
 /**
- * A deadline for the way.
+ * Encodes an interest report.
  * @example
- * items.map(interestRow)
+ * items.map(toInterestRow);
  */
-export const interestRow = (i: InterestItem): InterestRow => [i.topic, i.rev, Math.round(i.expiresAt), i.gen];
+export const toInterestRow = (item: InterestItem): InterestRow => [
+  item.topic,
+  item.rev,
+  Math.round(item.expiresAt),
+  item.gen,
+];
 /**
- * A deadline as it came.
+ * Decodes an interest report.
  * @example
- * readInterestRow(['pay/7', 3, 0, '']).expiresAt; // 0: it has ended
+ * readInterestRow(['pay/7', 3, 0, '']).expiresAt; // 0: the interest has ended
  */
 export const readInterestRow = ([topic, rev, expiresAt, gen]: InterestRow): InterestItem => ({
   topic,
@@ -52,173 +65,197 @@
   gen,
 });
 
-/** Listeners of a topic; `partial`: there may be more. Wire format. */
+/** Number of a topic's listeners; `partial` means that there may be more. Wire format. */
 export interface ListenerCount {
   count: number;
   partial: boolean;
 }
 
-/** What the owner knows of one relay's interest in one topic. */
+/** One relay's interest in one topic, as known to the topic's owner. */
 interface Interest {
   rev: number;
+  /** By the owner's clock. */
   deadline: number;
   gen: string;
   shard: number;
+  /** Hash of the topic, for `positionChecksum`. */
   mark: number;
 }
 
 /**
- * What a topic and a place in it add to the sum by which a relay and an owner see that they know the same of a shard.
+ * Checksum of a topic's head. A relay and an owner compare the sums over a shard's topics to find out whether they know
+ * the same topics and heads.
  * @example
- * sum = (sum + placeSum(hash('pay/7'), 41)) | 0
+ * sum = (sum + positionChecksum(hash('pay/7'), 41)) | 0;
  */
-export function positionChecksum(mark: number, off: number): number {
-  const x = Math.imul(mark ^ Math.imul(off, 0x9e3779b1), 0x85ebca6b);
-  return Math.imul(x ^ (x >>> 15), 0xc2b2ae35);
+export function positionChecksum(topicHash: number, offset: number): number {
+  const mixed = Math.imul(topicHash ^ Math.imul(offset, 0x9e3779b1), 0x85ebca6b);
+  return Math.imul(mixed ^ (mixed >>> 15), 0xc2b2ae35);
 }
 
 /**
- * What the owner knows of relays' interest, and what follows from it: whom a frame goes to, and who is asked how many
- * listen.
+ * The relays' interest in the topics that this node owns. It determines which relays a message is sent to, and which
+ * ones are asked to count listeners.
  * @example
- * for (const e of agreed) interests.fan(e);
+ * for (const entry of committed) interests.fanOut(entry);
  */
 export class InterestTable {
+  /** By relay; topics of one process instance of it. */
   private interest = new Map<string, { inst: string; topics: Map<string, Interest> }>();
   private peakQueueLength = 0;
-  private fanOutQueues = new Map<string, { frames: FanFrame[]; flying: boolean }>();
+  /** Messages to send, by relay. */
+  private fanOutQueues = new Map<string, { frames: FanFrame[]; sending: boolean }>();
 
   constructor(
     private kernel: Kernel,
     private membership: MembershipTable,
   ) {}
 
+  /** Number of topics per relay, for operators. */
   table(): { relay: string; topics: number }[] {
-    return [...this.interest].map(([relay, i]) => ({ relay, topics: i.topics.size }));
+    return [...this.interest].map(([relay, known]) => ({ relay, topics: known.topics.size }));
   }
-  /** Frames held for the relay that has most of them. */
+  /** Length of the longest of the relays' fan-out queues. */
   queueInfo(): QueueInfo {
-    const length = Math.max(0, ...[...this.fanOutQueues.values()].map((o) => o.frames.length));
+    const length = Math.max(0, ...[...this.fanOutQueues.values()].map((queue) => queue.frames.length));
     return { name: 'fan', length, most: this.peakQueueLength, bound: SHARD.fanOutQueueLimit };
   }
 
-  /** Ended interest is kept for a while so that a late older revision is still known to be old. */
+  /**
+   * Removes interest that has been over for the length of a lease. Until then it is kept, so that a report with an
+   * older revision that arrives late is still recognized as outdated.
+   */
   trim(): void {
-    const past = this.kernel.host.clock.now() - SESSION.leaseTtlMs;
-    for (const [relay, r] of this.interest) {
-      for (const [t, i] of r.topics) if (i.deadline < past) r.topics.delete(t);
-      if (!r.topics.size && !this.membership.isLive(relay)) {
+    const cutoff = this.kernel.host.clock.now() - SESSION.leaseTtlMs;
+    for (const [relay, known] of this.interest) {
+      for (const [topic, interest] of known.topics) if (interest.deadline < cutoff) known.topics.delete(topic);
+      if (!known.topics.size && !this.membership.isLive(relay)) {
         this.interest.delete(relay);
         this.fanOutQueues.delete(relay);
       }
     }
   }
 
-  receive(relay: string, inst: string, items: InterestItem[], toLocal: (t: number) => number): true {
-    let r = this.interest.get(relay);
-    if (r && inst < r.inst) return true;
-    if (!r || r.inst !== inst) {
-      r = { inst, topics: new Map() };
-      this.interest.set(relay, r);
+  /**
+   * Handles a relay's reports. Reports of a new process instance of the relay replace everything that an earlier one
+   * reported; reports of an earlier instance are ignored. `toLocal` converts from the relay's clock to the local clock.
+   */
+  receive(relay: string, inst: string, items: InterestItem[], toLocal: (time: number) => number): true {
+    let known = this.interest.get(relay);
+    if (known && inst < known.inst) return true;
+    if (!known || known.inst !== inst) {
+      known = { inst, topics: new Map() };
+      this.interest.set(relay, known);
     }
-    for (const i of items) {
-      const old = r.topics.get(i.topic);
-      if (old && old.rev >= i.rev) {
+    for (const item of items) {
+      const old = known.topics.get(item.topic);
+      if (old && old.rev >= item.rev) {
         this.kernel.incrementCounter('interest.stale');
         continue;
       }
-      r.topics.set(i.topic, {
-        rev: i.rev,
-        gen: i.gen,
-        shard: old?.shard ?? shardOf(i.topic),
-        mark: old?.mark ?? hash(i.topic),
-        deadline: i.expiresAt === 0 ? this.kernel.host.clock.now() : toLocal(i.expiresAt) + SESSION.leaseSkewMs,
+      known.topics.set(item.topic, {
+        rev: item.rev,
+        gen: item.gen,
+        shard: old?.shard ?? shardOf(item.topic),
+        mark: old?.mark ?? hash(item.topic),
+        deadline: item.expiresAt === 0 ? this.kernel.host.clock.now() : toLocal(item.expiresAt) + SESSION.leaseSkewMs,
       });
     }
     return true;
   }
 
-  /** The topics of a shard in which a relay's interest is live, each with its mark. */
+  /** The topics of a shard in which a relay has live interest, each with its hash. */
   *liveTopicsIn(relay: string, shard: number): Generator<[string, number]> {
     const now = this.kernel.host.clock.now();
-    for (const [t, i] of this.interest.get(relay)?.topics ?? [])
-      if (i.shard === shard && i.deadline > now) yield [t, i.mark];
+    for (const [topic, interest] of this.interest.get(relay)?.topics ?? [])
+      if (interest.shard === shard && interest.deadline > now) yield [topic, interest.mark];
   }
 
+  /** The relays with live interest in a topic. */
   interestedRelays(topic: string): [string, Interest][] {
     const now = this.kernel.host.clock.now();
-    const out: [string, Interest][] = [];
-    for (const [relay, r] of this.interest) {
-      const i = r.topics.get(topic);
-      if (!i) continue;
-      if (i.deadline > now) out.push([relay, i]);
+    const relays: [string, Interest][] = [];
+    for (const [relay, known] of this.interest) {
+      const interest = known.topics.get(topic);
+      if (!interest) continue;
+      if (interest.deadline > now) relays.push([relay, interest]);
     }
-    return out;
+    return relays;
   }
 
   /**
-   * Passes a frame towards every relay with live interest. One call at a time goes to a relay, so that frames
-   * arrive in order and gather while it is under way; what does not fit in is mended from history by the relay.
+   * Sends a message to every relay with live interest in its topic. At most one call per relay is in flight, so that
+   * messages arrive in order and are batched meanwhile. When a relay's queue is full the message is dropped; the relay
+   * then reads it from the history.
    */
-  fanOut(e: Entry): void {
-    for (const [relay, i] of this.interestedRelays(e.topic)) {
-      let o = this.fanOutQueues.get(relay);
-      if (!o) {
-        o = { frames: [], flying: false };
-        this.fanOutQueues.set(relay, o);
+  fanOut(entry: Entry): void {
+    for (const [relay, interest] of this.interestedRelays(entry.topic)) {
+      let queue = this.fanOutQueues.get(relay);
+      if (!queue) {
+        queue = { frames: [], sending: false };
+        this.fanOutQueues.set(relay, queue);
       }
-      if (o.frames.length >= SHARD.fanOutQueueLimit) {
+      if (queue.frames.length >= SHARD.fanOutQueueLimit) {
         this.kernel.incrementCounter('fan.lost');
         continue;
       }
-      o.frames.push({ topic: e.topic, gen: i.gen, off: e.off, sender: e.sender, seq: e.seq, body: e.body });
-      this.peakQueueLength = Math.max(this.peakQueueLength, o.frames.length);
-      if (!o.flying) queueMicrotask(() => void this.sendTo(relay, o));
+      queue.frames.push({
+        topic: entry.topic,
+        gen: interest.gen,
+        off: entry.off,
+        sender: entry.sender,
+        seq: entry.seq,
+        body: entry.body,
+      });
+      this.peakQueueLength = Math.max(this.peakQueueLength, queue.frames.length);
+      if (!queue.sending) queueMicrotask(() => void this.sendQueued(relay, queue));
     }
   }
 
-  private async sendTo(relay: string, o: { frames: FanFrame[]; flying: boolean }): Promise<void> {
-    if (o.flying) return;
-    o.flying = true;
-    while (o.frames.length) {
-      const frames = o.frames.splice(0);
+  private async sendQueued(relay: string, queue: { frames: FanFrame[]; sending: boolean }): Promise<void> {
+    if (queue.sending) return;
+    queue.sending = true;
+    while (queue.frames.length) {
+      const frames = queue.frames.splice(0);
       this.kernel.incrementCounter('fan.frames', frames.length);
       try {
-        await this.kernel.callAnyPath(relay, 'Fan', { frames: frames.map(fanRow) });
+        await this.kernel.callAnyPath(relay, 'Fan', { frames: frames.map(toFanRow) });
       } catch {
         this.kernel.incrementCounter('fan.lost', frames.length);
       }
     }
-    o.flying = false;
+    queue.sending = false;
   }
 
   /**
-   * How many listen on a topic, by what the relays answer that may have listeners. `partial` where one of them was silent, or where this
-   * process may not know of all relays yet. `ownedSince`: since when this node owns the topic's shard (steady clock, ms).
+   * Counts a topic's listeners by asking the relays that may have some. The count is `partial` when a relay did not
+   * answer, or when this process may not know all relays yet. `ownedSince`: when this node became the owner of the
+   * topic's shard (steady clock, ms).
    */
   async countListeners(topic: string, ownedSince: number): Promise<ListenerCount> {
     const now = this.kernel.host.clock.now();
-    // A process that began this lately may not have heard of every relay.
-    const isYoung = now - this.kernel.startedAt < SESSION.countAllMs;
+    // A process that started recently may not have learned of every relay yet.
+    const startedRecently = now - this.kernel.startedAt < SESSION.countAllMs;
     const answers = await Promise.all(
       this.relaysToCount(topic, ownedSince).map((relay) => this.countAtRelay(relay, topic)),
     );
     const counts = answers.filter((answer) => answer !== 'silent');
     return {
       count: counts.reduce((sum, count) => sum + count, 0),
-      partial: isYoung || counts.length < answers.length,
+      partial: startedRecently || counts.length < answers.length,
     };
   }
 
-  /** The relays that told us of interest, and those that may have listeners of whom they could not tell us. */
+  /** The relays that reported interest, and those that may have listeners but may not have been able to report them. */
   private relaysToCount(topic: string, ownedSince: number): string[] {
     const now = this.kernel.host.clock.now();
     const relays = new Set(this.interestedRelays(topic).map(([relay]) => relay));
     for (const member of this.membership.members.values()) {
-      // One that is dead has sent its listeners elsewhere.
+      // A dead relay has no listeners any more: they have moved to other relays.
       if (member.state === 'dead') relays.delete(member.peer);
       if (member.role !== 'relay') continue;
-      // A new owner has not heard of every interest yet; nor may one have told us that was suspected until lately: its loop stood still.
+      // Interest may still be unreported when this node has become the owner only recently, or when the relay was
+      // suspected until recently, because its event loop was stalled.
       const since = Math.max(ownedSince, member.liveSince);
       if (member.state === 'suspect' || (member.state === 'live' && now - since < SESSION.countAllMs))
         relays.add(member.peer);
@@ -230,7 +267,8 @@
     try {
       return await this.kernel.callAnyPath<number>(relay, 'CountHolds', { topic }, SESSION.countWaitMs);
     } catch (error) {
-      // No process there: it has no listeners any more. One that is there and silent, or to which no way leads, makes the answer partial.
+      // An unreachable relay has no running process and so no listeners any more, except after ETIMEDOUT: a relay that
+      // doesn't answer, or that no network path leads to, may still have listeners, so the count is partial.
       const details = toErrorDetails(error, 'CountHolds', relay);
       return details.tag === 'unreachable' && details.detail !== 'ETIMEDOUT' ? 0 : 'silent';
     }
--- a/packages/data/src/interest/lease-table.ts
+++ b/packages/data/src/interest/lease-table.ts
@@ -1,57 +1,60 @@
-/** Interest leases of a relay's clients by topic, and what the owners of the topics are told of them. */
+/**
+ * The relay's side of interest leases: the leases of its clients by topic, and the reports of them to the topics'
+ * owners.
+ */
 import { SESSION, hash, shardOf, type Kernel } from '@harecross/kernel';
-import { interestRow, positionChecksum, type InterestItem } from './interest-table.js';
+import { toInterestRow, positionChecksum, type InterestItem } from './interest-table.js';
 import type { HeadsAnswer } from '../ownership/topic-history.js';
 import type { Route } from '../routing/route.js';
 import type { Session, Subscription } from '../sessions/session.js';
 
-/** The leases of all our subscribers on one topic; the owner learns only the latest deadline. */
+/** The leases of all of this relay's subscribers of one topic; the owner learns only the latest deadline. */
 export interface TopicLease {
   topic: string;
   shard: number;
-  /** Hash of the topic, for the sum by which relay and owner compare what they know. */
+  /** Hash of the topic, for `positionChecksum`. */
   mark: number;
   subscriptions: Set<Subscription>;
-  /** Frames of the owner must carry it; a new one is issued when the first subscriber comes. */
+  /** Messages from the owner must carry it. A new one is issued when the topic gets its first subscriber. */
   generation: string;
-  /** The deadline that the owner was last told; negative when it has to be told again. */
-  toldUntil: number;
-  /** The highest offset known to be there. */
+  /** The deadline last reported to the owner; 0: none, negative: it has to be reported again. */
+  reportedDeadline: number;
+  /** The highest offset known to exist. */
   head: number;
-  /** Whether the owner's history is being read, and whether it is to be read once more after that. */
+  /** Whether the owner's history is being read, and whether to read it once more afterwards. */
   reading: boolean;
   readAgain: boolean;
 }
 
-/** What the lease table needs of its surroundings. */
+/** Callbacks of the lease table. */
 interface LeaseEvents {
-  /** Some subscriber of the topic is owed what is known to be there. */
+  /** Messages known to exist have not been delivered to some subscriber of the topic. */
   behind(lease: TopicLease): void;
   /** A subscription's lease has ended: nothing more may be sent for it. */
   ended(subscription: Subscription): void;
 }
 
 /**
- * The relay's side of interest leases (the paper's design). A subscription's lease is renewed by this node from traffic
- * on its session; it ends at its deadline, on unsubscribe, or with the session. Owners are told one deadline a topic,
- * and compare heads with us so that a lost last frame is found.
+ * The relay's side of interest leases; docs/paper.md names the published design that they follow. The relay renews a
+ * subscription's lease when there is traffic on its session. The lease ends at its deadline, on unsubscribe, or with
+ * the session. Owners get one deadline per topic. Relay and owner compare heads, which reveals a lost last message.
  * @example
  * const lease = leases.add(subscription);
  */
 export class LeaseTable {
   private topics = new Map<string, TopicLease>();
-  /** Topics whose deadline may differ from what the owner was told. */
+  /** Topics whose deadline may differ from the reported one. */
   private dirty = new Set<string>();
-  /** Tells our generations from those of an earlier process here. */
+  /** Random prefix that distinguishes this process's generations from those of an earlier process of the same relay. */
   private readonly generationBase: string;
-  /** Rises with every deadline told, so that an owner knows late ones. */
+  /** Rises with every reported deadline, so that an owner can ignore reports that arrive out of order. */
   private revision = 0;
 
   constructor(
     private kernel: Kernel,
     private route: Route,
-    /** Numbers are shared with sessions and subscriptions. */
-    private nextNumber: () => number,
+    /** Returns a number that no session, subscription or generation of this process has yet. */
+    private nextId: () => number,
     private events: LeaseEvents,
   ) {
     this.generationBase = Math.floor(kernel.host.random.next() * 2 ** 32).toString(36);
@@ -65,23 +68,23 @@
     return [...this.topics.values()];
   }
 
-  /** Takes a new subscription in. The owner is told with the next `tellOwners`. */
+  /** Adds a subscription. The owner learns of it with the next `reportToOwners`. */
   add(subscription: Subscription): TopicLease {
-    const lease = this.leaseOf(subscription.topic);
+    const lease = this.activateLease(subscription.topic);
     lease.subscriptions.add(subscription);
     this.dirty.add(subscription.topic);
     return lease;
   }
 
-  /** From no lease to one, a generation is issued; frames must carry it. */
-  private leaseOf(topic: string): TopicLease {
-    const known = this.topics.get(topic);
-    if (known && known.subscriptions.size > 0) return known;
-    const generation = `${this.generationBase}.${this.nextNumber().toString(36)}`;
-    if (known) {
-      known.generation = generation;
-      known.toldUntil = 0;
-      return known;
+  /** Returns the topic's lease; issues a new generation if it had no subscribers. */
+  private activateLease(topic: string): TopicLease {
+    const existing = this.topics.get(topic);
+    if (existing && existing.subscriptions.size > 0) return existing;
+    const generation = `${this.generationBase}.${this.nextId().toString(36)}`;
+    if (existing) {
+      existing.generation = generation;
+      existing.reportedDeadline = 0;
+      return existing;
     }
     const lease: TopicLease = {
       topic,
@@ -89,7 +92,7 @@
       mark: hash(topic),
       subscriptions: new Set(),
       generation,
-      toldUntil: 0,
+      reportedDeadline: 0,
       head: 0,
       reading: false,
       readAgain: false,
@@ -98,7 +101,7 @@
     return lease;
   }
 
-  /** Renews the leases of a session that gave a sign of life, those that are due. */
+  /** Renews the leases of an active session that are due for renewal. */
   renew(session: Session, now: number): void {
     for (const subscription of session.subscriptions.values()) {
       if (now - subscription.renewedAt < SESSION.leaseRenewMs) continue;
@@ -108,7 +111,7 @@
     }
   }
 
-  /** The one function that ends a lease: what waits for it goes with it. */
+  /** Ends a lease; every way to end one goes through here. Its queued frames are dropped. */
   end(subscription: Subscription): void {
     if (!subscription.live) return;
     subscription.live = false;
@@ -118,26 +121,26 @@
     this.dirty.add(subscription.topic);
   }
 
-  /** How many listen on a topic by what their sessions said lately. */
+  /** Number of a topic's subscribers with a live lease and a recently active session. */
   count(topic: string): number {
     const now = this.kernel.host.clock.now();
-    let listening = 0;
+    let listeners = 0;
     for (const { expiresAt, session } of this.topics.get(topic)?.subscriptions ?? [])
-      if (expiresAt > now && now - session.heardAt <= SESSION.countFreshMs) listening++;
-    return listening;
+      if (expiresAt > now && now - session.lastActivityAt <= SESSION.countFreshMs) listeners++;
+    return listeners;
   }
 
-  /** Tells owners the deadlines that changed. */
-  async tellOwners(): Promise<void> {
+  /** Reports changed deadlines to the topics' owners. */
+  async reportToOwners(): Promise<void> {
     const byOwner = new Map<string, InterestItem[]>();
     for (const topic of Array.from(this.dirty)) {
       const lease = this.topics.get(topic);
       if (!lease) {
-        this.tellEnded(topic, byOwner);
+        this.reportEnded(topic, byOwner);
         continue;
       }
-      const until = Math.max(0, ...[...lease.subscriptions].map((s) => s.expiresAt));
-      if (until === lease.toldUntil) {
+      const deadline = Math.max(0, ...[...lease.subscriptions].map((s) => s.expiresAt));
+      if (deadline === lease.reportedDeadline) {
         this.dirty.delete(topic);
         if (!lease.subscriptions.size) this.topics.delete(topic);
         continue;
@@ -145,65 +148,74 @@
       const owner = this.route.owner(lease.shard);
       if (!owner) continue;
       this.dirty.delete(topic);
-      lease.toldUntil = until;
-      this.tell(byOwner, owner, topic, until, lease.generation);
+      lease.reportedDeadline = deadline;
+      this.addReport(byOwner, owner, topic, deadline, lease.generation);
       if (!lease.subscriptions.size && !lease.reading) this.topics.delete(topic);
     }
     await Promise.all([...byOwner].map(([owner, items]) => this.sendInterest(owner, items)));
   }
 
-  private tell(byOwner: Map<string, InterestItem[]>, owner: string, topic: string, until: number, gen: string): void {
+  private addReport(
+    byOwner: Map<string, InterestItem[]>,
+    owner: string,
+    topic: string,
+    deadline: number,
+    generation: string,
+  ): void {
     const items = byOwner.get(owner) ?? [];
-    items.push({ topic, rev: ++this.revision, expiresAt: until, gen });
+    items.push({ topic, rev: ++this.revision, expiresAt: deadline, gen: generation });
     byOwner.set(owner, items);
   }
 
-  /** A topic without any lease: its interest has ended, in case the owner believes otherwise. */
-  private tellEnded(topic: string, byOwner: Map<string, InterestItem[]>): void {
+  /** Reports the end of interest in a topic without a lease, because the owner may still assume interest. */
+  private reportEnded(topic: string, byOwner: Map<string, InterestItem[]>): void {
     this.dirty.delete(topic);
     const owner = this.route.owner(shardOf(topic));
-    if (owner) this.tell(byOwner, owner, topic, 0, '');
+    if (owner) this.addReport(byOwner, owner, topic, 0, '');
   }
 
   private async sendInterest(owner: string, items: InterestItem[]): Promise<void> {
     this.kernel.incrementCounter('interest.said', items.length);
     try {
-      await this.kernel.callAnyPath(owner, 'Interest', { items: items.map(interestRow) });
+      await this.kernel.callAnyPath(owner, 'Interest', { items: items.map(toInterestRow) });
     } catch {
       for (const { topic } of items) {
         const lease = this.topics.get(topic);
-        if (lease) this.tellAnew(lease);
+        if (lease) this.scheduleReport(lease);
       }
     }
   }
 
-  private tellAnew(lease: TopicLease): void {
-    lease.toldUntil = -1;
+  private scheduleReport(lease: TopicLease): void {
+    lease.reportedDeadline = -1;
     this.dirty.add(lease.topic);
   }
 
-  /** A shard has another owner: it knows nothing of our interest, and we nothing of what it has. */
+  /** Handles a new owner of a shard: reports this relay's interest to it and compares heads with it. */
   ownerChanged(shard: number): void {
-    const mine = this.all().filter((lease) => lease.shard === shard && lease.subscriptions.size);
-    if (!mine.length) return;
-    for (const lease of mine) this.tellAnew(lease);
-    void this.tellOwners();
-    void this.compareHeads(mine);
+    const leases = this.all().filter((lease) => lease.shard === shard && lease.subscriptions.size);
+    if (!leases.length) return;
+    for (const lease of leases) this.scheduleReport(lease);
+    void this.reportToOwners();
+    void this.compareHeads(leases);
   }
 
-  /** Compares with the owners what is known to be there, of all topics that somebody listens to. */
+  /** Compares the known heads of all topics that have subscribers with those of their owners. */
   async checkHeads(): Promise<void> {
-    const mine = this.all().filter((lease) => lease.subscriptions.size);
-    // What we know to be there and could not read is read again: the owner's sum will not differ from ours.
-    for (const lease of mine) this.catchUpIfBehind(lease);
-    await this.compareHeads(mine);
+    const leases = this.all().filter((lease) => lease.subscriptions.size);
+    // Messages that are known to exist but could not be read are read again here: the comparison doesn't reveal them,
+    // because relay and owner know the same head.
+    for (const lease of leases) this.catchUpIfBehind(lease);
+    await this.compareHeads(leases);
   }
 
   private catchUpIfBehind(lease: TopicLease): void {
     if ([...lease.subscriptions].some((s) => s.next <= lease.head)) this.events.behind(lease);
   }
 
-  /** One sum a shard goes to its owner; only where the owner's differs are topics told one by one. */
+  /**
+   * Sends owners one checksum per shard; an owner lists the shard's topics and heads only if its own checksum differs.
+   */
   private async compareHeads(leases: TopicLease[]): Promise<void> {
     const byShard = new Map<number, TopicLease[]>();
     for (const lease of leases) {
@@ -222,10 +234,10 @@
       sums.push([shard, ofShard.reduce((sum, lease) => (sum + positionChecksum(lease.mark, lease.head)) | 0, 0)]);
       byOwner.set(owner, sums);
     }
-    await Promise.all([...byOwner].map(([owner, sums]) => this.askHeads(owner, sums, byShard)));
+    await Promise.all([...byOwner].map(([owner, sums]) => this.requestHeads(owner, sums, byShard)));
   }
 
-  private async askHeads(
+  private async requestHeads(
     owner: string,
     sums: [shard: number, sum: number][],
     byShard: Map<number, TopicLease[]>,
@@ -233,31 +245,31 @@
     try {
       const answer = await this.kernel.callAnyPath<HeadsAnswer>(owner, 'Heads', { sums });
       for (const shard of answer.elsewhere) this.route.seek(shard);
-      for (const [shard, heads] of answer.heads) this.takeHeads(byShard.get(shard) ?? [], new Map(heads));
+      for (const [shard, heads] of answer.heads) this.applyHeads(byShard.get(shard) ?? [], new Map(heads));
     } catch {
       for (const [shard] of sums) this.route.seek(shard);
     }
   }
 
-  /** The owner's heads of a shard in which it differs from us. */
-  private takeHeads(leases: TopicLease[], heads: Map<string, number>): void {
+  /** Applies the owner's heads for a shard whose checksum differs. */
+  private applyHeads(leases: TopicLease[], heads: Map<string, number>): void {
     this.kernel.incrementCounter('heads.differ');
     for (const lease of leases) {
       const head = heads.get(lease.topic);
-      // The owner does not know that we listen: it is told again.
+      // The owner doesn't know of this relay's interest, so it is reported again.
       if (head === undefined) {
-        if (lease.subscriptions.size) this.tellAnew(lease);
+        if (lease.subscriptions.size) this.scheduleReport(lease);
         continue;
       }
       lease.head = Math.max(lease.head, head);
       this.catchUpIfBehind(lease);
     }
-    // It believes that we listen where we do not.
+    // The owner assumes interest in these topics, but they have no subscribers here.
     for (const topic of heads.keys()) if (!this.topics.get(topic)?.subscriptions.size) this.dirty.add(topic);
   }
 
-  /** The leases as an operator sees them. */
-  table(): { topic: string; shard: number; subs: number; gen: string; seen: number }[] {
+  /** The leases, for operators. */
+  listLeases(): { topic: string; shard: number; subs: number; gen: string; seen: number }[] {
     return this.all().map((lease) => ({
       topic: lease.topic,
       shard: lease.shard,
--- a/packages/data/src/sessions/delivery.ts
+++ b/packages/data/src/sessions/delivery.ts
@@ -1,6 +1,6 @@
 /**
- * Delivery of messages to a relay's sessions: their bounded buffers, the final send, and catching up from the owner's
- * history.
+ * Delivery of messages to a relay's sessions: bounded send queues, the check before each send, and catch-up from the
+ * owner's history.
  */
 import { REQUEST, SESSION, type QueueInfo, type Kernel } from '@harecross/kernel';
 import type { ConsensusRegister } from '@harecross/control';
@@ -12,31 +12,31 @@
 import type { Route } from '../routing/route.js';
 import type { LeaveReason, QueuedFrame, Session, Subscription } from './session.js';
 
-/** Pages of history that one reader takes before it stops; the next heads begin another. */
-const HISTORY_PAGES = 200;
+/** Pages of history read in one catch-up run; the next comparison of heads with the owner starts another run. */
+const HISTORY_PAGE_LIMIT = 200;
 
 /**
- * Gives each subscription every message from its beginning on, once and in order. A subscription knows the next offset
- * that it is owed; a gap, a lost frame, or a new owner is mended from the owner's history. Nothing is sent without a
- * live lease, the current generation and a configuration that is confirmed.
+ * Delivers every message from a subscription's start on, exactly once and in order. Each subscription tracks the next
+ * offset to deliver; what is missing after a gap, a lost frame or a change of owner is read from the owner's history.
+ * A message is sent only with a live lease, the current lease generation and a valid read lease on the configuration.
  * @example
  * delivery.take({ topic: 'feed/7', gen, off: 41, sender: 'desk', seq: 7, body: 'hello' });
  */
 export class Delivery {
-  private mostStandardBytes = 0;
-  private mostOversizedBytes = 0;
+  private peakStandardBytes = 0;
+  private peakOversizedBytes = 0;
 
   constructor(
     private kernel: Kernel,
     private register: ConsensusRegister,
     private route: Route,
     private leases: LeaseTable,
-    /** Ends a session that does not read as fast as its messages come. */
+    /** Called for a session whose client reads more slowly than its messages arrive; closes it. */
     private saturated: (session: Session) => void,
   ) {}
 
-  /** A frame as the owner sent it. */
-  take(frame: FanFrame): void {
+  /** Handles a frame sent by the topic's owner. */
+  receive(frame: FanFrame): void {
     const lease = this.leases.get(frame.topic);
     if (!lease) return;
     lease.head = Math.max(lease.head, frame.off);
@@ -45,11 +45,14 @@
       if (lease.subscriptions.size) this.catchUp(lease);
       return;
     }
-    if (this.offer(lease, frame)) this.catchUp(lease);
+    if (this.enqueueForSubscriptions(lease, frame)) this.catchUp(lease);
   }
 
-  /** Gives one message to each subscription that is owed it next; says whether some subscription has a gap. */
-  private offer(
+  /**
+   * Queues a message for each subscription that it is the next one for; returns whether any subscription has a gap
+   * before it.
+   */
+  private enqueueForSubscriptions(
     lease: TopicLease,
     entry: { off: number; sender: string; seq: number; body: string },
     catchingUp = false,
@@ -61,7 +64,7 @@
       if (subscription.next < entry.off) gap = true;
       if (subscription.next !== entry.off) continue;
       const { session } = subscription;
-      // More follows once this has gone out; see flush.
+      // Catch-up resumes once the queue has been flushed; see `flush`.
       if (catchingUp && session.standardBytes > SESSION.catchUpBytes) {
         this.scheduleFlush(session, 0);
         continue;
@@ -87,16 +90,19 @@
     return gap;
   }
 
-  /** How long a frame may wait for company: a small part of the family's aim, so that the aim can be met. */
+  /**
+   * How long a frame may be held back for batching: a small share of the family's latency target, so that the target
+   * can be met.
+   */
   private flushMs(topic: string): number {
     const value = this.register.value;
     const family = value && familyOf(value.config, topic);
     if (!family) return SESSION.flushMs;
-    const most = urgencyOf(value.config, family) === 'urgent' ? SESSION.flushUrgentMs : SESSION.flushMs;
-    return family.aimMs === undefined ? most : Math.min(most, family.aimMs * SESSION.flushShare);
+    const limit = urgencyOf(value.config, family) === 'urgent' ? SESSION.flushUrgentMs : SESSION.flushMs;
+    return family.aimMs === undefined ? limit : Math.min(limit, family.aimMs * SESSION.flushShare);
   }
 
-  /** Reads the owner's history from the least offset owed, one reader per topic. */
+  /** Reads the owner's history from the lowest offset not yet delivered, with at most one reader per topic. */
   catchUp(lease: TopicLease): void {
     if (lease.reading) {
       lease.readAgain = true;
@@ -113,9 +119,9 @@
 
   private async readHistory(lease: TopicLease): Promise<void> {
     const { topic } = lease;
-    for (let page = 0; page < HISTORY_PAGES; page++) {
+    for (let page = 0; page < HISTORY_PAGE_LIMIT; page++) {
       lease.readAgain = false;
-      const behind = [...lease.subscriptions].filter((s) => s.next <= lease.head && hasRoom(s.session));
+      const behind = [...lease.subscriptions].filter((s) => s.next <= lease.head && hasCatchUpRoom(s.session));
       if (!behind.length) return;
       const from = Math.min(...behind.map((s) => s.next));
       let answer: HistoryAnswer;
@@ -128,28 +134,28 @@
         );
       } catch {
         this.kernel.incrementCounter('pull.fail');
-        return; // tried again with the next heads, within a second
+        return; // Retried after the next comparison of heads, within a second.
       }
       this.kernel.incrementCounter('pull');
       if (answer.tag === 'gone') return;
       lease.head = Math.max(lease.head, answer.head);
       for (const subscription of Array.from(lease.subscriptions)) {
         if (subscription.next < answer.since) subscription.next = answer.since;
-        if (subscription.next < answer.first) this.leave(subscription, 'cursor_expired');
+        if (subscription.next < answer.first) this.endSubscription(subscription, 'cursor_expired');
       }
       if (!answer.entries.length) return;
-      for (const entry of answer.entries) this.offer(lease, entry, true);
+      for (const entry of answer.entries) this.enqueueForSubscriptions(lease, entry, true);
     }
   }
 
-  /** Ends a subscription and tells its client why. */
-  leave(subscription: Subscription, reason: LeaveReason): void {
+  /** Ends a subscription and sends the reason to its client. */
+  endSubscription(subscription: Subscription, reason: LeaveReason): void {
     if (!subscription.live) return;
     this.leases.end(subscription);
     this.send(subscription.session, { t: 'LEFT', sub: subscription.id, topic: subscription.topic, reason });
   }
 
-  /** Queues a control frame, which waits as little as an urgent message. */
+  /** Queues a control frame, which is flushed as soon as an urgent message. */
   send(session: Session, frame: ControlFrame): void {
     this.enqueue(session, { frame, bytes: SESSION.frameHeadBytes, oversized: false, flushMs: SESSION.flushUrgentMs });
   }
@@ -157,28 +163,28 @@
   private enqueue(session: Session, queued: QueuedFrame): void {
     if (session.state === 'closed') return;
     queued.oversized = queued.bytes > SESSION.oversizedFromBytes;
-    const full = queued.oversized
+    const exceedsLimit = queued.oversized
       ? session.oversizedBytes + queued.bytes > SESSION.oversizedLaneBytes
       : session.standardBytes + queued.bytes > SESSION.laneBytes;
-    if (full) {
-      // A saturated session is retired; its client comes again with its cursor instead of getting a partial stream.
+    if (exceedsLimit) {
+      // A saturated session is closed: its client attaches again with its cursor instead of getting a stream with gaps.
       this.saturated(session);
       return;
     }
     if (queued.oversized) session.oversizedBytes += queued.bytes;
     else session.standardBytes += queued.bytes;
-    this.mostStandardBytes = Math.max(this.mostStandardBytes, session.standardBytes);
-    this.mostOversizedBytes = Math.max(this.mostOversizedBytes, session.oversizedBytes);
+    this.peakStandardBytes = Math.max(this.peakStandardBytes, session.standardBytes);
+    this.peakOversizedBytes = Math.max(this.peakOversizedBytes, session.oversizedBytes);
     session.queue.push(queued);
     this.scheduleFlush(session, queued.flushMs);
   }
 
-  /** Drops what waits for a subscription whose lease has ended. */
-  drop(subscription: Subscription): void {
+  /** Drops the queued frames of a subscription whose lease has ended. */
+  dropQueued(subscription: Subscription): void {
     const { session } = subscription;
     const kept: QueuedFrame[] = [];
     for (const queued of session.queue) {
-      if (queued.subscription === subscription) release(session, queued);
+      if (queued.subscription === subscription) releaseBytes(session, queued);
       else kept.push(queued);
     }
     session.queue = kept;
@@ -196,28 +202,32 @@
     });
   }
 
-  /** The final send: only what still has a live lease, the current generation and a family in force. */
+  /**
+   * Writes the queued frames to the stream. Messages are dropped if their subscription's lease has ended, also because
+   * no family of the configuration matches the topic any more, or if the topic's lease has a new generation. Without
+   * the read lease the configuration may be outdated, so messages stay queued.
+   */
   flush(session: Session): void {
     if (session.state === 'closed' || session.blocked || !session.queue.length) return;
     const now = this.kernel.host.clock.now();
-    const confirmed = this.register.hasReadLease();
+    const hasReadLease = this.register.hasReadLease();
     const out: Outgoing[] = [];
     const kept: QueuedFrame[] = [];
     for (const queued of session.queue) {
       const { subscription } = queued;
       if (subscription) {
-        if (!confirmed) {
+        if (!hasReadLease) {
           kept.push(queued);
           continue;
         }
         if (!this.maySend(subscription, queued.generation, now)) {
           this.kernel.incrementCounter('frame.lapsed');
-          release(session, queued);
+          releaseBytes(session, queued);
           continue;
         }
         this.kernel.incrementCounter('deliver');
       }
-      release(session, queued);
+      releaseBytes(session, queued);
       out.push(queued.frame);
       session.sent++;
     }
@@ -236,14 +246,14 @@
     );
   }
 
-  /** The session's stream takes more. */
+  /** Handles a session's stream that accepts data again. */
   drained(session: Session): void {
     session.blocked = false;
     if (session.queue.length) this.flush(session);
     this.resume(session);
   }
 
-  /** Catch-up that waited for room in a session's buffer goes on. */
+  /** Resumes catch-up that was paused because the session's queue was too full. */
   private resume(session: Session): void {
     for (const subscription of session.subscriptions.values()) {
       const lease = this.leases.get(subscription.topic);
@@ -251,33 +261,33 @@
     }
   }
 
-  /** Bytes held for the session that has most of them, in each lane. */
-  queues(sessions: Iterable<Session>): QueueInfo[] {
+  /** Buffered bytes of the session with the fullest buffer, for each lane. */
+  queueInfos(sessions: Iterable<Session>): QueueInfo[] {
     const all = [...sessions];
     return [
       {
         name: 'conn',
         length: Math.max(0, ...all.map((s) => s.standardBytes)),
-        most: this.mostStandardBytes,
+        most: this.peakStandardBytes,
         bound: SESSION.laneBytes,
       },
       {
         name: 'conn.oversized',
         length: Math.max(0, ...all.map((s) => s.oversizedBytes)),
-        most: this.mostOversizedBytes,
+        most: this.peakOversizedBytes,
         bound: SESSION.oversizedLaneBytes,
       },
     ];
   }
 }
 
-/** Whether a session takes part in catching up: beyond this it would fill its buffer by itself. */
-function hasRoom(session: Session): boolean {
+/** Whether a session takes part in catch-up, which pauses at this limit so that it never fills the queue by itself. */
+function hasCatchUpRoom(session: Session): boolean {
   return session.standardBytes <= SESSION.catchUpBytes && !session.blocked;
 }
 
-/** Takes a frame's bytes off its lane. */
-function release(session: Session, queued: QueuedFrame): void {
+/** Subtracts a frame's bytes from its lane. */
+function releaseBytes(session: Session, queued: QueuedFrame): void {
   if (queued.oversized) session.oversizedBytes -= queued.bytes;
   else session.standardBytes -= queued.bytes;
 }
--- a/packages/data/src/sessions/outgoing.ts
+++ b/packages/data/src/sessions/outgoing.ts
@@ -1,7 +1,7 @@
-/** Frames on their way to a client, and the lines in which the product's own stream carries them. */
+/** Frames to be sent to a client, and their serialization as the lines of harecross's own stream format. */
 import type { Frame } from '@harecross/schema';
 
-/** A message as all its subscribers get it; one object for all, so that who writes it out need do so once. */
+/** A message for its subscribers. All of them share one object, so that it is serialized only once. */
 export interface Message {
   topic: string;
   sender: string;
@@ -14,36 +14,39 @@
 /** A frame that carries no message. */
 export type ControlFrame = Exclude<Frame, { t: 'DELIVER' }>;
 
-/** A frame on its way to a session. */
+/** A frame to be sent to a client. */
 export type Outgoing = { t: 'DELIVER'; sub: string; msg: Message } | ControlFrame;
 
-/** Where a session's frames go. `write` says whether more may follow at once; `drained` is called when it may. */
+/**
+ * Destination of a session's frames. `write` returns false when its buffer is full; call `drained` once it accepts
+ * more.
+ */
 export interface Sink {
   write(frames: Outgoing[]): boolean;
   close(): void;
 }
 
-/** The common part of a message's lines, kept while any frame refers to the message. */
-const messageLines = new WeakMap<Message, string>();
+/** The part of a message's lines that is the same for all subscribers, cached while any frame refers to the message. */
+const cachedLines = new WeakMap<Message, string>();
 
-function messageLine(message: Message): string {
-  const known = messageLines.get(message);
-  if (known !== undefined) return known;
+function serializeMessage(message: Message): string {
+  const cached = cachedLines.get(message);
+  if (cached !== undefined) return cached;
   const { topic, sender, seq, offset, body } = message;
   const line = JSON.stringify({ topic, sender, seq, offset, body }).slice(1);
-  messageLines.set(message, line);
+  cachedLines.set(message, line);
   return line;
 }
 
 /**
- * Frames as the lines of the product's own stream, each ended by a newline.
+ * Serializes frames as the lines of harecross's own stream format, each terminated by a newline.
  * @example
- * raw.write(frameLines([{ t: 'GOAWAY', retryAfterMs: 0 }]));
+ * raw.write(serializeFrames([{ t: 'GOAWAY', retryAfterMs: 0 }]));
  */
 export function frameLines(frames: Outgoing[]): string {
   let out = '';
   for (const frame of frames) {
-    if (frame.t === 'DELIVER') out += `{"t":"DELIVER","sub":"${frame.sub}",${messageLine(frame.msg)}\n`;
+    if (frame.t === 'DELIVER') out += `{"t":"DELIVER","sub":"${frame.sub}",${serializeMessage(frame.msg)}\n`;
     else out += JSON.stringify(frame) + '\n';
   }
   return out;
--- a/packages/data/src/sessions/relocation.ts
+++ b/packages/data/src/sessions/relocation.ts
@@ -1,16 +1,16 @@
-/** Sends a relay's clients to other relays, before a planned restart or a stop. */
+/** Moves a relay's clients to other relays before a planned restart or a stop. */
 import type { MembershipTable } from '@harecross/control';
 import { SESSION, randomSample, type Kernel } from '@harecross/kernel';
 import type { ControlFrame } from './outgoing.js';
 import type { Session } from './session.js';
 
 /**
- * Tells clients to go, one after another over a time, so that the other relays are not asked all at once.
+ * Asks clients to move with GOAWAY frames, spread over time, so that they don't all attach to the other relays at once.
  * @example
  * relocation.begin(sessions, 3_000);
  */
 export class Relocation {
-  private underWay = false;
+  private inProgress = false;
 
   constructor(
     private kernel: Kernel,
@@ -18,36 +18,36 @@
     private send: (session: Session, frame: ControlFrame) => void,
   ) {}
 
-  /** Sends all of these away within `spreadMs`. */
+  /** Asks all these sessions' clients to move, each at a random time within `spreadMs`. */
   begin(sessions: Iterable<Session>, spreadMs: number): void {
     const { clock, random } = this.kernel.host;
-    this.underWay = true;
-    for (const session of sessions) clock.after(random.next() * spreadMs, () => this.sendAway(session));
+    this.inProgress = true;
+    for (const session of sessions) clock.after(random.next() * spreadMs, () => this.sendGoAway(session));
   }
 
-  /** Clients may stay again. */
+  /** Stops asking new clients to move. */
   end(): void {
-    this.underWay = false;
+    this.inProgress = false;
   }
 
-  /** A client that came meanwhile is sent on as soon as it has attached. */
-  opened(session: Session): void {
-    if (this.underWay) this.kernel.host.clock.after(SESSION.flushUrgentMs, () => this.sendAway(session));
+  /** Asks a client that attaches during relocation to move right after it has attached. */
+  sessionOpened(session: Session): void {
+    if (this.inProgress) this.kernel.host.clock.after(SESSION.flushUrgentMs, () => this.sendGoAway(session));
   }
 
-  private sendAway(session: Session): void {
+  private sendGoAway(session: Session): void {
     if (session.state !== 'open') return;
-    this.send(session, { t: 'GOAWAY', to: this.otherRelay(), retryAfterMs: 0 });
+    this.send(session, { t: 'GOAWAY', to: this.pickTargetRelay(), retryAfterMs: 0 });
   }
 
-  /** A relay that takes sessions: in our domain if there is one, the emptier of two by chance. */
-  private otherRelay(): string | undefined {
+  /** Picks a ready relay, if possible in this node's domain: the one with fewer sessions of two chosen at random. */
+  private pickTargetRelay(): string | undefined {
     const { random, config } = this.kernel.host;
-    const open = this.membership
+    const ready = this.membership
       .liveMembers()
       .filter((m) => m.role === 'relay' && m.peer !== this.kernel.self && m.condition === 'ready');
-    const near = open.filter((m) => m.domain === config.domain);
-    const two = randomSample(random, near.length ? near : open, 2);
-    return two.sort((a, b) => a.weight - b.weight)[0]?.client;
+    const sameDomain = ready.filter((m) => m.domain === config.domain);
+    const candidates = randomSample(random, sameDomain.length ? sameDomain : ready, 2);
+    return candidates.sort((a, b) => a.weight - b.weight)[0]?.client;
   }
 }
--- a/packages/data/src/sessions/session-homes.ts
+++ b/packages/data/src/sessions/session-homes.ts
@@ -1,9 +1,12 @@
-/** One session a client: which of its sessions, at whatever relay, is the latest. */
+/**
+ * Ensures one session per client in the fleet: finds the latest of its sessions at all relays and has older ones
+ * closed.
+ */
 import type { MembershipTable } from '@harecross/control';
 import { SESSION, rendezvousOrder, type RequestContext, type Kernel } from '@harecross/kernel';
 import type { Session } from './session.js';
 
-/** A session as its home is told of it. Names and units as they are sent: `age` in milliseconds. */
+/** Notice of a session to its client's home relay. Wire format; `age` is in milliseconds. */
 interface SessionNotice {
   consumer: string;
   conn: string;
@@ -11,25 +14,25 @@
 }
 
 /**
- * Each client has a home: the relay that rendezvous hashing gives for its name. Relays tell homes of their sessions; a
- * home that hears of two has the older one closed.
+ * Each client has a home relay, chosen by rendezvous hashing of the client's name. Relays notify the home relays of
+ * their sessions; a home relay that learns of two sessions of one client has the older one closed.
  * @example
- * homes.tell([session]);
+ * homes.notifyHomes([session]);
  */
 export class SessionHomes {
-  /** As a home: the latest session of each client. */
+  /** As home relay: the latest session of each client, with when it was opened (`at`) and last reported (`seenAt`). */
   private latest = new Map<string, { conn: string; peer: string; at: number; seenAt: number }>();
-  /** Relays came or went: some clients have another home now. */
-  private homesMoved = false;
+  /** Set when relays joined or left, which gives some clients another home relay. */
+  private relaySetChanged = false;
 
   constructor(
     private kernel: Kernel,
     private membership: MembershipTable,
   ) {}
 
-  /** Relays came or went; homes are told with the next `tellMoved`. */
+  /** Records that relays joined or left; the next `notifyChangedHomes` notifies the new home relays. */
   relaysChanged(): void {
-    this.homesMoved = true;
+    this.relaySetChanged = true;
   }
 
   private homeOf(consumer: string): { peer: string; id: string } | undefined {
@@ -38,15 +41,15 @@
     return home && { peer: home.peer, id: `${home.peer}~${home.inst}` };
   }
 
-  /** Tells homes of sessions whose home is another one since relays came or went. */
-  tellMoved(sessions: Iterable<Session>): void {
-    if (!this.homesMoved) return;
-    this.homesMoved = false;
-    this.tell([...sessions].filter((s) => this.homeOf(s.consumer)?.id !== s.home));
+  /** If relays joined or left, notifies the home relays of the sessions whose home has changed. */
+  notifyChangedHomes(sessions: Iterable<Session>): void {
+    if (!this.relaySetChanged) return;
+    this.relaySetChanged = false;
+    this.notifyHomes([...sessions].filter((s) => this.homeOf(s.consumer)?.id !== s.home));
   }
 
-  /** Tells the homes of these sessions' clients that they are here. */
-  tell(sessions: Iterable<Session>): void {
+  /** Notifies the home relays of these sessions' clients that the sessions are at this relay. */
+  notifyHomes(sessions: Iterable<Session>): void {
     const now = this.kernel.host.clock.now();
     const byHome = new Map<string, SessionNotice[]>();
     for (const session of sessions) {
@@ -60,24 +63,27 @@
     for (const [home, conns] of byHome) this.kernel.call(home, 'Home', { conns }).catch(() => undefined);
   }
 
-  /** As a home: sessions that a relay has. Of two of one client the one opened last stays, in whatever order news of them comes. */
-  hear(notices: SessionNotice[], { peer: relay, sentAt }: RequestContext): true {
+  /**
+   * As home relay: handles a relay's notices of its sessions. Of two sessions of one client the one opened last is
+   * kept, in whatever order the notices arrive.
+   */
+  receiveNotices(notices: SessionNotice[], { peer: relay, sentAt }: RequestContext): true {
     const now = this.kernel.host.clock.now();
     for (const notice of notices) {
-      const at = sentAt - notice.age;
+      const openedAt = sentAt - notice.age;
       const known = this.latest.get(notice.consumer);
       if (known && known.conn !== notice.conn && now - known.seenAt < SESSION.homeForgetMs) {
-        const [replaced, holder] = known.at <= at ? [known.conn, known.peer] : [notice.conn, relay];
+        const [replaced, holder] = known.at <= openedAt ? [known.conn, known.peer] : [notice.conn, relay];
         this.kernel.call(holder, 'Replace', { conn: replaced }).catch(() => undefined);
         if (replaced === notice.conn) continue;
       }
-      this.latest.set(notice.consumer, { conn: notice.conn, peer: relay, at, seenAt: now });
+      this.latest.set(notice.consumer, { conn: notice.conn, peer: relay, at: openedAt, seenAt: now });
     }
-    if (this.latest.size > SESSION.connectionLimit * 2) this.forget(now);
+    if (this.latest.size > SESSION.connectionLimit * 2) this.evictStale(now);
     return true;
   }
 
-  private forget(now: number): void {
+  private evictStale(now: number): void {
     for (const [consumer, { seenAt }] of this.latest)
       if (now - seenAt > SESSION.homeForgetMs) this.latest.delete(consumer);
   }
--- a/packages/data/src/sessions/session.ts
+++ b/packages/data/src/sessions/session.ts
@@ -1,67 +1,70 @@
-/** State of one client's connection to a relay: its subscriptions and the frames that wait for it. */
+/** State of one client's connection to a relay: its subscriptions and its queue of frames to send. */
 import type { Frame } from '@harecross/schema';
 import type { Outgoing, Sink } from './outgoing.js';
 
-/** Why a session ended: a reason that the client is told, or `gone` where nobody is there to be told. */
+/** Why a session ended: a reason sent to the client, or `gone` when its stream has ended and nothing can be sent. */
 export type CloseReason = Extract<Frame, { t: 'CLOSED' }>['reason'] | 'gone';
 
-/** Why a subscription ended, as the client is told. */
+/** Why a subscription ended, as sent to the client. */
 export type LeaveReason = Extract<Frame, { t: 'LEFT' }>['reason'];
 
 type SessionState = 'open' | 'closing' | 'closed';
 
-/** A frame that waits in a session's buffer. */
+/** A frame in a session's send queue. */
 export interface QueuedFrame {
   frame: Outgoing;
   bytes: number;
-  /** Whether it counts against the lane of large frames. */
+  /** Whether it counts against the lane of oversized frames. */
   oversized: boolean;
-  /** Whose message it is, and the generation of the topic's lease at that time; missing for control frames. */
+  /**
+   * The subscription that the message is for, and the topic's lease generation when it was queued; undefined for
+   * control frames.
+   */
   subscription?: Subscription;
   generation?: string;
-  /** How long it may wait for company. */
+  /** How long it may be held back so that more frames are sent with it (ms). */
   flushMs: number;
 }
 
-/** A client's subscription to one topic; its lease is the time until which it counts as interested. */
+/** A client's subscription to one topic, with its interest lease: until `expiresAt` messages are delivered to it. */
 export interface Subscription {
   id: string;
   session: Session;
   topic: string;
-  /** The next offset that it is owed; infinite until its beginning is known. */
+  /** Offset of the next message to deliver; infinite until the start is known. */
   next: number;
-  /** Where it began. */
+  /** Offset at which it started; infinite until the start is known. */
   first: number;
-  /** Settles when its beginning is known; a client that subscribes again meanwhile waits for it too. */
+  /** Settles when the start is known or opening has failed; a repeated Subscribe waits for it too. */
   opened: Promise<void>;
-  /** The lease ends at this time of the local clock. */
+  /** When the lease ends, by the local clock. */
   expiresAt: number;
   renewedAt: number;
-  /** False once the lease has ended, for whatever reason. */
+  /** False once the lease has ended for any reason. */
   live: boolean;
 }
 
-/** One client's connection, from ATTACHED to CLOSED. */
+/** One client's session, from the ATTACHED frame to the CLOSED frame. */
 export class Session {
   state: SessionState = 'open';
   /** By topic. */
   subscriptions = new Map<string, Subscription>();
-  /** Frames that wait to be sent, oldest first. */
+  /** Frames to send, oldest first. */
   queue: QueuedFrame[] = [];
-  /** Bytes of `queue` in each lane. */
+  /** Bytes in `queue`, by lane: standard and oversized frames have separate limits. */
   standardBytes = 0;
   oversizedBytes = 0;
-  /** Whether the stream takes no more until it has drained. */
+  /** Whether the stream's buffer is full; nothing is written until it has drained. */
   blocked = false;
-  /** Frames given to the stream. */
+  /** Number of frames written to the stream. */
   sent = 0;
-  /** When the next flush is due, and what cancels it. */
+  /** When the next flush is due (infinite: none is scheduled), and the function that cancels it. */
   flushAt = Infinity;
   cancelFlush: () => void = () => {};
-  /** The relay, and its instance, that was last told of this session as its client's home. */
+  /** The client's home relay, with its process instance, that was last notified of this session. */
   home = '';
-  /** When the client last gave a sign of life. */
-  heardAt: number;
+  /** When the client was last active. */
+  lastActivityAt: number;
 
   constructor(
     readonly id: string,
@@ -70,6 +73,6 @@
     readonly sink: Sink,
     readonly openedAt: number,
   ) {
-    this.heardAt = openedAt;
+    this.lastActivityAt = openedAt;
   }
 }
--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -1,4 +1,4 @@
-/** The relay's sessions: opening and closing them, subscriptions, signs of life, and sending clients elsewhere. */
+/** Client sessions of a relay: opening, closing, subscriptions, keepalive, and moving clients to other relays. */
 import { isInPlannedRestart, type MembershipTable, type ConsensusRegister } from '@harecross/control';
 import {
   REQUEST,
@@ -29,36 +29,36 @@
   }
 }
 
-/** Leases, silent sessions and our own standing are looked at this often (ms). */
-const TICK_MS = 200;
+/** Interval of the checks for expired leases, silent sessions and the node's own read lease (ms). */
+const PERIODIC_CHECK_MS = 200;
 
-/**
- * What an owner answers to Open: its head, the first offset in its history, and the topic's first offset since it is
- * there.
- */
+/** An owner's answer to Open. Wire format. */
 interface OpenAnswer {
+  /** Offset of the last message. */
   head: number;
+  /** Offset of the first message still in the history. */
   first: number;
+  /** First offset of the topic's present incarnation. */
   since: number;
 }
 
 /**
- * The sessions of a relay's clients. A client has one session in the fleet, and a subscription one lease, renewed by
- * any sign of life of the session; leases end with the session, and what waits for them goes too.
+ * The sessions of a relay's clients. A client has one session in the whole fleet. Each subscription has an interest
+ * lease, renewed by any activity of its session. Leases end with the session, and frames queued for them are dropped.
  * @example
- * const session = sessions.attach('phone-7', 2, sink);
- * await sessions.subscribe(session, 'feed/7', 41);
+ * const id = sessions.attach('phone-7', 2, sink);
+ * await sessions.subscribe(id, 'feed/7', 41);
  */
 export class Sessions {
   private byId = new Map<string, Session>();
   private byConsumer = new Map<string, Session>();
-  private lastNumber = 0;
+  private lastId = 0;
   private leases: LeaseTable;
   private delivery: Delivery;
   private homes: SessionHomes;
   private relocation: Relocation;
-  /** When we last could serve by our configuration. */
-  private freshAt: number;
+  /** When this node last held the read lease, without which it must not serve by its configuration. */
+  private lastReadLeaseAt: number;
 
   constructor(
     private kernel: Kernel,
@@ -66,84 +66,85 @@
     private register: ConsensusRegister,
     private route: Route,
   ) {
-    this.freshAt = kernel.host.clock.now();
-    this.leases = new LeaseTable(kernel, route, () => this.nextNumber(), {
+    this.lastReadLeaseAt = kernel.host.clock.now();
+    this.leases = new LeaseTable(kernel, route, () => this.nextId(), {
       behind: (lease) => this.delivery.catchUp(lease),
-      ended: (subscription) => this.delivery.drop(subscription),
+      ended: (subscription) => this.delivery.dropQueued(subscription),
     });
     this.delivery = new Delivery(kernel, register, route, this.leases, (session) => this.close(session, 'saturated'));
     this.homes = new SessionHomes(kernel, membership);
     this.relocation = new Relocation(kernel, membership, (session, frame) => this.delivery.send(session, frame));
-    this.answerPeers();
-    this.beginLoops();
-    this.watch();
+    this.registerPeerHandlers();
+    this.startPeriodicTasks();
+    this.subscribeToEvents();
     kernel.onStop(() => this.drain());
   }
 
-  private nextNumber(): number {
-    return ++this.lastNumber;
+  private nextId(): number {
+    return ++this.lastId;
   }
 
-  private answerPeers(): void {
+  private registerPeerHandlers(): void {
     const { kernel } = this;
     kernel.on(
       'Fan',
-      (b: { frames: FanRow[] }) => {
-        for (const row of b.frames) this.delivery.take(readFanRow(row));
+      (request: { frames: FanRow[] }) => {
+        for (const row of request.frames) this.delivery.receive(readFanRow(row));
         return true;
       },
       true,
     );
-    kernel.on('CountHolds', (b: { topic: string }) => this.leases.count(b.topic));
-    kernel.on('Home', (b: { conns: { consumer: string; conn: string; age: number }[] }, from) =>
-      this.homes.hear(b.conns, from),
+    kernel.on('CountHolds', (request: { topic: string }) => this.leases.count(request.topic));
+    kernel.on('Home', (request: { conns: { consumer: string; conn: string; age: number }[] }, context) =>
+      this.homes.receiveNotices(request.conns, context),
     );
-    kernel.on('Replace', (b: { conn: string }) => {
-      const session = this.byId.get(b.conn);
+    kernel.on('Replace', (request: { conn: string }) => {
+      const session = this.byId.get(request.conn);
       if (session) this.close(session, 'replaced');
       return true;
     });
   }
 
-  private beginLoops(): void {
+  private startPeriodicTasks(): void {
     const { kernel } = this;
     const { clock, random } = kernel.host;
-    kernel.addSubscription(runPeriodically(clock, TICK_MS, random, () => this.tick()));
+    kernel.addSubscription(runPeriodically(clock, PERIODIC_CHECK_MS, random, () => this.runPeriodicChecks()));
     kernel.addSubscription(runPeriodically(clock, SESSION.headsMs, random, () => this.leases.checkHeads()));
     kernel.addSubscription(
-      runPeriodically(clock, SESSION.homeRenewMs, random, async () => this.homes.tell(this.byId.values())),
+      runPeriodically(clock, SESSION.homeRenewMs, random, async () => this.homes.notifyHomes(this.byId.values())),
     );
   }
 
-  private watch(): void {
-    const { kernel, register: agreed } = this;
+  private subscribeToEvents(): void {
+    const { kernel, register } = this;
     kernel.addSubscription(
       this.membership.memberStateChanged$.subscribe((member) => {
         if (member.role === 'relay') this.homes.relaysChanged();
       }),
     );
-    // While we slept, clients may have probed: the silence was ours, not theirs. Deadlines of leases stay.
+    // Clients may have sent probes while this process's event loop was stalled, so the stall doesn't count as their
+    // silence. Lease deadlines are not extended.
     kernel.addSubscription(
       kernel.loopResumed$.subscribe((ms) => {
-        for (const session of this.byId.values()) session.heardAt += ms;
+        for (const session of this.byId.values()) session.lastActivityAt += ms;
       }),
     );
     kernel.addSubscription(this.route.moved$.subscribe((shard) => this.leases.ownerChanged(shard)));
-    kernel.addSubscription(agreed.value$.subscribe(() => this.endRemovedTopics()));
+    kernel.addSubscription(register.value$.subscribe(() => this.endSubscriptionsToRemovedTopics()));
     kernel.addSubscription(
-      agreed.value$
+      register.value$
         .pipe(
           map((value) => isInPlannedRestart(value, kernel.self)),
           distinctUntilChanged(),
         )
-        .subscribe((away) => {
-          if (away) this.relocation.begin(this.byId.values(), SESSION.plannedDrainSpreadMs);
+        .subscribe((inPlannedRestart) => {
+          if (inPlannedRestart) this.relocation.begin(this.byId.values(), SESSION.plannedDrainSpreadMs);
           else this.relocation.end();
         }),
     );
   }
 
-  /** How many sessions there are. */
+  /** Number of open sessions. */
   get size(): number {
     return this.byId.size;
   }
@@ -152,23 +153,24 @@
     return this.byId.get(id);
   }
 
-  /** Opens a session and gives its id. Throws `overloaded` beyond the number that a relay may have. */
+  /** Opens a session and returns its id. Throws `overloaded` when the relay has reached its session limit. */
   attach(consumer: string, pingS: number | undefined, sink: Sink): string {
     const { clock } = this.kernel.host;
     if (this.byId.size >= SESSION.connectionLimit) throw this.overloaded('Attach');
-    // The client may ask for longer silence, but is told the ping by which it is counted.
-    const ping = pingS ?? SESSION.pingS;
-    const id = `${this.kernel.self}/${this.kernel.instanceId}/${this.nextNumber()}`;
-    const session = new Session(id, consumer, ping * 1000, sink, clock.now());
-    const older = this.byConsumer.get(consumer);
-    if (older) this.close(older, 'replaced');
+    // A client may ask for a longer ping interval, and the silence timeout follows it. It is still told at most the
+    // default, because listener counts leave out sessions that are silent for longer.
+    const pingSeconds = pingS ?? SESSION.pingS;
+    const id = `${this.kernel.self}/${this.kernel.instanceId}/${this.nextId()}`;
+    const session = new Session(id, consumer, pingSeconds * 1000, sink, clock.now());
+    const previous = this.byConsumer.get(consumer);
+    if (previous) this.close(previous, 'replaced');
     this.byId.set(id, session);
     this.byConsumer.set(consumer, session);
     this.membership.updateOwnState({ weight: this.byId.size });
     this.kernel.incrementCounter('conn.open');
-    this.delivery.send(session, { t: 'ATTACHED', conn: id, pingS: Math.min(ping, SESSION.pingS) });
-    this.homes.tell([session]);
-    this.relocation.opened(session);
+    this.delivery.send(session, { t: 'ATTACHED', conn: id, pingS: Math.min(pingSeconds, SESSION.pingS) });
+    this.homes.notifyHomes([session]);
+    this.relocation.sessionOpened(session);
     return id;
   }
 
@@ -177,7 +179,9 @@
     return new HarecrossError({ tag: 'overloaded', step, peer: this.kernel.self, retryAfterMs });
   }
 
-  /** The one function that ends a session. Its leases end at once and what waited for them goes too. */
+  /**
+   * Closes a session; every way to end one goes through here. Its leases end at once and its queued frames are dropped.
+   */
   close(session: Session, reason: CloseReason): void {
     if (session.state === 'closed') return;
     session.state = 'closed';
@@ -195,63 +199,64 @@
     session.sink.close();
   }
 
-  /** The client's stream has ended. */
+  /** Handles the end of a client's stream. */
   gone(id: string): void {
     const session = this.byId.get(id);
     if (session) this.close(session, 'gone');
   }
 
-  /** The client's stream takes more. */
+  /** Handles a client's stream that accepts data again. */
   drained(id: string): void {
     const session = this.byId.get(id);
     if (session) this.delivery.drained(session);
   }
 
-  /** The session of an id; also the sign of life that renews its leases. Throws `unknown_conn`. */
+  /** Like `recordActivity`, but throws `unknown_conn` when the session isn't open. */
   heard(id: string, step: string): Session {
     const session = this.sign(id);
     if (!session) throw new HarecrossError({ tag: 'unknown_conn', step, peer: this.kernel.self });
     return session;
   }
 
-  /** A sign of life of a session, if it is there. */
+  /** Records activity of a session, which renews its leases, and returns the session; undefined when it isn't open. */
   sign(id: string): Session | undefined {
     const session = this.byId.get(id);
     if (!session || session.state !== 'open') return undefined;
     const now = this.kernel.host.clock.now();
-    session.heardAt = now;
+    session.lastActivityAt = now;
     this.leases.renew(session, now);
     return session;
   }
 
   /**
-   * Subscribes a session to a topic, behind its cursor or else behind the head. Asked again, it is the same
-   * subscription with the same beginning: frames behind that may still be on their way.
+   * Subscribes a session to a topic, starting after the cursor or, without one, after the topic's head. A repeated
+   * call returns the existing subscription with its original start, because frames from there on may still be in
+   * flight.
    */
   async subscribe(id: string, topic: string, cursor: number | undefined): Promise<{ sub: string; next: number }> {
     const session = this.heard(id, 'Subscribe');
-    const known = session.subscriptions.get(topic);
-    if (known) {
-      await known.opened;
-      return { sub: known.id, next: known.first };
+    const existing = session.subscriptions.get(topic);
+    if (existing) {
+      await existing.opened;
+      return { sub: existing.id, next: existing.first };
     }
-    const most = this.register.value?.config.limits?.subscriptionsPerConn ?? SESSION.subscriptionsPerConnectionLimit;
-    if (session.subscriptions.size >= most) throw this.overloaded('Subscribe');
+    const limit = this.register.value?.config.limits?.subscriptionsPerConn ?? SESSION.subscriptionsPerConnectionLimit;
+    if (session.subscriptions.size >= limit) throw this.overloaded('Subscribe');
     const family = this.register.value && familyOf(this.register.value.config, topic);
-    if (!family) throw this.unknownTopic(topic);
-    const subscription = this.newSubscription(session, topic);
+    if (!family) throw this.unknownTopicError(topic);
+    const subscription = this.createSubscription(session, topic);
     session.subscriptions.set(topic, subscription);
     const lease = this.leases.add(subscription);
-    void this.leases.tellOwners();
+    void this.leases.reportToOwners();
     subscription.opened = this.open(subscription, lease, cursor, family.patienceMs);
     await subscription.opened;
     return { sub: subscription.id, next: subscription.first };
   }
 
-  private newSubscription(session: Session, topic: string): Subscription {
+  private createSubscription(session: Session, topic: string): Subscription {
     const now = this.kernel.host.clock.now();
     return {
-      id: `${session.id.slice(session.id.lastIndexOf('/') + 1)}.${this.nextNumber()}`,
+      id: `${session.id.slice(session.id.lastIndexOf('/') + 1)}.${this.nextId()}`,
       session,
       topic,
       next: Infinity,
@@ -263,11 +268,11 @@
     };
   }
 
-  private unknownTopic(topic: string): HarecrossError {
+  private unknownTopicError(topic: string): HarecrossError {
     return new HarecrossError({ tag: 'unknown_topic', step: 'Subscribe', peer: this.kernel.self, topic });
   }
 
-  /** Finds out from the owner where a subscription begins; ends it when it can't. */
+  /** Asks the topic's owner where the subscription starts; ends the subscription on failure. */
   private async open(
     subscription: Subscription,
     lease: TopicLease,
@@ -275,11 +280,11 @@
     patienceMs: number,
   ): Promise<void> {
     try {
-      const { head, first, since } = await this.askOwner(subscription.topic, cursor, patienceMs);
+      const { head, first, since } = await this.requestTopicBounds(subscription.topic, cursor, patienceMs);
       const next = cursor === undefined ? head + 1 : Math.max(cursor + 1, since);
       if (next < first)
         throw new HarecrossError({ tag: 'cursor_expired', step: 'Subscribe', peer: this.kernel.self, first, head });
-      if (!subscription.live) throw this.whyEnded(subscription.topic);
+      if (!subscription.live) throw this.endedWhileOpeningError(subscription.topic);
       subscription.first = next;
       subscription.next = next;
       lease.head = Math.max(lease.head, head);
@@ -292,94 +297,100 @@
   }
 
   /**
-   * Asks the owner for its head. It confirms the head where a subscription begins there, and where a cursor seems to be
-   * ahead of it.
+   * Asks the topic's owner for the topic's bounds. The owner has to confirm the head with a majority of the copies
+   * when the subscription starts there, and when the cursor seems to be ahead of it: an owner that has been replaced
+   * without noticing would otherwise answer with an outdated head.
    */
-  private async askOwner(topic: string, cursor: number | undefined, patienceMs: number): Promise<OpenAnswer> {
-    const ask = (confirm: boolean): Promise<OpenAnswer> =>
+  private async requestTopicBounds(topic: string, cursor: number | undefined, patienceMs: number): Promise<OpenAnswer> {
+    const callOwner = (confirm: boolean): Promise<OpenAnswer> =>
       this.route.atOwner<OpenAnswer>(topic, 'Open', () => ({ topic, confirm }), patienceMs);
-    const answer = await ask(cursor === undefined);
+    const answer = await callOwner(cursor === undefined);
     if (cursor === undefined || cursor <= answer.head) return answer;
-    const confirmed = await ask(true);
+    const confirmed = await callOwner(true);
     if (cursor <= confirmed.head) return confirmed;
     throw new HarecrossError({ tag: 'cursor_ahead', step: 'Subscribe', peer: this.kernel.self, head: confirmed.head });
   }
 
   /**
-   * A subscription that ended while it was opened: its family went meanwhile, or its session, or the client left it.
+   * The error for a subscription that ended while it was being opened: its topic's family was removed from the
+   * configuration, its session closed, or the client unsubscribed.
    */
-  private whyEnded(topic: string): HarecrossError {
+  private endedWhileOpeningError(topic: string): HarecrossError {
     const removed = this.register.value !== undefined && !familyOf(this.register.value.config, topic);
-    if (removed) return this.unknownTopic(topic);
+    if (removed) return this.unknownTopicError(topic);
     return new HarecrossError({ tag: 'unknown_conn', step: 'Subscribe', peer: this.kernel.self });
   }
 
-  /** Ends a subscription; says whether there was one. */
+  /** Ends a subscription; returns whether it existed. */
   unsubscribe(id: string, topic: string): boolean {
     const subscription = this.heard(id, 'Unsubscribe').subscriptions.get(topic);
     if (!subscription) return false;
-    this.delivery.leave(subscription, 'unsubscribed');
+    this.delivery.endSubscription(subscription, 'unsubscribed');
     return true;
   }
 
-  private async tick(): Promise<void> {
+  private async runPeriodicChecks(): Promise<void> {
     const now = this.kernel.host.clock.now();
-    if (this.register.hasReadLease()) this.freshAt = now;
-    else if (now - this.freshAt > SESSION.leaseLostMs) this.closeCutOff();
-    this.homes.tellMoved(this.byId.values());
-    for (const session of Array.from(this.byId.values())) this.endOverdue(session, now);
-    await this.leases.tellOwners();
+    if (this.register.hasReadLease()) this.lastReadLeaseAt = now;
+    else if (now - this.lastReadLeaseAt > SESSION.leaseLostMs) this.closeAllAfterReadLeaseLoss();
+    this.homes.notifyChangedHomes(this.byId.values());
+    for (const session of Array.from(this.byId.values())) this.endExpired(session, now);
+    await this.leases.reportToOwners();
   }
 
-  /** Cut off for long: nothing reaches our clients through us, and others may serve them. */
-  private closeCutOff(): void {
+  /**
+   * Closes all sessions: without the read lease no message reaches clients through this relay, and others can serve
+   * them.
+   */
+  private closeAllAfterReadLeaseLoss(): void {
     if (!this.byId.size) return;
-    this.kernel.host.log.warn('cut off, conns are sent elsewhere', { conns: this.byId.size });
+    this.kernel.host.log.warn('read lease lost for too long; closing all client sessions', { conns: this.byId.size });
     for (const session of Array.from(this.byId.values())) this.close(session, 'not_ready');
   }
 
-  /** Ends a silent session, and leases that are past their deadline. */
-  private endOverdue(session: Session, now: number): void {
-    if (now - session.heardAt > SESSION.silencePingCount * session.pingMs) {
+  /** Closes a session that has been silent for too long, and ends its leases that are past their deadline. */
+  private endExpired(session: Session, now: number): void {
+    if (now - session.lastActivityAt > SESSION.silencePingCount * session.pingMs) {
       this.close(session, 'silent');
       return;
     }
     for (const subscription of Array.from(session.subscriptions.values()))
-      if (subscription.expiresAt <= now) this.delivery.leave(subscription, 'hold_ended');
+      if (subscription.expiresAt <= now) this.delivery.endSubscription(subscription, 'hold_ended');
   }
 
-  /** Ends subscriptions to topics that the configuration in force has no family for. */
-  private endRemovedTopics(): void {
+  /** Ends subscriptions to topics that match no family of the current configuration. */
+  private endSubscriptionsToRemovedTopics(): void {
     const value = this.register.value;
     if (!value) return;
     for (const lease of this.leases.all()) {
       if (familyOf(value.config, lease.topic)) continue;
-      for (const subscription of Array.from(lease.subscriptions)) this.delivery.leave(subscription, 'topic_removed');
+      for (const subscription of Array.from(lease.subscriptions))
+        this.delivery.endSubscription(subscription, 'topic_removed');
     }
   }
 
-  /** Sends everyone away with times to come back that are spread out, and waits a moment for them to go. */
+  /** Asks all clients to move to other relays, spread over time, and waits for them before closing what is left. */
   private async drain(): Promise<void> {
     const { clock } = this.kernel.host;
     this.relocation.begin(this.byId.values(), SESSION.drainSpreadMs);
-    // New sessions still come until the callers' platform has seen that we leave.
-    const until = clock.now() + SESSION.drainMs;
-    while (clock.now() < until) await sleep(clock, 50);
+    // The platform keeps routing new clients here until its readiness polls have seen that this relay is stopping.
+    const deadline = clock.now() + SESSION.drainMs;
+    while (clock.now() < deadline) await sleep(clock, 50);
     for (const session of Array.from(this.byId.values())) {
       this.delivery.flush(session);
       this.close(session, 'stopping');
     }
-    await this.leases.tellOwners().catch((e) => toErrorDetails(e, 'Interest', this.kernel.self));
+    await this.leases.reportToOwners().catch((e) => toErrorDetails(e, 'Interest', this.kernel.self));
   }
 
-  /** Bytes held for the session that has most of them, in each lane. */
+  /** Buffered bytes of the session with the fullest buffer, for each lane. */
   queues(): QueueInfo[] {
-    return this.delivery.queues(this.byId.values());
+    return this.delivery.queueInfos(this.byId.values());
   }
 
-  /** The leases by topic, as an operator sees them. */
-  table(): ReturnType<LeaseTable['table']> {
-    return this.leases.table();
+  /** The leases by topic, for operators. */
+  table(): ReturnType<LeaseTable['listLeases']> {
+    return this.leases.listLeases();
   }
 }
 
