--- a/packages/trial/src/test/holds.test.ts
+++ b/packages/trial/src/test/holds.test.ts
@@ -122,7 +122,7 @@
   await s.pass(300);
   t.not(interest(s, 'feed/1')!.gen, gen);
   const sessions = s.relays[0]!.kernel!.use('sessions') as Json;
-  sessions.delivery.take({ topic: 'feed/1', gen, off: 1, sender: 'ghost', seq: 1, body: 'old' });
+  sessions.delivery.receive({ topic: 'feed/1', gen, off: 1, sender: 'ghost', seq: 1, body: 'old' });
   await s.pass(500);
   t.deepEqual(delivered(c.frames), []);
   t.is(s.relays[0]!.kernel!.counters.get('frame.old_generation'), 1);
--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -623,7 +623,7 @@
           old.call(this, c, w);
           if (c.state !== 'closed') {
             c.standardBytes = standardBytes + w.bytes;
-            this.mostStandardBytes = Math.max(this.mostStandardBytes, c.standardBytes);
+            this.peakStandardBytes = Math.max(this.peakStandardBytes, c.standardBytes);
           }
         },
     },
