--- a/packages/data/src/interest/interest-table.ts
+++ b/packages/data/src/interest/interest-table.ts
@@ -112,7 +112,7 @@
   ) {}
 
   /** Number of topics per relay, for operators. */
-  table(): { relay: string; topics: number }[] {
+  countTopicsByRelay(): { relay: string; topics: number }[] {
     return [...this.interest].map(([relay, known]) => ({ relay, topics: known.topics.size }));
   }
   /** Length of the longest of the relays' fan-out queues. */
@@ -125,7 +125,7 @@
    * Removes interest that has been over for the length of a lease. Until then it is kept, so that a report with an
    * older revision that arrives late is still recognized as outdated.
    */
-  trim(): void {
+  removeExpired(): void {
     const cutoff = this.kernel.host.clock.now() - SESSION.leaseTtlMs;
     for (const [relay, known] of this.interest) {
       for (const [topic, interest] of known.topics) if (interest.deadline < cutoff) known.topics.delete(topic);
--- a/packages/data/src/sessions/outgoing.ts
+++ b/packages/data/src/sessions/outgoing.ts
@@ -43,7 +43,7 @@
  * @example
  * raw.write(serializeFrames([{ t: 'GOAWAY', retryAfterMs: 0 }]));
  */
-export function frameLines(frames: Outgoing[]): string {
+export function serializeFrames(frames: Outgoing[]): string {
   let out = '';
   for (const frame of frames) {
     if (frame.t === 'DELIVER') out += `{"t":"DELIVER","sub":"${frame.sub}",${serializeMessage(frame.msg)}\n`;
--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -212,14 +212,14 @@
   }
 
   /** Like `recordActivity`, but throws `unknown_conn` when the session isn't open. */
-  heard(id: string, step: string): Session {
-    const session = this.sign(id);
+  recordActivityOrThrow(id: string, step: string): Session {
+    const session = this.recordActivity(id);
     if (!session) throw new HarecrossError({ tag: 'unknown_conn', step, peer: this.kernel.self });
     return session;
   }
 
   /** Records activity of a session, which renews its leases, and returns the session; undefined when it isn't open. */
-  sign(id: string): Session | undefined {
+  recordActivity(id: string): Session | undefined {
     const session = this.byId.get(id);
     if (!session || session.state !== 'open') return undefined;
     const now = this.kernel.host.clock.now();
@@ -234,7 +234,7 @@
    * flight.
    */
   async subscribe(id: string, topic: string, cursor: number | undefined): Promise<{ sub: string; next: number }> {
-    const session = this.heard(id, 'Subscribe');
+    const session = this.recordActivityOrThrow(id, 'Subscribe');
     const existing = session.subscriptions.get(topic);
     if (existing) {
       await existing.opened;
@@ -323,7 +323,7 @@
 
   /** Ends a subscription; returns whether it existed. */
   unsubscribe(id: string, topic: string): boolean {
-    const subscription = this.heard(id, 'Unsubscribe').subscriptions.get(topic);
+    const subscription = this.recordActivityOrThrow(id, 'Unsubscribe').subscriptions.get(topic);
     if (!subscription) return false;
     this.delivery.endSubscription(subscription, 'unsubscribed');
     return true;
@@ -384,12 +384,12 @@
   }
 
   /** Buffered bytes of the session with the fullest buffer, for each lane. */
-  queues(): QueueInfo[] {
+  queueInfos(): QueueInfo[] {
     return this.delivery.queueInfos(this.byId.values());
   }
 
   /** The leases by topic, for operators. */
-  table(): ReturnType<LeaseTable['listLeases']> {
+  listLeases(): ReturnType<LeaseTable['listLeases']> {
     return this.leases.listLeases();
   }
 }
