--- a/packages/control/src/membership/anti-entropy.ts
+++ b/packages/control/src/membership/anti-entropy.ts
@@ -1,37 +1,41 @@
-/** Anti-entropy: nodes compare their tables by checksums and digests, and give each other what they lack. */
+/** Anti-entropy: nodes compare their membership tables by checksums and digests, and exchange the facts that differ. */
 import { MEMBERSHIP, randomSample, sleep, type Kernel } from '@harecross/kernel';
 import { compressList, decompressList, type CompressedList } from './compressed-list.js';
 import type { Digest, FactTable } from './fact-table.js';
 import type { Fact } from './outbox.js';
 import type { TotalSum } from './table-sums.js';
 
-/** `parts` are sums by part; a node of before there were parts sends a whole `digest` in a second call. Wire format. */
+/**
+ * `sums` is the checksum of the sender's whole table and `parts` holds one checksum per part. A node of a version without per-part
+ * checksums sends a `digest` of its whole table in a second call instead. Wire format.
+ */
 interface GossipRequest {
   sums: TotalSum;
   parts?: number[];
   digest?: Digest;
 }
 
+/** `newer`: facts that the requester lacks; `want`: keys of facts that the answering node lacks. Wire format. */
 interface Comparison {
   newer: Fact[];
   want: string[];
 }
 
-/** `parts`: where the tables differ, with what the answering node has there. Wire format. */
+/** `parts`: the parts in which the tables differ, with the answering node's digest of them. Wire format. */
 type GossipAnswer = 'same' | 'differs' | Comparison | { parts: number[]; digest: CompressedList<Digest[number]> };
 
-/** Gives a peer facts, and asks for those under `want`. Wire format. */
+/** Sends facts to a peer, and requests the facts under the keys in `want`. Wire format. */
 interface MendRequest {
   items: CompressedList<Fact>;
   want?: string[];
 }
 
-/** What anti-entropy needs of the membership table. */
+/** The operations of the membership table that anti-entropy uses. */
 export interface AntiEntropyContext {
   readonly table: FactTable;
-  /** Stores what is newer, without passing it on; says how many facts were. */
+  /** Stores the facts that are newer than the known ones, without forwarding them. Returns how many were stored. */
   storeAll(facts: Fact[]): number;
-  factsUnder(keys: string[]): Fact[];
+  wireFactsFor(keys: string[]): Fact[];
   disseminateOwnRecord(): void;
   scaledPeriodMs(leastMs: number, perMemberMs: number): number;
   isLargeFleet(): boolean;
@@ -39,14 +43,14 @@
   otherLivePeers(): string[];
   contactAddresses(): string[];
   randomPeersOrContacts(count: number): string[];
-  /** Peers of an earlier process of this machine that are not members now. */
-  rememberedStrangers(): string[];
+  /** Peers that were stored by an earlier process of this node and are not members now. */
+  rememberedNonMembers(): string[];
   ping(peer: string): Promise<boolean>;
-  /** Tells how long a peer took to answer a small call (ms). */
+  /** Records how long a peer took to answer a small call (ms). */
   recordAnswerTime(tookMs: number): void;
 }
 
-/** Compares this node's table with those of a few peers, each period and more often after the start. */
+/** Compares this node's table with those of a few peers, once per period and more often after the start. */
 export class AntiEntropy {
   private comparedAt = -Infinity;
 
@@ -55,52 +59,55 @@
     private readonly context: AntiEntropyContext,
   ) {
     kernel.on('Gossip', (request: GossipRequest) => this.answerGossip(request));
-    // What a digest missed is stored, not passed on: it is no news, and the next digests carry it further.
+    // Facts received here are stored but not disseminated: they are not recent changes, and later comparisons spread them further.
     kernel.on('Mend', (request: MendRequest) => {
       context.storeAll(decompressList(request.items));
-      return request.want ? compressList(context.factsUnder(request.want)) : true;
+      return request.want ? compressList(context.wireFactsFor(request.want)) : true;
     });
   }
 
-  /** One period's comparisons. */
+  /** Runs the comparisons of one period. */
   async round(): Promise<void> {
     const { clock, random } = this.kernel.host;
-    // Who was a member once may not find us: its seeds may be gone, and it may have no disk. Our call introduces us.
-    const strangers = randomSample(random, this.context.rememberedStrangers(), MEMBERSHIP.gossipPeerCount);
-    for (const peer of strangers) void this.context.ping(peer);
-    // While changes are on their way tables differ by them everywhere: comparing would send them all a second time.
+    // A former member may be unable to find this node: its seeds may be gone, and without a disk it has no stored peers. A ping from
+    // this node gives that member an address to contact.
+    const nonMembers = randomSample(random, this.context.rememberedNonMembers(), MEMBERSHIP.gossipPeerCount);
+    for (const peer of nonMembers) void this.context.ping(peer);
+    // While changes are still being disseminated, all tables differ by them, and a comparison would send each of them a second time.
     const now = clock.now();
     const gapMs = this.context.scaledPeriodMs(0, MEMBERSHIP.disseminationGapPerMemberMs);
-    const changing = now - this.context.table.changedAt < gapMs;
-    if (changing && now - this.comparedAt < MEMBERSHIP.gossipAnywayMs) return;
+    const recentlyChanged = now - this.context.table.changedAt < gapMs;
+    if (recentlyChanged && now - this.comparedAt < MEMBERSHIP.gossipAnywayMs) return;
     this.comparedAt = now;
     const peers = this.context.randomPeersOrContacts(MEMBERSHIP.gossipPeerCount);
     await Promise.all(peers.map((peer) => this.reconcileWith(peer)));
   }
 
   /**
-   * A node that has just started knows nobody but its contacts, and those may have just started too: it compares often until nobody has
-   * anything new for it. In a large fleet it does so less often, and mostly with others than the contacts: these are the same for all
-   * that start together.
+   * Fills the table after the start. A node that has just started knows only its contact addresses, and those nodes may have just
+   * started too, so it compares frequently until several consecutive answers bring nothing new. In a large fleet it compares less
+   * often, and mostly with peers other than the contacts, because all nodes that start together have the same contacts.
    */
   async join(): Promise<void> {
     const { clock, random } = this.kernel.host;
     const until = clock.now() + MEMBERSHIP.joinMs;
-    let nothingNew = 0;
-    let introduced = false;
-    while (clock.now() < until && nothingNew < MEMBERSHIP.joinQuietCount && this.kernel.phase !== 'stopped') {
+    let consecutiveUnchanged = 0;
+    let ownRecordSent = false;
+    while (clock.now() < until && consecutiveUnchanged < MEMBERSHIP.joinQuietCount && this.kernel.phase !== 'stopped') {
       const pauseMs = this.context.scaledPeriodMs(MEMBERSHIP.joinEveryMs, MEMBERSHIP.joinPerMemberMs);
       await sleep(clock, pauseMs * (0.5 + random.next()));
-      const answers = await Promise.all(this.peersToJoinBy().map((peer) => this.reconcileWith(peer)));
-      for (const fresh of answers) if (fresh !== undefined) nothingNew = fresh > 0 ? 0 : nothingNew + 1;
-      if (introduced || this.context.isLargeFleet() || !this.context.otherLivePeers().length) continue;
-      // What we published of ourselves before reached nobody. In a large fleet many may start together: comparing tells the others in time.
-      introduced = true;
+      const answers = await Promise.all(this.joinPeers().map((peer) => this.reconcileWith(peer)));
+      for (const newCount of answers)
+        if (newCount !== undefined) consecutiveUnchanged = newCount > 0 ? 0 : consecutiveUnchanged + 1;
+      if (ownRecordSent || this.context.isLargeFleet() || !this.context.otherLivePeers().length) continue;
+      // The record that this node published earlier reached nobody, as no peer was known. It is not disseminated again in a large fleet,
+      // where many nodes may start together; there the comparisons spread it.
+      ownRecordSent = true;
       this.context.disseminateOwnRecord();
     }
   }
 
-  private peersToJoinBy(): string[] {
+  private joinPeers(): string[] {
     const { random } = this.kernel.host;
     const known = randomSample(random, this.context.otherLivePeers(), 1);
     const asksContact = !known.length || random.next() * this.context.memberCount() < MEMBERSHIP.partialViewSize;
@@ -108,30 +115,30 @@
     return [...new Set([...known, ...contact])];
   }
 
-  /** Compares our table with a peer's and mends both; gives how many facts were new to us, or undefined when it did not answer. */
+  /** Reconciles this node's table and a peer's. Returns how many facts were new to this node, or undefined if the peer did not answer. */
   private async reconcileWith(peer: string): Promise<number | undefined> {
     const { table } = this.context;
     const { clock } = this.kernel.host;
     try {
       const { total: sums, partSums: parts } = table;
-      // Equal tables are the rule, and the sums by part are long: they go along only when ours has just changed.
+      // Tables are usually equal and the per-part checksums are long, so they are included only if this table changed recently.
       const changed = clock.now() - table.changedAt < 2 * MEMBERSHIP.gossipMs;
       const sentAt = clock.now();
       let answer = await this.kernel.call<GossipAnswer>(peer, 'Gossip', changed ? { sums, parts } : { sums });
       this.context.recordAnswerTime(clock.now() - sentAt);
       if (answer === 'differs' && !changed)
         answer = await this.kernel.call<GossipAnswer>(peer, 'Gossip', { sums, parts });
-      // A node of before there were parts.
+      // The peer runs a version without per-part checksums.
       if (answer === 'differs')
         answer = await this.kernel.call<GossipAnswer>(peer, 'Gossip', { sums, digest: table.digest() });
       if (answer === 'same' || answer === 'differs') return 0;
       if ('parts' in answer)
         return await this.reconcileParts(peer, new Set(answer.parts), decompressList(answer.digest));
-      const fresh = this.context.storeAll(answer.newer);
-      if (answer.want.length) await this.kernel.call(peer, 'Mend', { items: this.context.factsUnder(answer.want) });
-      return fresh;
+      const newCount = this.context.storeAll(answer.newer);
+      if (answer.want.length) await this.kernel.call(peer, 'Mend', { items: this.context.wireFactsFor(answer.want) });
+      return newCount;
     } catch {
-      // The next period mends it.
+      // The next period tries again.
       return undefined;
     }
   }
@@ -145,7 +152,7 @@
     return { parts, digest: compressList(table.digest(new Set(parts))) };
   }
 
-  /** Gives a peer what it lacks in the parts that differ, and takes what we lack there. */
+  /** Exchanges the facts that differ in these parts. Returns how many were new to this node. */
   private async reconcileParts(peer: string, parts: Set<number>, theirs: Digest): Promise<number> {
     const { newer, want } = this.compare(theirs, parts);
     if (!newer.length && !want.length) return 0;
@@ -156,6 +163,6 @@
 
   private compare(digest: Digest, parts?: Set<number>): Comparison {
     const { newerHere, newerThere } = this.context.table.compare(digest, parts);
-    return { newer: this.context.factsUnder(newerHere), want: newerThere };
+    return { newer: this.context.wireFactsFor(newerHere), want: newerThere };
   }
 }
--- a/packages/control/src/membership/compressed-list.ts
+++ b/packages/control/src/membership/compressed-list.ts
@@ -1,32 +1,33 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 
-/** A list as it is sent: as it is, or as deflated JSON in base64. */
+/** Wire form of a list: the list itself, or its JSON deflated and encoded in base64. */
 export type CompressedList<T> = T[] | string;
 
-/** Shorter lists stay as they are: there is little to gain. */
-const FROM_CHARS = 512;
-/** Fast, with little memory: lists are some ten KiB long and are packed often. */
-const DEFLATE = { level: 1, windowBits: 13, memLevel: 6 };
-/** A list that is said to become longer than this is none of ours. */
-const INFLATED_BYTES = 16 * 1024 * 1024;
+/** Lists with a shorter JSON text are sent uncompressed, since compression saves little. */
+const MIN_COMPRESSED_CHARS = 512;
+/** Fast and with little memory: lists are about ten KiB long and are compressed often. */
+const DEFLATE_OPTIONS = { level: 1, windowBits: 13, memLevel: 6 };
+/** Limit on the inflated JSON. No node sends a list longer than this, so a longer one is rejected. */
+const MAX_INFLATED_BYTES = 16 * 1024 * 1024;
 
 /**
- * A list of plain records for the wire. They repeat the same words, so a long list is deflated: it then takes about a fifth.
+ * Compresses a list of plain records for sending. The records repeat the same strings, so deflating reduces a long list to about a
+ * fifth. Short lists are returned unchanged.
  * @example
- * k.call(peer, 'Mend', { items: packed(facts) });
+ * kernel.call(peer, 'Mend', { items: compressList(facts) });
  */
 export function compressList<T>(list: T[]): CompressedList<T> {
   const json = JSON.stringify(list);
-  return json.length < FROM_CHARS ? list : deflateRawSync(json, DEFLATE).toString('base64');
+  return json.length < MIN_COMPRESSED_CHARS ? list : deflateRawSync(json, DEFLATE_OPTIONS).toString('base64');
 }
 
 /**
- * The list as it was before it was packed. Throws when the text is none.
+ * Reverses `compressList`. Throws if a text is not a compressed list.
  * @example
- * for (const fact of unpacked(request.items)) take(fact);
+ * context.storeAll(decompressList(request.items));
  */
-export function decompressList<T>(x: CompressedList<T>): T[] {
-  if (typeof x !== 'string') return x;
-  const json = inflateRawSync(Buffer.from(x, 'base64'), { maxOutputLength: INFLATED_BYTES }).toString();
+export function decompressList<T>(list: CompressedList<T>): T[] {
+  if (typeof list !== 'string') return list;
+  const json = inflateRawSync(Buffer.from(list, 'base64'), { maxOutputLength: MAX_INFLATED_BYTES }).toString();
   return JSON.parse(json) as T[];
 }
--- a/packages/control/src/membership/dissemination.ts
+++ b/packages/control/src/membership/dissemination.ts
@@ -1,24 +1,24 @@
-/** Dissemination: a change is passed on to a few random peers at once, and what changes together is passed on together. */
+/** Dissemination: each change is forwarded to a few random peers at once, and changes that occur together are batched. */
 import { MEMBERSHIP, type Kernel } from '@harecross/kernel';
 import { compressList, decompressList, type CompressedList } from './compressed-list.js';
 import { Outbox, type Fact } from './outbox.js';
 
-/** Facts that have just changed. Wire format. */
+/** Facts that have just changed. Wire format of the `News` call. */
 interface NewsRequest {
   items: CompressedList<Fact>;
 }
 
-/** What dissemination needs of the membership table. */
+/** The operations of the membership table that dissemination uses. */
 export interface DisseminationContext {
-  /** Stores what is newer, and passes it on in turn. */
+  /** Stores the facts that are newer than the known ones, and disseminates those further. */
   receive(facts: Fact[]): void;
   scaledPeriodMs(leastMs: number, perMemberMs: number): number;
   randomLivePeers(count: number): string[];
-  /** Whether a peer reads compressed lists. */
-  readsCompressedLists(peer: string): boolean;
+  /** Whether a peer can decode compressed lists; nodes of earlier versions cannot. */
+  acceptsCompressedLists(peer: string): boolean;
 }
 
-/** Passes facts on to a few peers; the calls of a node are bounded by time, however many facts the fleet has to tell. */
+/** Forwards facts to a few peers in batches, so that the rate of a node's calls is bounded however many facts change. */
 export class Dissemination {
   private readonly outbox: Outbox;
 
@@ -34,12 +34,12 @@
     });
   }
 
-  /** Passes facts on soon. An empty list still carries our revision of the agreed value. */
+  /** Queues facts for the next batch. An empty list is sent too, because each call carries this node's revision of the agreed value. */
   add(facts: Fact[]): void {
     this.outbox.add(facts);
   }
 
-  /** Sends now what waits. */
+  /** Sends the queued facts immediately. */
   flush(): void {
     this.outbox.flush();
   }
@@ -50,11 +50,11 @@
     this.kernel.incrementCounter('news.out', peers.length);
     const compressed: NewsRequest = { items: compressList(facts) };
     const plain: NewsRequest = { items: facts };
-    const reading = peers.filter((peer) => this.context.readsCompressedLists(peer));
-    const others = peers.filter((peer) => !this.context.readsCompressedLists(peer));
+    const compressedPeers = peers.filter((peer) => this.context.acceptsCompressedLists(peer));
+    const plainPeers = peers.filter((peer) => !this.context.acceptsCompressedLists(peer));
     const calls = [
-      ...this.kernel.callEach(reading, 'News', compressed),
-      ...this.kernel.callEach(others, 'News', plain),
+      ...this.kernel.callEach(compressedPeers, 'News', compressed),
+      ...this.kernel.callEach(plainPeers, 'News', plain),
     ];
     for (const call of calls) call.catch(() => undefined);
   }
--- a/packages/control/src/membership/fact-table.ts
+++ b/packages/control/src/membership/fact-table.ts
@@ -1,17 +1,17 @@
-/** The versioned facts that the nodes replicate among themselves by gossip, with tombstones and checksums. */
+/** A table of versioned facts that the nodes replicate by gossip, with tombstones and checksums. */
 import { MEMBERSHIP, type Clock } from '@harecross/kernel';
 import { TableSums, type TotalSum } from './table-sums.js';
 
-/** A fact and its version; versions compare as strings, and the higher one wins. */
+/** A fact with its version. Versions are compared as strings, and the higher one wins. */
 export interface VersionedFact {
   ver: string;
   val: unknown;
 }
 
-/** Which version of each fact a node has. */
+/** The version that a node has of each fact. */
 export type Digest = [key: string, version: string][];
 
-/** What two tables lack of each other, as keys. */
+/** The keys of the facts in which two tables differ. */
 export interface DigestDifference {
   /** Facts that the other table lacks or has in an older version. */
   newerHere: string[];
@@ -20,10 +20,10 @@
 }
 
 /**
- * A last-writer-wins table. Facts that were removed leave a tombstone for `MEMBERSHIP.tombstoneMs`, so that a node that still has one
- * does not bring it back.
+ * A table in which the highest version of a fact wins. A removed fact leaves a tombstone for `MEMBERSHIP.tombstoneMs`, so that a node
+ * that still has the fact does not reintroduce it.
  * @example
- * if (table.accepts(key, version)) table.store(key, version, value);
+ * if (table.isNewer(key, version)) table.store(key, version, value);
  */
 export class FactTable {
   readonly facts = new Map<string, VersionedFact>();
@@ -33,35 +33,38 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** When a fact was last stored (steady clock, ms). */
+  /** When a fact was last stored (monotonic clock, ms). */
   get changedAt(): number {
     return this.lastChangeAt;
   }
 
+  /** The checksum of the whole table. */
   get total(): TotalSum {
     return this.sums.total;
   }
 
+  /** The checksum of each part of the table. */
   get partSums(): number[] {
     return this.sums.parts;
   }
 
+  /** Whether a table with this checksum has the same versions of the same facts. */
   isSameAs(total: TotalSum): boolean {
     return this.sums.isSame(total);
   }
 
-  /** The parts of the table whose sums differ from these. */
+  /** The parts of the table whose checksums differ from these. */
   differingParts(parts: number[]): number[] {
     return this.sums.differing(parts);
   }
 
-  /** Whether no version as high is known; a tombstone is not looked at. */
+  /** Whether a version is higher than the stored one. Tombstones are not considered here; `store` checks them. */
   isNewer(key: string, version: string): boolean {
     const known = this.facts.get(key);
     return known === undefined || known.ver < version;
   }
 
-  /** Stores a newer version; false where a tombstone is as high. */
+  /** Stores a fact whose version `isNewer`. Returns false, without storing it, if a tombstone has the same or a higher version. */
   store(key: string, version: string, value: unknown): boolean {
     const tombstone = this.tombstones.get(key);
     if (tombstone !== undefined) {
@@ -91,14 +94,14 @@
       if (now - tombstone.at > MEMBERSHIP.tombstoneMs) this.tombstones.delete(key);
   }
 
-  /** The versions of all facts, or of those in these parts. */
+  /** The versions of all facts, or only of those in the given parts. */
   digest(parts?: Set<number>): Digest {
     const digest: Digest = [];
     for (const [key, fact] of this.facts) if (!parts || parts.has(TableSums.partOf(key))) digest.push([key, fact.ver]);
     return digest;
   }
 
-  /** Compares with another table's digest; in these parts only, where they are given. */
+  /** Compares this table with the digest of another one, or only the given parts of it. */
   compare(digest: Digest, parts?: Set<number>): DigestDifference {
     const theirs = new Map(digest);
     const newerThere: string[] = [];
--- a/packages/control/src/membership/failure-detector.ts
+++ b/packages/control/src/membership/failure-detector.ts
@@ -1,11 +1,11 @@
 /**
- * Failure detection in the manner of SWIM: a member that was silent is probed directly, then through others, and suspected when nobody
- * reaches it. Every frame of a member is a sign of life, so only silent ones are probed.
+ * Failure detection modelled on SWIM: a silent member is probed directly, then through other members, and suspected if no probe reaches
+ * it. Every frame received from a member shows that it is alive, so only silent members are probed.
  */
 import { MEMBERSHIP, collectUntil, randomSample, withTimeout, type Kernel } from '@harecross/kernel';
 import type { Member, MemberState } from './member.js';
 
-/** Weight of a new measurement in the smoothed answer time, where it is slower, and where it is quicker. */
+/** Weights of a new measurement in the smoothed answer time: of one slower than the average, and of any other. */
 const SLOWER_ANSWER_WEIGHT = 1 / 2;
 const QUICKER_ANSWER_WEIGHT = 1 / 8;
 
@@ -14,27 +14,28 @@
   peer: string;
 }
 
-/** What the failure detector needs of the membership table. */
+/** The operations of the membership table that the failure detector uses. */
 export interface FailureDetectorContext {
   readonly members: Map<string, Member>;
   liveMembers(): Member[];
   setMemberState(member: Member, state: MemberState): void;
-  recordSignOfLife(peer: string, instanceId: string): void;
-  /** Tells the fleet that this node suspects the member's present record. */
+  /** Records that a process of a member was heard from. */
+  markAlive(peer: string, instanceId: string): void;
+  /** Publishes that this node suspects the member, as of its current record. */
   publishSuspicion(peer: string): void;
-  /** Removes what is known of a member that has been dead for long. */
+  /** Removes a member that has been dead or gone for a long time, with its facts. */
   forgetMember(peer: string): void;
-  /** What a ping is answered with. */
+  /** The number in the version of this node's own record; the answer to a ping. */
   recordVersion(): number;
 }
 
-/** Probes silent members, one at a time in random order, and those that are doubted at once. */
+/** Probes silent members, one per period in random order, and members with failed calls or connections at once. */
 export class FailureDetector {
   private readonly probesInFlight = new Set<string>();
-  /** Members in the order in which they are probed, drawn anew after each round, and which of them comes next. */
+  /** Members in the order in which they are probed, shuffled again after each pass, and the index of the next one. */
   private probeOrder: string[] = [];
   private nextProbeIndex = 0;
-  /** How long a small call takes to be answered, smoothed. Slow at first: who starts together with others finds all of them busy. */
+  /** Smoothed time that a small call takes to be answered. Initially high, because nodes that start together find each other busy. */
   private smoothedAnswerMs = MEMBERSHIP.pingUsualMs * MEMBERSHIP.probeTimeoutFactorLimit;
 
   constructor(
@@ -47,7 +48,7 @@
     kernel.onConnectionLost = (peer) => this.probeNow(peer);
   }
 
-  /** A request surely did not reach this peer, a connection to it broke, or its answer is overdue: probes it at once. */
+  /** Probes a live member at once, after a request that certainly did not reach it, a broken connection or an overdue answer. */
   probeNow(peer: string): void {
     const member = this.context.members.get(peer);
     if (member && member.state === 'live') void this.probe(member);
@@ -65,7 +66,7 @@
     }
   }
 
-  /** One period: time passes for members that are silent, and the next of them is probed. */
+  /** Runs one period: updates the state of members by how long they have been silent, and probes the next silent one. */
   async round(): Promise<void> {
     const { clock } = this.kernel.host;
     const now = clock.now();
@@ -82,7 +83,7 @@
 
   private nextSilentMember(now: number): Member | undefined {
     const { members } = this.context;
-    for (let left = members.size; left > 0; left--) {
+    for (let remaining = members.size; remaining > 0; remaining--) {
       if (this.nextProbeIndex >= this.probeOrder.length) {
         this.probeOrder = randomSample(this.kernel.host.random, [...members.keys()], members.size);
         this.nextProbeIndex = 0;
@@ -95,21 +96,21 @@
   }
 
   /**
-   * Takes in how long a peer took to answer a small call (ms). Soon believes that answers have become slow, and only after many quick
-   * ones that they are quick. Pings alone are too few to learn from: where all members are heard of, nobody is pinged.
+   * Records how long a peer took to answer a small call (ms). The smoothed time rises quickly with slow answers and falls slowly with
+   * fast ones. Pings alone would give too few measurements, since no member is pinged while all of them are heard from.
    */
   recordAnswerTime(tookMs: number): void {
-    const share = tookMs > this.smoothedAnswerMs ? SLOWER_ANSWER_WEIGHT : QUICKER_ANSWER_WEIGHT;
-    this.smoothedAnswerMs += (tookMs - this.smoothedAnswerMs) * share;
+    const weight = tookMs > this.smoothedAnswerMs ? SLOWER_ANSWER_WEIGHT : QUICKER_ANSWER_WEIGHT;
+    this.smoothedAnswerMs += (tookMs - this.smoothedAnswerMs) * weight;
   }
 
-  /** By how much the time limits of a probe are longer than usual: while answers come slowly, a late one says nothing of its member. */
+  /** Factor by which the timeouts of a probe are extended: while all answers are slow, a late one is no evidence against its member. */
   private timeoutFactor(): number {
     const factor = Math.max(1, this.smoothedAnswerMs / MEMBERSHIP.pingUsualMs);
     return Math.min(MEMBERSHIP.probeTimeoutFactorLimit, factor);
   }
 
-  /** Asks a member directly, then through others, and suspects it when nobody reaches it. */
+  /** Pings a member directly, then through others, and suspects it if none of the pings is answered in time. */
   private async probe(member: Member): Promise<void> {
     if (this.probesInFlight.has(member.peer)) return;
     this.probesInFlight.add(member.peer);
@@ -120,28 +121,28 @@
     const indirectMs = MEMBERSHIP.probeIndirectMs * factor;
     try {
       const direct = this.ping(member.peer);
-      // The answer itself was the sign of life.
+      // Receiving the answer has already marked the member as alive.
       if (await withTimeout(clock, directMs, direct)) return;
       const isReached = await this.probeIndirectly(member, direct, indirectMs);
-      const present = this.context.members.get(member.peer);
-      if (!present || present.inst !== member.inst) return;
+      const current = this.context.members.get(member.peer);
+      if (!current || current.inst !== member.inst) return;
       if (isReached) {
-        // Others reach it: if it did not answer us, it is our own link that broke.
-        if (present.seenAt < startedAt) this.kernel.markLinkBroken(member.peer);
-        this.context.recordSignOfLife(member.peer, member.inst);
+        // Another member reached it. If this node has not heard from it since, only this node's link to it is broken.
+        if (current.seenAt < startedAt) this.kernel.markLinkBroken(member.peer);
+        this.context.markAlive(member.peer, member.inst);
         return;
       }
-      // If our own loop stood still meanwhile, the silence was ours.
+      // If the probe took much longer than its timeouts, this process's event loop was stalled, and the silence shows nothing.
       const lateAfterMs = directMs + indirectMs + MEMBERSHIP.probeLateMs;
-      if (clock.now() - startedAt > lateAfterMs || present.seenAt > startedAt || present.state !== 'live') return;
-      this.context.setMemberState(present, 'suspect');
+      if (clock.now() - startedAt > lateAfterMs || current.seenAt > startedAt || current.state !== 'live') return;
+      this.context.setMemberState(current, 'suspect');
       this.context.publishSuspicion(member.peer);
     } finally {
       this.probesInFlight.delete(member.peer);
     }
   }
 
-  /** Whether the direct ping, or one through another member, is answered in time. */
+  /** Whether the direct ping, or one through another member, is answered within the limit. */
   private async probeIndirectly(member: Member, direct: Promise<boolean>, limitMs: number): Promise<boolean> {
     const { clock } = this.kernel.host;
     const attempts = this.intermediariesFor(member).map((intermediary) =>
@@ -149,20 +150,23 @@
         .call<boolean>(intermediary, 'PingFor', { peer: member.peer } satisfies PingForRequest, limitMs)
         .catch(() => false),
     );
-    const answers = collectUntil([direct, ...attempts], (got) => got.includes(true));
+    const answers = collectUntil([direct, ...attempts], (results) => results.includes(true));
     return (await withTimeout(clock, limitMs, answers))?.includes(true) === true;
   }
 
-  /** Members heard of lately: those that we can't reach ourselves would answer nothing, and that is no sign against the member. */
+  /**
+   * Random members to ping through, if possible ones that were heard from recently over a working link. Members that this node can't
+   * reach would not answer, and that would be no evidence against the probed member.
+   */
   private intermediariesFor(member: Member): string[] {
     const { clock, random } = this.kernel.host;
     const others = this.context
       .liveMembers()
       .filter((other) => other.peer !== this.kernel.self && other.peer !== member.peer);
-    const near = others.filter(
+    const responsive = others.filter(
       (other) => clock.now() - other.seenAt < MEMBERSHIP.probeAfterMs && this.kernel.isLinkHealthy(other.peer),
     );
-    const peers = (near.length ? near : others).map((other) => other.peer);
+    const peers = (responsive.length ? responsive : others).map((other) => other.peer);
     return randomSample(random, peers, MEMBERSHIP.probeIntermediaryCount);
   }
 }
--- a/packages/control/src/membership/member.ts
+++ b/packages/control/src/membership/member.ts
@@ -1,13 +1,13 @@
-/** Members of the fleet: what each says of itself, and what this node believes about it. */
+/** Members of the fleet: the record that each publishes of itself, and the state that this node assigns to it. */
 import type { DiskUse, Role } from '@harecross/kernel';
 
 /**
- * What a member says of its own state. `joining`: it can't serve yet. `ready`: it takes requests and ownership. `draining`: it is
- * leaving or in a planned restart. `left`: it has stopped. `ill`: unhealthy, it serves only where no other can. Wire format.
+ * The condition that a member publishes. `joining`: it can't serve yet. `ready`: it takes requests and ownership. `draining`: it is
+ * leaving or in a planned restart. `left`: it has stopped. `ill`: it is unhealthy and serves only where no other member can. Wire format.
  */
 export type MemberCondition = 'joining' | 'ready' | 'draining' | 'left' | 'ill';
 
-/** A member's own record. Only the member writes it. Wire format: the field names stay. */
+/** The record that a member publishes of itself. Only the member writes it. Wire format: the field names must not change. */
 export interface MemberRecord {
   /** Address (`host:port`) for RPCs between nodes; also the member's id. */
   peer: string;
@@ -15,36 +15,39 @@
   client: string;
   /** Failure domain. */
   domain: string;
-  /** Region of its failure domain, where it was told. */
+  /** Region of its failure domain, if one is configured. */
   region?: string;
   role: Role;
-  /** By which operators call the machine. */
+  /** Name of the node for operators. */
   name: string;
   /** Id of its disk. */
   disk?: string;
   diskUses?: DiskUse[];
-  /** How long its disk took when it was opened (ms). */
+  /** How long its disk took to open (ms). */
   diskMs?: number;
-  /** Its disk was drained for an operator, and nobody has taken that back. */
+  /** Its disk was drained at an operator's request, and the request has not been cancelled. */
   emptied?: boolean;
-  /** It takes shards by `fenceQuorum`. Nodes of before that rule leave it out, and no replica is replaced in one step then. */
+  /**
+   * It takes ownership of shards by `fenceQuorum`. Versions without that rule omit this; while a node of such a version is present, no
+   * replica is replaced in one step.
+   */
   jointFences?: true;
-  /** Id of the process: a later process at the same address has a higher one. */
+  /** Instance id of the process. A later process at the same address has a higher one. */
   inst: string;
   condition: MemberCondition;
-  /** Client connections held. */
+  /** Number of its client connections. */
   weight: number;
-  /** It reads compressed lists; nodes of before there were any leave it out. */
+  /** It can decode compressed lists. Versions without support for them omit this. */
   packs?: boolean;
 }
 
-/** What this node believes about a member. */
+/** The state that this node assigns to a member. */
 export type MemberState = 'live' | 'suspect' | 'dead' | 'left';
 
-/** A member's record with what this node has observed of it. Times are of the steady clock (ms). */
+/** A member's record with this node's observations of it. Times are by the monotonic clock (ms). */
 export interface Member extends MemberRecord {
   state: MemberState;
-  /** When it last gave a sign of life. */
+  /** When this node last heard from it. */
   seenAt: number;
   liveSince: number;
 }
@@ -55,13 +58,13 @@
 /** The key of a member's own record. */
 export const memberKey = (peer: string): string => `${MEMBER_PREFIX}${peer}`;
 
-/** The key under which a member is suspected; its version is that of the record that the suspicion is about. */
+/** The key of the suspicion of a member. Its version is that of the suspected record. */
 export const suspicionKey = (peer: string): string => `${SUSPICION_PREFIX}${peer}`;
 
-/** The member whose record has this key; undefined for other facts. */
+/** The member whose record has this key, or undefined for other facts. */
 export const peerOfMemberKey = (key: string): string | undefined =>
   key.startsWith(MEMBER_PREFIX) ? key.slice(MEMBER_PREFIX.length) : undefined;
 
-/** The member whose suspicion has this key; undefined for other facts. */
+/** The member whose suspicion has this key, or undefined for other facts. */
 export const peerOfSuspicionKey = (key: string): string | undefined =>
   key.startsWith(SUSPICION_PREFIX) ? key.slice(SUSPICION_PREFIX.length) : undefined;
--- a/packages/control/src/membership/membership-table.ts
+++ b/packages/control/src/membership/membership-table.ts
@@ -1,4 +1,4 @@
-/** The membership table: which nodes there are, what each says of itself, and the other facts that they tell each other. */
+/** The membership table: the members of the fleet with the record that each publishes of itself, and the other facts that nodes gossip. */
 import {
   MEMBERSHIP,
   REGISTER,
@@ -27,8 +27,8 @@
 import { PeerSampling } from './peer-sampling.js';
 import { RememberedPeers } from './remembered-peers.js';
 
-/** Share of rounds in which a seed is asked that is not live to us: it heals a fleet that fell in two. */
-const SEED_ROUND_SHARE = 0.05;
+/** Probability that a choice of peers also includes a seed that was not chosen. This lets the halves of a fleet that split rejoin. */
+const SEED_CONTACT_PROBABILITY = 0.05;
 
 declare module '@harecross/kernel' {
   interface ServiceRegistry {
@@ -38,14 +38,14 @@
 
 /**
  * A table of small versioned facts, each written by one node or ordered by a fencing token. It is replicated by dissemination and
- * anti-entropy; members are found by peer sampling, and those that fail by the failure detector. A member that hears itself suspected
- * publishes its record anew, which outdates the suspicion.
+ * anti-entropy. Peer sampling selects the peers to gossip with, and the failure detector finds members that have failed. A member that
+ * learns that it is suspected publishes its record with a higher version, which supersedes the suspicion.
  * @example
- * kernel.use('membership').publish('key/3', version, { fence, peer }); // passed on to a few, in time to all
+ * kernel.use('membership').publish('key/3', version, { fence, peer }); // reaches a few peers at once and eventually all nodes
  */
 export class MembershipTable {
   readonly members = new Map<string, Member>();
-  /** The key of each fact that changed. */
+  /** Emits the key of each fact that changed. */
   readonly factChanged$ = new Subject<string>();
   readonly memberStateChanged$ = new Subject<Member>();
   private readonly table: FactTable;
@@ -55,7 +55,7 @@
   private readonly antiEntropy: AntiEntropy;
   private readonly failureDetector: FailureDetector;
   private readonly rememberedPeers?: RememberedPeers;
-  /** Who called us and is no member yet: some member knows us from before. */
+  /** Peers that called this node and are not members yet. They may be members that remember this node from before it restarted. */
   private readonly unknownCallers = new Set<string>();
 
   constructor(private readonly kernel: Kernel) {
@@ -71,13 +71,13 @@
       receive: (facts) => this.receive(facts),
       scaledPeriodMs,
       randomLivePeers: (count) => this.randomLivePeers(count),
-      readsCompressedLists: (peer) => this.members.get(peer)?.packs === true,
+      acceptsCompressedLists: (peer) => this.members.get(peer)?.packs === true,
     });
     this.failureDetector = this.createFailureDetector();
     this.antiEntropy = this.createAntiEntropy();
     kernel.intermediariesTo = (peer) => this.intermediariesTo(peer);
-    kernel.onSignOfLife = (peer, instanceId) => this.recordSignOfLife(peer, instanceId);
-    kernel.addSubscription(kernel.loopResumed$.subscribe(() => this.forgiveSilence()));
+    kernel.onSignOfLife = (peer, instanceId) => this.markAlive(peer, instanceId);
+    kernel.addSubscription(kernel.loopResumed$.subscribe(() => this.resetLastSeen()));
     for (const seed of config.seeds) this.sampling.offer(seed);
     if (db) this.rememberedPeers = new RememberedPeers(kernel, kernel.use('state'), this.members);
     this.ownRecord.publish();
@@ -87,7 +87,7 @@
     kernel.addSubscription(runPeriodically(clock, MEMBERSHIP.probeEveryMs, random, () => this.detectFailures()));
     kernel.onStop(() => {
       this.ownRecord.publishLeft();
-      // Nothing is sent any more after the last step of a stop.
+      // Queued facts must be sent now: after the last step of the stop nothing is sent any more.
       this.dissemination.flush();
     });
   }
@@ -97,7 +97,7 @@
       members: this.members,
       liveMembers: () => this.liveMembers(),
       setMemberState: (member, state) => this.setMemberState(member, state),
-      recordSignOfLife: (peer, instanceId) => this.recordSignOfLife(peer, instanceId),
+      markAlive: (peer, instanceId) => this.markAlive(peer, instanceId),
       publishSuspicion: (peer) => {
         const version = this.facts.get(memberKey(peer))!.ver;
         this.publish(suspicionKey(peer), version, { by: this.kernel.self });
@@ -111,15 +111,15 @@
     return new AntiEntropy(this.kernel, {
       table: this.table,
       storeAll: (facts) => this.storeAll(facts),
-      factsUnder: (keys) => this.factsUnder(keys),
-      disseminateOwnRecord: () => this.disseminate(this.factsUnder([memberKey(this.kernel.self)])),
+      wireFactsFor: (keys) => this.wireFactsFor(keys),
+      disseminateOwnRecord: () => this.disseminate(this.wireFactsFor([memberKey(this.kernel.self)])),
       scaledPeriodMs: (leastMs, perMemberMs) => this.scaledPeriodMs(leastMs, perMemberMs),
       isLargeFleet: () => this.isLargeFleet(),
       memberCount: () => this.members.size,
       otherLivePeers: () => this.otherLivePeers(),
       contactAddresses: () => this.contactAddresses(),
       randomPeersOrContacts: (count) => this.randomPeersOrContacts(count),
-      rememberedStrangers: () => this.rememberedPeers?.peers.filter((peer) => !this.members.has(peer)) ?? [],
+      rememberedNonMembers: () => this.rememberedPeers?.peers.filter((peer) => !this.members.has(peer)) ?? [],
       ping: (peer) => this.failureDetector.ping(peer),
       recordAnswerTime: (tookMs) => this.failureDetector.recordAnswerTime(tookMs),
     });
@@ -135,33 +135,33 @@
     return this.facts.get(key)?.val;
   }
 
-  /** Stores a fact and passes it on. A version that is not higher than the known one is ignored. */
+  /** Stores a fact and disseminates it. Ignored unless its version is higher than the known one. */
   publish(key: string, version: string, value: unknown): void {
     if (this.store(key, version, value)) this.disseminate([[key, version, value]]);
   }
 
-  /** Passes facts on to a few others, soon. An empty list still carries our revision of the agreed value. */
+  /** Queues facts for a few peers. An empty list is sent too, because each call carries this node's revision of the agreed value. */
   disseminate(facts: Fact[]): void {
     this.dissemination.add(facts);
   }
 
-  /** Changes what we publish of ourselves; see `OwnRecord.update`. */
+  /** Changes the state that this node publishes of itself; see `OwnRecord.update`. */
   updateOwnState(changes: Partial<OwnState>): void {
     this.ownRecord.update(changes);
   }
 
-  /** Publishes our record anew; also for who changed our config. */
+  /** Publishes this node's record with a higher version. To be called after a change of its configuration. */
   publishOwnRecord(): void {
     this.ownRecord.publish();
   }
 
-  /** A request surely did not reach this peer, a connection to it broke, or its answer is overdue: probes it at once. */
+  /** Probes a live member at once, after a request that certainly did not reach it, a broken connection or an overdue answer. */
   probeNow(peer: string): void {
     this.failureDetector.probeNow(peer);
   }
 
   /**
-   * A period that grows with the fleet, so that what all nodes together ask of one, or tell one, stays bounded.
+   * A period that grows with the number of members, so that the load that all nodes together put on one node stays bounded.
    * @example
    * membership.scaledPeriodMs(60, 4); // 60 ms in a fleet of up to 15, 376 ms in one of 94
    */
@@ -169,7 +169,7 @@
     return Math.max(leastMs, perMemberMs * this.members.size);
   }
 
-  /** Whether what each node does at the same moment would be too much for those that all ask. */
+  /** Whether the fleet is so large that calls made by all nodes at the same time would overload the nodes that they all call. */
   isLargeFleet(): boolean {
     return this.members.size >= REGISTER.largeFleetSize;
   }
@@ -178,17 +178,18 @@
     return [...this.members.values()].filter((member) => member.state === 'live');
   }
 
+  /** Whether a peer is this node or a live member. */
   isLive(peer: string): boolean {
     return peer === this.kernel.self || this.members.get(peer)?.state === 'live';
   }
 
-  /** Live and ready to take ownership. */
+  /** Whether a member is live and ready to take ownership. */
   isAvailable(peer: string): boolean {
     const member = this.members.get(peer);
     return member !== undefined && member.state === 'live' && member.condition === 'ready';
   }
 
-  /** The member that has this disk; one that may still be there goes before one that is gone. */
+  /** The member that has this disk. A live or suspected member is preferred to one that is dead or has left. */
   memberOfDisk(disk: string): Member | undefined {
     let gone: Member | undefined;
     for (const member of this.members.values()) {
@@ -200,7 +201,7 @@
   }
 
   /**
-   * Addresses to start from when nobody is known: the seeds, who was a member when we last ran, and who called us.
+   * Addresses to contact while no member is known: the seeds, the members from this node's last run, and the peers that called it.
    * @example
    * membership.contactAddresses(); // ['10.0.0.1:7101', '10.0.0.2:7101']
    */
@@ -211,8 +212,9 @@
   }
 
   /**
-   * Whom to ask for something long that this peer and others have. In a large fleet a node with a disk: these are few and have wide links,
-   * and a node that many had heard of something from would send it to all of them over its own.
+   * The peer from which to fetch a large value that `peer` and others have. In a large fleet this is a random live node with a disk:
+   * those nodes are few and have fast links, while a peer that announced the value to many nodes would otherwise have to send it to all
+   * of them over its own link.
    */
   preferPeerWithDisk(peer: string): string {
     if (!this.isLargeFleet() || this.members.get(peer)?.disk !== undefined) return peer;
@@ -222,19 +224,19 @@
     return randomSample(this.kernel.host.random, withDisk, 1)[0]?.peer ?? peer;
   }
 
-  /** Random live peers other than us, and a contact where fewer are known. */
+  /** Random live peers other than this node. Adds a contact address if there are fewer, and sometimes a seed in any case. */
   randomPeersOrContacts(count: number): string[] {
     const { random, config } = this.kernel.host;
     const peers = this.randomLivePeers(count);
-    const isShort = peers.length < count;
-    const contacts = isShort ? this.contactAddresses() : config.seeds.filter((seed) => seed !== this.kernel.self);
+    const tooFew = peers.length < count;
+    const contacts = tooFew ? this.contactAddresses() : config.seeds.filter((seed) => seed !== this.kernel.self);
     const others = contacts.filter((contact) => !peers.includes(contact));
-    if (others.length && (isShort || random.next() < SEED_ROUND_SHARE))
+    if (others.length && (tooFew || random.next() < SEED_CONTACT_PROBABILITY))
       peers.push(others[randomInt(random, others.length)]!);
     return peers;
   }
 
-  /** Random live peers, of our partial view where it has enough of them: connections stay few. */
+  /** Random live peers, taken from the partial view if it has enough of them, which keeps the number of connections low. */
   private randomLivePeers(count: number): string[] {
     const viewed = this.sampling.peers().filter((peer) => this.members.get(peer)?.state === 'live');
     return randomSample(this.kernel.host.random, viewed.length >= count ? viewed : this.otherLivePeers(), count);
@@ -246,21 +248,22 @@
       .filter((peer) => peer !== this.kernel.self);
   }
 
-  /** Live members that may carry a call to a peer in our place; none to one that is gone. */
+  /** Live members that may relay a call to a peer. There are none for a peer that is dead or has left. */
   private intermediariesTo(peer: string): string[] {
     const member = this.members.get(peer);
     if (member && (member.state === 'dead' || member.state === 'left')) return [];
     return this.otherLivePeers().filter((other) => other !== peer);
   }
 
-  /** The facts under these keys, as they are sent. */
-  private factsUnder(keys: string[]): Fact[] {
+  /** The wire form of the facts under these keys. */
+  private wireFactsFor(keys: string[]): Fact[] {
     return keys.filter((key) => this.facts.has(key)).map((key) => this.toWireFact(key));
   }
 
   /**
-   * A fact as it is sent. How long a member has been silent goes with its record: a node that joins would else take it for heard of
-   * just now, and pass it on as such, so that a fleet in which nodes start again and again would never forget a machine that is gone.
+   * The wire form of a fact. The record of a member that is not live includes how long that member has been silent. Without this, a
+   * joining node would treat the member as just seen and pass its record on as such, and a fleet in which nodes keep restarting would
+   * never forget a member that is gone.
    */
   private toWireFact(key: string): Fact {
     const fact = this.facts.get(key)!;
@@ -280,13 +283,13 @@
     return facts.filter((fact) => this.store(...fact)).length;
   }
 
-  /** Stores a fact if it is newer, and applies it. `silentMs`: see `Fact`. */
+  /** Stores a fact and applies its effects, if it is newer than the known version. For `silentMs` see `Fact`. */
   private store(key: string, version: string, value: unknown, silentMs = 0): boolean {
     if (!this.table.isNewer(key, version)) return false;
     if (!this.facts.has(key) && silentMs > MEMBERSHIP.forgetMs) return false;
     const memberPeer = peerOfMemberKey(key);
     if (memberPeer === this.kernel.self && (value as MemberRecord).inst !== this.kernel.instanceId) {
-      // A record of the process that was here before, from a clock that ran ahead of ours.
+      // The record was published by an earlier process at this address, whose clock was ahead of the present one.
       this.kernel.supersedeInstance((value as MemberRecord).inst);
       this.ownRecord.publish();
       return false;
@@ -317,7 +320,7 @@
     return suspicion && suspicion.ver >= this.facts.get(memberKey(record.peer))!.ver ? 'suspect' : 'live';
   }
 
-  /** Someone suspects a member: of us, we know better; of another, it stands unless its record is newer. */
+  /** Applies a suspicion. This node refutes one of itself; another member is suspected unless its record is newer than the suspicion. */
   private applySuspicion(peer: string, version: string): void {
     if (peer === this.kernel.self) {
       if (this.kernel.phase !== 'stopped') this.ownRecord.publish();
@@ -328,7 +331,11 @@
     if (member && record && record.ver <= version && member.state === 'live') this.setMemberState(member, 'suspect');
   }
 
-  private recordSignOfLife(peer: string, instanceId?: string): void {
+  /**
+   * Records that a peer was heard from. This does not count for a member if the call came from another process than that of its record.
+   * Peers that are not members are remembered as contacts.
+   */
+  private markAlive(peer: string, instanceId?: string): void {
     const member = this.members.get(peer);
     if (!member && this.unknownCallers.size < MEMBERSHIP.partialViewSize) this.unknownCallers.add(peer);
     if (!member || member.state === 'left' || (instanceId !== undefined && instanceId !== member.inst)) return;
@@ -336,10 +343,10 @@
     if (member.state !== 'live') this.setMemberState(member, 'live');
   }
 
-  /** The one function that changes what we believe about a member. */
+  /** Changes the state of a member. All changes of a state go through this method. */
   private setMemberState(member: Member, state: MemberState, isRestarted = false): void {
     if (member.state === state && !isRestarted) return;
-    // What changes of state a machine goes through; not that it is there at first.
+    // Only changes of the state are logged, not the restart of a member whose state stays the same.
     if (member.state !== state)
       this.kernel.host.log.info(`member ${member.peer}: ${member.state} -> ${state}`, { condition: member.condition });
     if (member.state !== 'live' && state === 'live') member.liveSince = this.kernel.host.clock.now();
@@ -348,8 +355,8 @@
     this.memberStateChanged$.next(member);
   }
 
-  /** Our loop stood still, the others' did not: all get a fresh start instead of being called dead. */
-  private forgiveSilence(): void {
+  /** After a stall of this process's event loop, resets the silence of all members, as the stall would make live members look dead. */
+  private resetLastSeen(): void {
     const now = this.kernel.host.clock.now();
     for (const member of this.members.values()) member.seenAt = now;
   }
--- a/packages/control/src/membership/outbox.ts
+++ b/packages/control/src/membership/outbox.ts
@@ -1,21 +1,21 @@
 import type { Clock } from '@harecross/kernel';
 
 /**
- * A fact of the membership table as it is sent. `quietMs`, for a member's record only: how long the sender has not heard of a member
- * that it doesn't hold for live.
+ * Wire form of a fact of the membership table. `silentMs` is present only in the record of a member that the sender does not consider
+ * live: how long the sender has not heard from that member.
  */
-export type Fact = [key: string, version: string, value: unknown, quietMs?: number];
+export type Fact = [key: string, version: string, value: unknown, silentMs?: number];
 
 /**
- * Facts that wait to be passed on. The first one leaves at once; what comes within the gap after it leaves together, each key once and
- * in its newest version. So a node's calls are bounded by time, however many facts the fleet has to tell.
+ * A queue of facts to send. The first fact is sent at once. Facts that are added within the gap after it are sent as one batch, with
+ * only the newest version of each key. This bounds the rate of a node's calls however many facts change.
  * @example
  * const outbox = new Outbox(clock, () => 200, (facts) => send(facts));
  * outbox.add([['m/10.0.0.4:7100', version, record]]);
  */
 export class Outbox {
-  private waiting = new Map<string, Fact>();
-  private armed = false;
+  private pending = new Map<string, Fact>();
+  private flushScheduled = false;
   private sentAt = -Infinity;
 
   constructor(
@@ -24,25 +24,25 @@
     private send: (facts: Fact[]) => void,
   ) {}
 
-  /** An empty list is sent too: every call carries the sender's revision of the agreed value. */
+  /** Queues facts. An empty list is sent too, because each call carries the sender's revision of the agreed value. */
   add(facts: Fact[]): void {
     for (const fact of facts) {
       const [key, version] = fact;
-      const had = this.waiting.get(key);
-      if (!had || had[1] < version) this.waiting.set(key, fact);
+      const queued = this.pending.get(key);
+      if (!queued || queued[1] < version) this.pending.set(key, fact);
     }
-    if (this.armed) return;
-    this.armed = true;
+    if (this.flushScheduled) return;
+    this.flushScheduled = true;
     this.clock.after(Math.max(0, this.sentAt + this.gapMs() - this.clock.now()), () => this.flush());
   }
 
-  /** Sends now what waits. */
+  /** Sends the queued facts immediately. */
   flush(): void {
-    if (!this.armed) return;
-    this.armed = false;
+    if (!this.flushScheduled) return;
+    this.flushScheduled = false;
     this.sentAt = this.clock.now();
-    const facts = [...this.waiting.values()];
-    this.waiting.clear();
+    const facts = [...this.pending.values()];
+    this.pending.clear();
     this.send(facts);
   }
 }
--- a/packages/control/src/membership/own-record.ts
+++ b/packages/control/src/membership/own-record.ts
@@ -1,30 +1,31 @@
-/** The record that this node publishes of itself. */
+/** The member record that this node publishes of itself. */
 import { MEMBERSHIP, diskUsesOf, type Kernel } from '@harecross/kernel';
 import type { MemberRecord } from './member.js';
 
-/** The parts of the own record that change while the process runs. */
+/** The fields of a node's own record that change while the process runs. */
 export type OwnState = Pick<MemberRecord, 'condition' | 'weight' | 'disk' | 'emptied'>;
 
-/** Digits of a record's version: versions compare as strings. */
+/** Width to which the number in a record's version is padded, because versions are compared as strings. */
 const VERSION_DIGITS = 10;
-/** A weight that changed by less than this is not worth a message. */
-const LEAST_WEIGHT_STEP = 8;
-/** ... nor one that changed by less than this share. */
+/** A change of the weight is published only if it is at least this large ... */
+const MIN_WEIGHT_STEP = 8;
+/** ... and at least this share of the published weight. */
 const WEIGHT_STEP_SHARE = 1 / 5;
 
-/** What the own record needs of the membership table. */
+/** The operations of the membership table that `OwnRecord` uses. */
 export interface OwnRecordContext {
   scaledPeriodMs(leastMs: number, perMemberMs: number): number;
   publish(version: string, record: MemberRecord): void;
 }
 
-/** Publishes this node's record at each change of its state; small changes of weight wait for a larger one. */
+/** Publishes this node's record when its state changes. Small changes of the weight are published with a later, larger one. */
 export class OwnRecord {
   private state: OwnState = { condition: 'joining', weight: 0 };
   private versionNumber = 0;
   private publishedWeight = 0;
-  /** When the record was last published (steady clock, ms), and whether a change of weight waits for its time. */
+  /** When the record was last published (monotonic clock, ms). */
   private publishedAt = -Infinity;
+  /** Whether a timer is set to publish a change of the weight. */
   private weightPublishScheduled = false;
 
   constructor(
@@ -32,39 +33,42 @@
     private readonly context: OwnRecordContext,
   ) {}
 
-  /** The number of the version published last. */
+  /** The number in the last published version. */
   get version(): number {
     return this.versionNumber;
   }
 
-  /** Changes what we publish of ourselves. Small changes of weight wait for a larger one, and in a large fleet for some time. */
+  /**
+   * Changes the state that this node publishes. Small changes of the weight are not published until they add up to a larger one, and
+   * changes of the weight alone are published at a limited rate, which falls as the fleet grows.
+   */
   update(changes: Partial<OwnState>): void {
-    const before = this.state;
-    this.state = { ...before, ...changes };
+    const previous = this.state;
+    this.state = { ...previous, ...changes };
     const onlyWeightChanged =
-      before.condition === this.state.condition &&
-      before.disk === this.state.disk &&
-      (before.emptied ?? false) === (this.state.emptied ?? false);
+      previous.condition === this.state.condition &&
+      previous.disk === this.state.disk &&
+      (previous.emptied ?? false) === (this.state.emptied ?? false);
     if (onlyWeightChanged) this.publishWeightIfChanged();
     else this.publish();
   }
 
-  /** Publishes the record that says that we have stopped. */
+  /** Publishes that this node has stopped. */
   publishLeft(): void {
     this.state.condition = 'left';
     this.publish();
   }
 
-  /** Publishes the record under a higher version; also where the settings of the process changed, or somebody suspects us. */
+  /** Publishes the record with a higher version. Also called when the node's configuration changed, and to refute a suspicion. */
   publish(): void {
-    const record = this.record();
+    const record = this.createRecord();
     this.publishedWeight = record.weight;
     this.publishedAt = this.kernel.host.clock.now();
     const number = String(++this.versionNumber).padStart(VERSION_DIGITS, '0');
     this.context.publish(`${this.kernel.instanceId}.${number}`, record);
   }
 
-  private record(): MemberRecord {
+  private createRecord(): MemberRecord {
     const { config, db } = this.kernel.host;
     const record: MemberRecord = {
       peer: this.kernel.self,
@@ -86,7 +90,7 @@
   }
 
   private publishWeightIfChanged(): void {
-    const step = Math.max(LEAST_WEIGHT_STEP, this.publishedWeight * WEIGHT_STEP_SHARE);
+    const step = Math.max(MIN_WEIGHT_STEP, this.publishedWeight * WEIGHT_STEP_SHARE);
     if (this.weightPublishScheduled || Math.abs(this.state.weight - this.publishedWeight) < step) return;
     const { clock } = this.kernel.host;
     const gapMs = this.context.scaledPeriodMs(0, MEMBERSHIP.weightGapPerMemberMs);
--- a/packages/control/src/membership/peer-sampling.ts
+++ b/packages/control/src/membership/peer-sampling.ts
@@ -1,4 +1,4 @@
-/** Peer sampling: neighbours shuffle parts of their partial views, so that each view stays an even sample of the fleet. */
+/** Peer sampling: neighbours exchange parts of their partial views, so that each view stays a uniform sample of the fleet. */
 import { MEMBERSHIP, randomSample, type Kernel } from '@harecross/kernel';
 import { PeerView } from './peer-view.js';
 
@@ -7,7 +7,7 @@
   peers: string[];
 }
 
-/** This node's partial view, and its exchange with those of others. */
+/** Keeps this node's partial view, and exchanges entries with those of other nodes. */
 export class PeerSampling {
   private readonly view: PeerView;
 
@@ -25,7 +25,7 @@
     return this.view.peers();
   }
 
-  /** Tells of a peer just learned of. */
+  /** Offers a newly discovered peer to the view. */
   offer(peer: string): void {
     if (peer !== this.kernel.self) this.view.offer(peer);
   }
@@ -34,7 +34,7 @@
     this.view.delete(peer);
   }
 
-  /** Exchanges entries with the neighbour that was longest not exchanged with. */
+  /** Exchanges entries with the neighbour whose last exchange is the longest ago. */
   async shuffle(): Promise<void> {
     const oldest = this.view.takeOldest();
     if (oldest === undefined) return;
@@ -43,7 +43,7 @@
       const answer = await this.kernel.call<string[]>(oldest, 'Shuffle', { peers } satisfies ShuffleRequest);
       this.merge([...answer, oldest]);
     } catch {
-      // It stays out of the view until someone names it again.
+      // The unreachable peer stays out of the view until another node includes it in an exchange.
     }
   }
 
--- a/packages/control/src/membership/remembered-peers.ts
+++ b/packages/control/src/membership/remembered-peers.ts
@@ -1,14 +1,14 @@
-/** Peers that a node knew when it last ran, kept on its disk: the seeds of the next start may all be gone by then. */
+/** Peers that a node knew when it last ran. They are kept on its disk because all configured seeds may be gone at the next start. */
 import { MEMBERSHIP, runPeriodically, type Kernel } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
 import type { Member } from './member.js';
 
-/** The key under which the addresses are stored, as JSON. Stored data: it stays. */
-const MEMBERS_ROW = 'members';
+/** The key under which the addresses are stored, as JSON. It is part of the format on disk and must not change. */
+const MEMBERS_KEY = 'members';
 
-/** The addresses that an earlier process of this machine stored. Follows the members, and stores them as they change. */
+/** Loads the addresses that an earlier process of this node stored, and stores those of the current members when they change. */
 export class RememberedPeers {
-  /** Addresses as they were when the process started. */
+  /** The addresses that were stored when the process started. */
   readonly peers: string[];
 
   constructor(
@@ -16,19 +16,19 @@
     private readonly state: DurableState,
     private readonly members: Map<string, Member>,
   ) {
-    this.peers = JSON.parse(state.get(MEMBERS_ROW) ?? '[]') as string[];
+    this.peers = JSON.parse(state.get(MEMBERS_KEY) ?? '[]') as string[];
     let stored = this.peers.join();
     const { clock, random } = kernel.host;
     const persist = async (): Promise<void> => {
-      const peers = this.present();
+      const peers = this.currentPeers();
       if (!peers.length || peers.join() === stored) return;
-      await this.state.db.commit(() => this.state.set(MEMBERS_ROW, JSON.stringify(peers)));
+      await this.state.db.commit(() => this.state.set(MEMBERS_KEY, JSON.stringify(peers)));
       stored = peers.join();
     };
     kernel.addSubscription(runPeriodically(clock, MEMBERSHIP.rememberPeersEveryMs, random, persist));
   }
 
-  private present(): string[] {
+  private currentPeers(): string[] {
     return [...this.members.values()]
       .filter((member) => member.state !== 'left' && member.peer !== this.kernel.self)
       .map((member) => member.peer)
--- a/packages/state/src/durable-state.ts
+++ b/packages/state/src/durable-state.ts
@@ -1,15 +1,15 @@
-/** A node's lasting state on its disk: what its voter accepted, the replicas it keeps, and a few named values. */
+/** A node's durable state on its disk: the state of its consensus acceptor, its replicas of shards, and a few named values. */
 import { registerPlugin, type Sql, type SyncedDatabase } from '@harecross/kernel';
 import type { Statement } from 'better-sqlite3';
 import type { Fence } from './fence.js';
 import { emptyBase, foldIntoBase, senderKey, type Entry, type Replica, type TrimmedBase } from './replica.js';
 import { checksumOf, columnNames, createTables } from './tables.js';
 
-/** Keys of the named values. Names on disk: they stay. */
-const DISK_ID_ROW = 'disk';
-const PROMISED_ROW = 'seat.promised';
-const BALLOT_ROW = 'seat.ballot';
-const VALUE_ROW = 'seat.value';
+/** Keys of the named values. They are part of the format on disk and must not change. */
+const DISK_ID_KEY = 'disk';
+const PROMISED_KEY = 'seat.promised';
+const BALLOT_KEY = 'seat.ballot';
+const VALUE_KEY = 'seat.value';
 
 /** Disk ids are random numbers below this. */
 const DISK_ID_RANGE = 2 ** 48;
@@ -21,18 +21,18 @@
   }
 }
 
-/** An acceptor's state in the consensus register. */
+/** The state of a consensus acceptor. */
 export interface AcceptorState {
-  /** The highest ballot that was promised. */
+  /** The highest promised ballot; '' if there is none. */
   promised: string;
-  /** The ballot under which `value` was accepted. */
+  /** The ballot with which `value` was accepted; '' if there is none. */
   ballot: string;
-  /** The accepted value as text; undefined where none was. */
+  /** The text of the accepted value, or undefined if there is none. */
   value: string | undefined;
 }
 
 /**
- * The node's lasting state. All writes are made inside `db.commit`, which syncs them.
+ * The node's durable state. All writes must be made inside `db.commit`, which syncs them to the disk.
  * @example
  * const state = new DurableState(db);
  * state.init();
@@ -46,7 +46,7 @@
     this.sql = db.sql;
   }
 
-  /** Statements are compiled once. */
+  /** Compiles a statement on its first use and caches it. */
   private statement(text: string): Statement {
     let statement = this.prepared.get(text);
     if (!statement) {
@@ -56,23 +56,23 @@
     return statement;
   }
 
-  /** Makes the tables. */
+  /** Creates the tables. */
   init(): void {
-    // One commit: the log's check takes it that no more than one is on its way to the disk.
+    // A single commit, because the corruption check of the write-ahead log assumes that at most one commit is not yet synced.
     this.sql.transaction(() => createTables(this.sql))();
   }
 
-  /** Writes a row with its checksum; columns by name, because a table that was altered has them in another order. */
+  /** Writes a row with its checksum. Columns are given by name, because `alter table` leaves them in another order in older tables. */
   private upsert(table: string, conflict: string, columns: (string | number)[]): void {
     const names = columnNames(table).join(', ');
-    const places = `${'?, '.repeat(columns.length)}?`;
-    this.statement(`insert into ${table} (${names}, sum) values (${places}) ${conflict}`).run(
+    const placeholders = `${'?, '.repeat(columns.length)}?`;
+    this.statement(`insert into ${table} (${names}, sum) values (${placeholders}) ${conflict}`).run(
       ...columns,
       checksumOf(columns),
     );
   }
 
-  /** A named value. */
+  /** The named value under a key. */
   get(key: string): string | undefined {
     return (this.statement('select v from meta where k = ?').get(key) as { v: string } | undefined)?.v;
   }
@@ -83,32 +83,32 @@
 
   acceptorState(): AcceptorState {
     return {
-      promised: this.get(PROMISED_ROW) ?? '',
-      ballot: this.get(BALLOT_ROW) ?? '',
-      value: this.get(VALUE_ROW),
+      promised: this.get(PROMISED_KEY) ?? '',
+      ballot: this.get(BALLOT_KEY) ?? '',
+      value: this.get(VALUE_KEY),
     };
   }
 
   saveAcceptorState(state: AcceptorState): void {
-    this.set(PROMISED_ROW, state.promised);
-    this.set(BALLOT_ROW, state.ballot);
-    if (state.value !== undefined) this.set(VALUE_ROW, state.value);
+    this.set(PROMISED_KEY, state.promised);
+    this.set(BALLOT_KEY, state.ballot);
+    if (state.value !== undefined) this.set(VALUE_KEY, state.value);
   }
 
-  /** The id of this disk; a disk names itself once, and an emptied one is another disk. */
+  /** Generates and stores an id for this disk if it has none. A disk whose data was erased gets a new id and counts as another disk. */
   async ensureDiskId(randomNumber: () => number): Promise<void> {
-    if (this.get(DISK_ID_ROW)) return;
+    if (this.get(DISK_ID_KEY)) return;
     const id = `d${Math.floor(randomNumber() * DISK_ID_RANGE).toString(DISK_ID_RADIX)}`;
-    await this.db.commit(() => this.set(DISK_ID_ROW, id));
+    await this.db.commit(() => this.set(DISK_ID_KEY, id));
   }
 
   /**
-   * The replicas as they are on disk. A machine may come back with another time than it left with, so what was kept
-   * begins its life in memory anew: kept a little longer, never let go early.
+   * Loads all replicas from the disk. The monotonic clock may differ from the one before the restart, so the age of entries and sender
+   * numbers starts again at `now`: they are kept somewhat longer than necessary, and never dropped too early.
    */
   loadReplicas(now: number): Map<number, Replica> {
     const replicas = this.loadBases(now);
-    const intern = interner();
+    const intern = createInterner();
     const rows = this.sql
       .prepare('select shard, idx, fence, topic, off, era, sender, seq, body from entry order by shard, idx')
       .raw()
@@ -132,8 +132,8 @@
 
   private loadBases(now: number): Map<number, Replica> {
     const replicas = new Map<number, Replica>();
-    type CopyRow = { shard: number; promised: string; idx: number; fence: string };
-    for (const { shard, promised, idx, fence } of this.statement('select * from copy').all() as CopyRow[])
+    type ReplicaRow = { shard: number; promised: string; idx: number; fence: string };
+    for (const { shard, promised, idx, fence } of this.statement('select * from copy').all() as ReplicaRow[])
       replicas.set(shard, { shard, promised, base: { ...emptyBase(), idx, fence }, entries: [] });
     type TopicRow = { shard: number; topic: string; head: number; since: number; era: number };
     for (const { shard, topic, head, since, era } of this.statement('select * from topic').all() as TopicRow[])
@@ -158,7 +158,7 @@
     );
   }
 
-  /** Cuts everything from an index on. */
+  /** Deletes all entries from an index on. */
   truncateFrom(replica: Replica, index: number): void {
     const kept = index - replica.base.idx - 1;
     if (kept >= replica.entries.length) return;
@@ -173,8 +173,8 @@
   }
 
   /**
-   * Folds entries up to an index into the base. Only ever called for entries that a majority holds. Numbers of senders that were
-   * trimmed before `dedupeAfter` (steady clock, ms) are forgotten.
+   * Removes the entries up to an index and folds them into the base. Must be called only for entries that a majority of replicas holds.
+   * Sender numbers whose last entry is from before `dedupeAfter` (monotonic clock, ms) are forgotten.
    */
   trim(replica: Replica, index: number, dedupeAfter: number): void {
     const count = Math.min(index - replica.base.idx, replica.entries.length);
@@ -194,9 +194,9 @@
     this.saveReplica(replica);
   }
 
-  private forgetSenders(replica: Replica, before: number): void {
+  private forgetSenders(replica: Replica, cutoff: number): void {
     for (const [key, { at }] of replica.base.senders) {
-      if (at >= before) continue;
+      if (at >= cutoff) continue;
       replica.base.senders.delete(key);
       this.statement('delete from sender where shard = ? and k = ?').run(replica.shard, key);
     }
@@ -221,7 +221,7 @@
     );
   }
 
-  /** Replaces a replica by a snapshot; the promise stays. */
+  /** Replaces the contents of a replica with a snapshot. The promised fence is kept. */
   installSnapshot(replica: Replica, base: TrimmedBase, entries: Entry[]): void {
     for (const table of ['entry', 'topic', 'sender'])
       this.statement(`delete from ${table} where shard = ?`).run(replica.shard);
@@ -233,14 +233,14 @@
     this.saveReplica(replica);
   }
 
-  /** Lets go of a replica's matter. The promise stays, so that an old owner stays fenced. */
+  /** Deletes the contents of a replica. The promised fence is kept, so that a former owner stays fenced off. */
   releaseReplica(replica: Replica): void {
     this.installSnapshot(replica, emptyBase(), []);
   }
 }
 
-/** Fences, topics and senders come again and again: one string each. */
-function interner(): (text: string) => string {
+/** A function that returns the same string object for equal texts. Saves memory, as fences, topics and senders occur in many entries. */
+function createInterner(): (text: string) => string {
   const strings = new Map<string, string>();
   return (text) => {
     const known = strings.get(text);
@@ -255,7 +255,7 @@
   needs: [],
   setup: async (kernel) => {
     const { db, random } = kernel.host;
-    if (!db) throw new Error('state needs a data folder');
+    if (!db) throw new Error('the state plugin needs a data folder');
     const state = new DurableState(db);
     state.init();
     await state.ensureDiskId(() => random.next());
--- a/packages/state/src/fence.ts
+++ b/packages/state/src/fence.ts
@@ -1,17 +1,17 @@
-/** Fencing tokens: which owner of a shard may still write. */
+/** Fencing tokens, which determine the owner of a shard that may write. */
 
-/** Fences compare as strings: generation of the placement, then number, then the owner that took it. */
+/** A fencing token. Fences are compared as strings: by the generation of the placement, then the number, then the owner. */
 export type Fence = string;
 
-/** Below every fence: nothing was promised. */
+/** Lower than every other fence. Stands for no promise. */
 export const NO_FENCE: Fence = '';
 
 const GENERATION_DIGITS = 8;
 const NUMBER_DIGITS = 10;
 const NUMBER_START = GENERATION_DIGITS + 1;
 const OWNER_START = NUMBER_START + NUMBER_DIGITS + 1;
-/** Stands between the address of an owner and the id of its process. */
-const PROCESS_SEPARATOR = '~';
+/** Separates the address of an owner from the id of its process. */
+const INSTANCE_SEPARATOR = '~';
 
 /** The parts of a fence. */
 export interface FenceParts {
@@ -19,29 +19,29 @@
   gen: number;
   /** Number within the generation. */
   n: number;
-  /** Address of the owner that took it. */
+  /** Address of the owner. */
   peer: string;
 }
 
 /**
- * The fence of an owner; `owner` is its address, `~` and its process id.
+ * Builds a fence. `owner` is the owner's address, `~` and the instance id of its process.
  * @example
  * makeFence(3, 7, '10.0.0.1:7101~0001'); // '00000003.0000000007.10.0.0.1:7101~0001'
  */
-export function makeFence(gen: number, n: number, owner: string): Fence {
-  return `${String(gen).padStart(GENERATION_DIGITS, '0')}.${String(n).padStart(NUMBER_DIGITS, '0')}.${owner}`;
+export function makeFence(generation: number, number: number, owner: string): Fence {
+  return `${String(generation).padStart(GENERATION_DIGITS, '0')}.${String(number).padStart(NUMBER_DIGITS, '0')}.${owner}`;
 }
 
 /**
- * The parts of a fence; zeros and an empty address for `NO_FENCE`.
+ * Parses a fence. The parts of `NO_FENCE` are zeros and an empty address.
  * @example
- * parseFence(f).peer; // '10.0.0.1:7101'
+ * parseFence('00000003.0000000007.10.0.0.1:7101~0001').peer; // '10.0.0.1:7101'
  */
 export function parseFence(fence: Fence): FenceParts {
   if (fence === NO_FENCE) return { gen: 0, n: 0, peer: '' };
   return {
     gen: Number(fence.slice(0, GENERATION_DIGITS)),
     n: Number(fence.slice(NUMBER_START, OWNER_START - 1)),
-    peer: fence.slice(OWNER_START).split(PROCESS_SEPARATOR)[0]!,
+    peer: fence.slice(OWNER_START).split(INSTANCE_SEPARATOR)[0]!,
   };
 }
--- a/packages/state/src/index.ts
+++ b/packages/state/src/index.ts
@@ -1,4 +1,4 @@
-/** Lasting state on a node's disk. */
+/** Durable state on a node's disk. */
 export * from './durable-state.js';
 export * from './fence.js';
 export * from './replica.js';
--- a/packages/state/src/replica.ts
+++ b/packages/state/src/replica.ts
@@ -1,40 +1,40 @@
-/** A replica of one shard's history: its entries, and what is known of those that were trimmed. */
+/** A replica of one shard's history: its entries, and a summary of the trimmed ones. */
 import type { Fence } from './fence.js';
 
-/** One entry of a shard's history. Wire format, and columns on disk: the field names stay. */
+/** One entry of a shard's history. The fields are also those of the wire format and the columns on disk: their names must not change. */
 export interface Entry {
   /** Position in the shard's history. */
   idx: number;
-  /** Fence of the owner that wrote it. */
+  /** Fence of the owner that wrote the entry. */
   fence: Fence;
-  /** Topic of a message; '' for the barrier that a new owner writes first. */
+  /** Topic of the message, or '' for the barrier entry that a new owner writes first. */
   topic: string;
   /** Offset in the topic. */
   off: number;
-  /** Incarnation of the topic: the configuration version since which it was there without a gap. */
+  /** Incarnation of the topic: the configuration version since which the topic has existed without interruption. */
   era: number;
   sender: string;
   seq: number;
   body: string;
-  /** When the node that keeps it got it, by that node's own clock (ms); ages travel, times do not. */
+  /** When the node that holds the replica received the entry, by that node's clock (ms). Nodes send each other ages instead of times. */
   at: number;
 }
 
-/** A topic as far as its entries were trimmed. `since` is the first offset of its incarnation `era`. */
+/** Summary of a topic's trimmed entries. `head` is the last offset, and `since` the first offset of the incarnation `era`. */
 export interface TopicBase {
   head: number;
   since: number;
   era: number;
 }
 
-/** The last trimmed number of a sender on a topic. */
+/** The last trimmed sequence number of a sender on a topic, with the offset and time of its entry. */
 export interface SenderBase {
   seq: number;
   off: number;
   at: number;
 }
 
-/** What is known up to and including `idx`, once the entries themselves are trimmed. */
+/** Summary of the trimmed entries, which are those up to and including `idx`. */
 export interface TrimmedBase {
   idx: number;
   fence: Fence;
@@ -43,42 +43,42 @@
   senders: Map<string, SenderBase>;
 }
 
-/** A replica of one shard: in memory what is on disk, changed only together with the disk. */
+/** A replica of one shard. It mirrors in memory what is on disk, and is changed only together with it. */
 export interface Replica {
   shard: number;
-  /** The highest fence that was promised. */
+  /** The highest promised fence. */
   promised: Fence;
   base: TrimmedBase;
   /** entries[i].idx === base.idx + 1 + i */
   entries: Entry[];
 }
 
-/** The history of a shard that has none. */
+/** The base of an empty history. */
 export const emptyBase = (): TrimmedBase => ({ idx: 0, fence: '', topics: new Map(), senders: new Map() });
 
 /**
  * The key of `TrimmedBase.senders`.
  * @example
- * base.senders.get(senderKey('pay/7', 'desk'))?.seq; // the highest number that was trimmed
+ * base.senders.get(senderKey('pay/7', 'desk'))?.seq; // the last trimmed sequence number
  */
 export const senderKey = (topic: string, sender: string): string => `${topic}\n${sender}`;
 
 /**
- * The index of the last entry a replica holds.
+ * The index of the last entry of a replica, or of the last trimmed one if it holds none.
  * @example
  * lastIdx(replica); // base.idx + entries.length
  */
 export const lastIdx = (replica: Replica): number => replica.base.idx + replica.entries.length;
 
 /**
- * The fence of the last entry a replica holds: of two histories the one with the higher is the valid one.
+ * The fence of the last entry of a replica. Of two diverging histories, the one whose last fence is higher is valid.
  * @example
  * lastFence(one) > lastFence(other)
  */
 export const lastFence = (replica: Replica): Fence => replica.entries.at(-1)?.fence ?? replica.base.fence;
 
 /**
- * The fence of the entry at an index; undefined when it is not held.
+ * The fence of the entry at an index, or undefined if the replica does not hold it. Also known for the last trimmed entry.
  * @example
  * fenceAt(replica, prevIdx) === prevFence // histories agree up to prevIdx
  */
@@ -88,7 +88,7 @@
 }
 
 /**
- * Moves the base over one entry.
+ * Extends the base by the next entry.
  * @example
  * for (const entry of entries) foldIntoBase(base, entry);
  */
--- a/packages/state/src/tables.ts
+++ b/packages/state/src/tables.ts
@@ -1,17 +1,17 @@
-/** The tables on disk. Every row has a checksum over its columns, so that a flipped bit is no altered message. */
+/** The tables on disk. Each row has a checksum of its columns, so that a flipped bit is detected instead of changing a message. */
 import { registerIntegrityCheck, type Sql } from '@harecross/kernel';
 import { crc32 } from 'node:zlib';
 
-/** A table: its columns with their types, and its primary key. Names on disk: they stay. */
+/** A table: its columns with their types, and its primary key. The names are part of the format on disk and must not change. */
 interface TableSpec {
   name: string;
   columns: string[];
   key: string;
-  /** Whether its rows are kept under a row id of SQLite's own. */
+  /** Whether the table has SQLite's implicit row ids; otherwise it is created `without rowid`. */
   rowId?: true;
 }
 
-/** The tables of a node's lasting state. */
+/** The tables of a node's durable state. */
 export const TABLES: readonly TableSpec[] = [
   { name: 'meta', columns: ['k text', 'v text not null'], key: 'k' },
   {
@@ -51,23 +51,23 @@
 /** The checksum of a row. */
 export const checksumOf = (columns: unknown[]): number => crc32(columns.join('\0'));
 
-/** The names of a table's columns, without the checksum. Throws for a table that there is not. */
+/** The names of a table's columns, without the checksum. Throws if there is no such table. */
 export function columnNames(table: string): string[] {
   const spec = TABLES.find(({ name }) => name === table);
-  if (!spec) throw new Error(`no table ${table}`);
-  return namesIn(spec);
+  if (!spec) throw new Error(`no such table: ${table}`);
+  return columnNamesOf(spec);
 }
 
-const namesIn = (spec: TableSpec): string[] => spec.columns.map((column) => column.split(' ')[0]!);
+const columnNamesOf = (spec: TableSpec): string[] => spec.columns.map((column) => column.split(' ')[0]!);
 
-/** The columns that a table has on this disk. */
+/** The columns that a table has in this database. */
 const columnsOnDisk = (sql: Sql, table: string): string[] =>
   (sql.pragma(`table_info(${table})`) as { name: string }[]).map((column) => column.name);
 
-/** Makes the tables that are missing, and adds what earlier versions did not have. */
+/** Creates missing tables, and adds the checksum column to tables of earlier versions. */
 export function createTables(sql: Sql): void {
   sql.exec(TABLES.map(createStatement).join('\n'));
-  // Made before rows had checksums: theirs are missing, and they are taken as they are.
+  // Tables created before rows had checksums: their existing rows get none and are accepted unchecked.
   for (const { name } of TABLES)
     if (!columnsOnDisk(sql, name).includes('sum')) sql.exec(`alter table ${name} add column sum integer`);
 }
@@ -77,21 +77,21 @@
   return `create table if not exists ${name} (${columns.join(', ')}, sum integer, primary key (${key}))${suffix};`;
 }
 
-/** A row whose checksum is not that of its columns, in words; undefined where there is none. */
-function findAlteredRow(sql: Sql): string | undefined {
+/** Describes the first row whose checksum does not match its columns; undefined if there is none. */
+function findCorruptRow(sql: Sql): string | undefined {
   for (const spec of TABLES) {
     const { name, key } = spec;
     const onDisk = columnsOnDisk(sql, name);
     if (!onDisk.includes('sum')) continue;
-    const statement = sql.prepare(`select ${namesIn(spec).join(', ')}, sum from ${name}`);
+    const statement = sql.prepare(`select ${columnNamesOf(spec).join(', ')}, sum from ${name}`);
     for (const row of statement.raw().iterate() as Iterable<unknown[]>) {
       const sum = row.pop();
       if (sum === null || sum === checksumOf(row)) continue;
       const id = row.slice(0, key.split(', ').length).join(', ');
-      return `a row of ${name} was altered (${key}: ${id})`;
+      return `checksum mismatch in a row of ${name} (${key}: ${id})`;
     }
   }
   return undefined;
 }
 
-registerIntegrityCheck(findAlteredRow);
+registerIntegrityCheck(findCorruptRow);
