--- a/packages/trial/src/test/disk.test.ts
+++ b/packages/trial/src/test/disk.test.ts
@@ -406,7 +406,7 @@
   t.true(at > 0);
   flip(file, at + 200);
   const o = open(dir);
-  t.regex(told.join(), /a row of entry was altered/);
+  t.regex(told.join(), /checksum mismatch in a row of entry/);
   t.is(o.disk, undefined);
   o.db.close();
   rmSync(dir, { recursive: true });
