--- a/packages/control/src/membership/fact-table.ts
+++ b/packages/control/src/membership/fact-table.ts
@@ -55,7 +55,7 @@
 
   /** The parts of the table whose checksums differ from these. */
   differingParts(parts: number[]): number[] {
-    return this.sums.differing(parts);
+    return this.sums.differingParts(parts);
   }
 
   /** Whether a version is higher than the stored one. Tombstones are not considered here; `store` checks them. */
--- a/packages/control/src/membership/table-sums.ts
+++ b/packages/control/src/membership/table-sums.ts
@@ -30,7 +30,7 @@
   }
 
   /** The parts whose checksums differ from these. */
-  differing(parts: number[]): number[] {
+  differingParts(parts: number[]): number[] {
     return this.parts.flatMap((sum, part) => (sum === parts[part] ? [] : [part]));
   }
 
--- a/packages/state/src/durable-state.ts
+++ b/packages/state/src/durable-state.ts
@@ -234,7 +234,7 @@
   }
 
   /** Deletes the contents of a replica. The promised fence is kept, so that a former owner stays fenced off. */
-  releaseReplica(replica: Replica): void {
+  clearReplica(replica: Replica): void {
     this.installSnapshot(replica, emptyBase(), []);
   }
 }
