--- a/packages/data/src/ownership/shard-owner.ts
+++ b/packages/data/src/ownership/shard-owner.ts
@@ -107,7 +107,7 @@
 
   /** The number of topics in which each relay has interest. */
   interestTable(): { relay: string; topics: number }[] {
-    return this.interests.table();
+    return this.interests.countTopicsByRelay();
   }
 
   /**
@@ -136,7 +136,7 @@
   }
 
   private trim(): void {
-    this.interests.trim();
+    this.interests.removeExpired();
     this.ownershipCheck.forgetGoneMembers();
     this.trimmer.trim();
   }
--- a/packages/data/src/replication/replica-store.ts
+++ b/packages/data/src/replication/replica-store.ts
@@ -186,7 +186,7 @@
           last: lastIdx(replica),
           kept: replica.entries.length,
           gen: fence.gen,
-          number: fence.n,
+          number: fence.number,
           by: fence.peer,
         };
       });
@@ -365,7 +365,7 @@
   /** Deletes the history of shards that are no longer placed on this disk; the promises stay, so that an earlier owner stays fenced. */
   async release(shardIds: number[]): Promise<void> {
     await this.state.db.commit(() => {
-      for (const shardId of shardIds) this.state.releaseReplica(this.get(shardId));
+      for (const shardId of shardIds) this.state.clearReplica(this.get(shardId));
     });
   }
 }
