--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -400,8 +400,8 @@
       ],
       counters: Object.fromEntries([...this.kernel.counters].sort(([a], [b]) => (a < b ? -1 : 1))),
       keys: this.kernel.has('owner') ? this.kernel.use('owner').ownedShards() : [],
-      copies: this.kernel.has('copies') ? this.kernel.use('copies').table() : [],
-      interest: this.kernel.has('owner') ? this.kernel.use('owner').interestTable() : [],
+      copies: this.kernel.has('copies') ? this.kernel.use('copies').describeReplicas() : [],
+      interest: this.kernel.has('owner') ? this.kernel.use('owner').describeInterests() : [],
       holds: this.sessions?.listLeases() ?? [],
       conns: this.sessions?.size ?? 0,
     };
--- a/packages/data/src/ownership/shard-owner.ts
+++ b/packages/data/src/ownership/shard-owner.ts
@@ -106,7 +106,7 @@
   }
 
   /** The number of topics in which each relay has interest. */
-  interestTable(): { relay: string; topics: number }[] {
+  describeInterests(): { relay: string; topics: number }[] {
     return this.interests.countTopicsByRelay();
   }
 
--- a/packages/data/src/ownership/shard-state.ts
+++ b/packages/data/src/ownership/shard-state.ts
@@ -28,7 +28,7 @@
  * Value of `step` in an `outcome_unknown` error for a sequence number that is older than what the owner still knows. A repeat gets the
  * same answer.
  */
-export const FORGOTTEN = 'forgotten';
+export const FORGOTTEN_STEP = 'forgotten';
 
 /** What the owner knows of a sender's sequence number on a topic. */
 export type SequenceOutcome =
--- a/packages/data/src/replication/replica-store.ts
+++ b/packages/data/src/replication/replica-store.ts
@@ -176,7 +176,7 @@
   }
 
   /** The replicas that have promised a fence, as operators see them. */
-  table(): { shard: number; last: number; kept: number; gen: number; number: number; by: string }[] {
+  describeReplicas(): { shard: number; last: number; kept: number; gen: number; number: number; by: string }[] {
     return [...this.all.values()]
       .filter((replica) => replica.promised !== NO_FENCE)
       .map((replica) => {
