--- a/packages/control/src/operators/operator-answers.ts
+++ b/packages/control/src/operators/operator-answers.ts
@@ -1,15 +1,15 @@
 /**
- * When an operator's call is answered: in time for its sender to go elsewhere, by what a majority told after it was asked, and not
- * at all where it may have lain in a buffer.
+ * Rules for answering an operator's call: early enough for the sender to try another node, based on what a majority confirmed after the
+ * call arrived, and with a refusal if the request may have waited in a buffer.
  */
 import { HarecrossError, REGISTER, withTimeout, type Kernel } from '@harecross/kernel';
 import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
 import type { FleetValue } from '../value/fleet-value.js';
 
 /**
- * Bounds the answers to operators.
+ * Applies the time limit and the freshness rules to the answers for operators.
  * @example
- * const v = await answers.confirmedValue('ReadConfig'); // or a Failure, within REGISTER.operatorAnswerMs
+ * const value = await answers.confirmedValue('ReadConfig'); // or throws a HarecrossError within REGISTER.operatorAnswerMs
  */
 export class OperatorAnswers {
   constructor(
@@ -17,41 +17,42 @@
     private readonly register: ConsensusRegister,
   ) {}
 
-  /** Turns away an order that may have lain in a buffer for long: its sender, if it still wants it, sends it again. */
+  /** Rejects a request that may have waited in a buffer for long, because this process was paused; the sender can repeat it. */
   rejectIfStale(step: string): void {
     if (this.kernel.resumedRecently()) throw notReady(this.kernel, step);
   }
 
   /**
-   * The outcome of an order, or `no_majority` after REGISTER.operatorAnswerMs where no majority answered anything asked since the order
-   * came: its sender has to know in time that another node may do better. The order itself goes on up to its own limit.
+   * The outcome of a request, or a `no_majority` error (`not_ready` without a value) after REGISTER.operatorAnswerMs if no majority has
+   * confirmed anything since the request arrived: the sender has to learn in time that another node may be able to serve it. The work
+   * itself goes on up to its own time limit.
    */
   async withinAnswerTime<T>(step: string, work: Promise<T>): Promise<T> {
     const { clock } = this.kernel.host;
-    const askedAt = clock.now();
+    const startedAt = clock.now();
     void this.register.confirm().catch(() => undefined);
     const outcome = work.then((out) => ({ out }));
-    const got = await withTimeout(clock, REGISTER.operatorAnswerMs, outcome);
-    if (got) return got.out;
-    if (this.register.confirmedSince(askedAt)) return work;
+    const settled = await withTimeout(clock, REGISTER.operatorAnswerMs, outcome);
+    if (settled) return settled.out;
+    if (this.register.confirmedSince(startedAt)) return work;
     work.catch(() => this.kernel.incrementCounter('orders.failed_later'));
     throw this.register.value ? this.noMajority(step) : notReady(this.kernel, step);
   }
 
   /**
-   * The value as a majority confirms it to a question asked after this call began; `no_majority` after REGISTER.operatorAnswerMs. A process
-   * that stood still meanwhile does not answer by what it heard before.
+   * The value, confirmed by a majority in a request sent after this call began; a `no_majority` error after REGISTER.operatorAnswerMs. A
+   * process that was paused for longer meanwhile doesn't answer with what it received before the pause.
    */
   async confirmedValue(step: string): Promise<FleetValue> {
     if (!this.register.value) throw notReady(this.kernel, step);
     const { clock } = this.kernel.host;
-    const askedAt = clock.now();
+    const startedAt = clock.now();
     const value = await withTimeout(clock, REGISTER.operatorAnswerMs, this.currentValue());
-    if (!value || clock.now() - askedAt > REGISTER.operatorAnswerMs) throw this.noMajority(step);
+    if (!value || clock.now() - startedAt > REGISTER.operatorAnswerMs) throw this.noMajority(step);
     return value;
   }
 
-  /** The value after a confirmation that begins now, or read by a ballot: it may be newer than what was confirmed, never older. */
+  /** The value after a confirmation that starts now, or else read with a ballot. It may be newer than what was confirmed, never older. */
   private async currentValue(): Promise<FleetValue> {
     return (await this.register.confirm()) ? this.register.value! : this.register.read(REGISTER.operatorAnswerMs);
   }
--- a/packages/control/src/operators/operators.ts
+++ b/packages/control/src/operators/operators.ts
@@ -1,4 +1,4 @@
-/** What operators ask of the fleet: configurations, the calendar of moves, and the emptying of disks. */
+/** Operator requests: configuration changes, planned moves, and the emptying of disks. */
 import { HarecrossError, REGISTER, REQUEST, jitteredRetryMs, registerPlugin, type Kernel } from '@harecross/kernel';
 import { configFaults, type FleetConfig, type Move, type PathFault } from '@harecross/schema';
 import type { MembershipTable } from '../membership/membership-table.js';
@@ -27,7 +27,7 @@
   }
 }
 
-/** What a disk is told to have, as operators are answered. */
+/** The status of a disk in answers to operators. */
 interface DiskStatus {
   disk: string;
   state: string;
@@ -35,19 +35,19 @@
   seat: boolean;
 }
 type DiskOutcome =
-  { tag: 'done'; told: DiskStatus } | { tag: 'unknown' } | { tag: 'refused'; why: string } | { tag: 'unclear' };
+  { tag: 'done'; status: DiskStatus } | { tag: 'unknown' } | { tag: 'refused'; why: string } | { tag: 'unclear' };
 type ChangeOutcome = ChangeOutcomeRecord | { tag: 'invalid'; faults: PathFault[] } | { tag: 'forgotten' };
 
 /**
- * What operators ask of the register.
+ * Serves the requests of operators from the agreed value, and changes it for them.
  * @example
- * await k.use('operators').submit({ changeId: 'c1', expect: 3, config }); // { version: 4 }
- * await k.use('operators').submit({ revision: 17, document, config }); // { version: 5, revision: 17, outcome: 'accepted' }
+ * await kernel.use('operators').submit({ changeId: 'c1', expect: 3, config }); // { version: 4 }
+ * await kernel.use('operators').submit({ revision: 17, document, config }); // { version: 5, revision: 17, outcome: 'accepted' }
  */
 export class Operators {
   private readonly submissions: Submissions;
   private readonly answers: OperatorAnswers;
-  /** Changes by change id that are under way at this node. */
+  /** Number of changes without a revision that are in progress at this node. */
   private changesInFlight = 0;
 
   constructor(
@@ -60,11 +60,12 @@
   }
 
   /**
-   * Takes a configuration. With a revision the highest holds: what is not above it is answered with the one in force, and fails with
-   * `conflict` where another configuration came into force under its revision. Without one the first outcome of its changeId is
-   * given. Fails with `invalid_config`, `conflict`, `overloaded` (too many at once), `outcome_unknown` (its outcome is forgotten), and
-   * with `not_ready` or `no_majority`: within REGISTER.operatorAnswerMs where no majority answers, else after REGISTER.submitMs. One that failed so
-   * may still come into force, up to REGISTER.submitMs after it was last sent to this node.
+   * Submits a configuration. With a revision, the highest one wins: a submission that isn't above it is answered with the one in force, or
+   * fails with `conflict` if another configuration came into force under the same revision. Without a revision, a repeat is answered
+   * with the first outcome of its changeId. Errors: `invalid_config`, `conflict`, `overloaded` (too many at once), `outcome_unknown` (the
+   * outcome is no longer stored), and `not_ready` or `no_majority`, within REGISTER.operatorAnswerMs if no majority answers, else after
+   * REGISTER.submitMs. A submission that failed with one of these two may still come into force, until REGISTER.submitMs after it was
+   * last sent to this node.
    */
   async submit(request: {
     changeId?: string;
@@ -81,11 +82,11 @@
     return this.change('SubmitConfig', changeId!, request.expect, () => ({ config, document }));
   }
 
-  /** Takes a new calendar into the configuration in force. */
-  planMoves(b: { changeId: string; expect?: number; moves: Move[] }): Promise<{ version: number }> {
-    return this.change('PlanMoves', b.changeId, b.expect, (v) => ({
-      config: { ...v.config, moves: b.moves },
-      document: v.document,
+  /** Replaces the planned moves in the configuration in force. */
+  planMoves(request: { changeId: string; expect?: number; moves: Move[] }): Promise<{ version: number }> {
+    return this.change('PlanMoves', request.changeId, request.expect, (value) => ({
+      config: { ...value.config, moves: request.moves },
+      document: value.document,
     }));
   }
 
@@ -93,7 +94,7 @@
     step: string,
     changeId: string,
     expect: number | undefined,
-    make: (value: FleetValue) => { config: unknown; document?: string },
+    buildChange: (value: FleetValue) => { config: unknown; document?: string },
   ): Promise<{ version: number }> {
     this.answers.rejectIfStale(step);
     if (!this.register.value) throw notReady(this.kernel, step);
@@ -101,19 +102,20 @@
     this.changesInFlight++;
     try {
       const changed = this.register.change(
-        (value) => this.applyChange(value, changeId, expect, make(value)),
+        (value) => this.applyChange(value, changeId, expect, buildChange(value)),
         REGISTER.submitMs,
       );
       const outcome = await this.answers.withinAnswerTime(step, changed);
-      return this.versionOf(step, outcome);
+      return this.versionOrThrow(step, outcome);
     } finally {
       this.changesInFlight--;
     }
   }
 
   /**
-   * The outcome of a change by its id, and the value with it. Refusals are outcomes too, not thrown here: the register then has the
-   * value that they were judged by accepted anew, so that an earlier try of the same change can't come into force after them.
+   * The outcome of a change with this id, and the value that records it. Refusals are returned as outcomes and not thrown: the register
+   * then has the value that they were based on accepted again, so that an earlier attempt of the same change can't come into force after
+   * the refusal.
    */
   private applyChange(
     value: FleetValue,
@@ -124,7 +126,7 @@
     const first = value.changes.get(changeId);
     if (first) return { out: first };
     if (expect !== undefined && expect !== value.version) {
-      // Its first try may be one of those that are forgotten: neither refused nor taken is true then for sure.
+      // The outcome of its first attempt may have been discarded: then whether it was accepted or refused is unknown.
       if (expect <= (value.changesForgottenTo ?? -1)) return { out: { tag: 'forgotten' } };
       const out = { tag: 'conflict' as const, version: value.version };
       return { next: { ...value, ...withChangeOutcome(value, changeId, out) }, out };
@@ -137,7 +139,7 @@
     return { next: { ...next, ...withChangeOutcome(value, changeId, out) }, out };
   }
 
-  private versionOf(step: string, outcome: ChangeOutcome): { version: number } {
+  private versionOrThrow(step: string, outcome: ChangeOutcome): { version: number } {
     const peer = this.kernel.self;
     switch (outcome.tag) {
       case 'taken':
@@ -153,28 +155,31 @@
     }
   }
 
-  /** Faults of what a configuration says of machines; moves that are already in force are not judged again. */
-  private machineFaults(v: FleetValue, c: FleetConfig): { path: string; fault: string }[] {
+  /** Faults in what a configuration says about machines; moves that are already in force are not checked again. */
+  private machineFaults(value: FleetValue, config: FleetConfig): { path: string; fault: string }[] {
     const now = this.kernel.host.clock.wall();
-    const had = new Set((v.config.moves ?? []).map((m) => JSON.stringify(m)));
-    const out: { path: string; fault: string }[] = [];
-    (c.moves ?? []).forEach((m, i) => {
-      if (had.has(JSON.stringify(m))) return;
-      if (m.until <= now) out.push({ path: `/moves/${i}/until`, fault: 'is in the past' });
-      const known = this.membership.members.has(m.node) || [...v.disks.values()].some((d) => d.peer === m.node);
-      if (m.kind !== 'add' && !known) out.push({ path: `/moves/${i}/node`, fault: `no machine '${m.node}' is known` });
+    const movesInForce = new Set((value.config.moves ?? []).map((move) => JSON.stringify(move)));
+    const faults: { path: string; fault: string }[] = [];
+    (config.moves ?? []).forEach((move, i) => {
+      if (movesInForce.has(JSON.stringify(move))) return;
+      if (move.until <= now) faults.push({ path: `/moves/${i}/until`, fault: 'is in the past' });
+      const isKnown =
+        this.membership.members.has(move.node) || [...value.disks.values()].some((disk) => disk.peer === move.node);
+      if (move.kind !== 'add' && !isKnown)
+        faults.push({ path: `/moves/${i}/node`, fault: `no machine '${move.node}' is known` });
     });
-    (c.placement ?? []).forEach((p, i) => {
-      if (!v.shards.has(p.shard)) out.push({ path: `/placement/${i}/shard`, fault: `there is no shard ${p.shard}` });
-      p.nodes.forEach((n, j) => {
-        if (![...v.disks.values()].some((d) => d.peer === n && d.state !== 'lost'))
-          out.push({ path: `/placement/${i}/nodes/${j}`, fault: `no disk is known at '${n}'` });
+    (config.placement ?? []).forEach((placement, i) => {
+      if (!value.shards.has(placement.shard))
+        faults.push({ path: `/placement/${i}/shard`, fault: `there is no shard ${placement.shard}` });
+      placement.nodes.forEach((node, j) => {
+        if (![...value.disks.values()].some((disk) => disk.peer === node && disk.state !== 'lost'))
+          faults.push({ path: `/placement/${i}/nodes/${j}`, fault: `no disk is known at '${node}'` });
       });
     });
-    return out;
+    return faults;
   }
 
-  /** The configuration in force, confirmed at a majority, with the operators' own number and words. */
+  /** The configuration in force, confirmed by a majority, with the operators' revision and document. */
   async readConfig(): Promise<{
     version: number;
     changeId: string;
@@ -182,29 +187,32 @@
     document?: unknown;
     config: unknown;
   }> {
-    const v = await this.answers.confirmedValue('ReadConfig');
+    const value = await this.answers.confirmedValue('ReadConfig');
     return {
-      version: v.version,
-      changeId: v.changeId,
-      ...(v.revision === undefined ? {} : { revision: v.revision }),
-      ...(v.document === undefined ? {} : { document: JSON.parse(v.document) }),
-      config: v.config,
+      version: value.version,
+      changeId: value.changeId,
+      ...(value.revision === undefined ? {} : { revision: value.revision }),
+      ...(value.document === undefined ? {} : { document: JSON.parse(value.document) }),
+      config: value.config,
     };
   }
 
   /**
-   * Begins or takes back the emptying of a disk. An order that was taken is answered again, whatever has become of the disk since. With a
-   * change id, an order that was carried out is not carried out again, however late its repeat comes: another may have been given since.
+   * Starts or cancels the emptying of a disk. A repeat of an accepted request succeeds again, whatever has happened to the disk since.
+   * A request with a change id is executed only once, however late it is repeated: another request may have changed the state since.
    */
   async setDisk(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
     this.answers.rejectIfStale(step);
     if (!this.register.value) throw notReady(this.kernel, step);
-    const changed = this.register.change((value) => this.setDiskOnce(value, disk, state, changeId), REGISTER.submitMs);
+    const changed = this.register.change(
+      (value) => this.applyDiskRequest(value, disk, state, changeId),
+      REGISTER.submitMs,
+    );
     const outcome = await this.answers.withinAnswerTime(step, changed);
     const peer = this.kernel.self;
     switch (outcome.tag) {
       case 'done':
-        return outcome.told;
+        return outcome.status;
       case 'unknown':
         throw new HarecrossError({ tag: 'unknown_disk', step, peer, disk });
       case 'refused':
@@ -214,66 +222,71 @@
     }
   }
 
-  /** What becomes of an order on a disk, at most once for a change id. */
-  private setDiskOnce(
+  /** The outcome of a request to set a disk's state, applied at most once for each change id. */
+  private applyDiskRequest(
     value: FleetValue,
     disk: string,
     state: 'active' | 'emptying',
     changeId: string | undefined,
   ): { next?: FleetValue; out: DiskOutcome } {
     if (changeId === undefined) return this.applyDiskState(value, disk, state);
-    const found = findDisk(value, disk);
-    if (found && value.changes.has(changeId))
-      return { out: { tag: 'done', told: diskStatusOf(value, found, found.state) } };
-    const made = this.applyDiskState(value, disk, state);
-    if (made.out.tag !== 'done') return made;
+    const record = findDisk(value, disk);
+    if (record && value.changes.has(changeId))
+      return { out: { tag: 'done', status: diskStatusOf(value, record, record.state) } };
+    const result = this.applyDiskState(value, disk, state);
+    if (result.out.tag !== 'done') return result;
     const outcome: ChangeOutcomeRecord = { tag: 'taken', version: value.version };
-    return { next: { ...(made.next ?? value), ...withChangeOutcome(value, changeId, outcome) }, out: made.out };
+    return { next: { ...(result.next ?? value), ...withChangeOutcome(value, changeId, outcome) }, out: result.out };
   }
 
-  /** What becomes of an order on a disk. As with changes, refusals are outcomes. */
+  /** The outcome of a request to set a disk's state. As in `applyChange`, refusals are returned as outcomes. */
   private applyDiskState(
     value: FleetValue,
     disk: string,
     state: 'active' | 'emptying',
   ): { next?: FleetValue; out: DiskOutcome } {
-    const found = findDisk(value, disk);
-    if (!found) return { out: { tag: 'unknown' } };
-    const told = diskStatusOf(value, found, state);
-    if (found.state === state) return { out: { tag: 'done', told } };
-    const repeated = state === 'emptying' && isDrainOrdered(value, disk);
-    if (found.state === 'lost') {
-      if (repeated) return { out: { tag: 'done', told: { ...told, state: found.state } } };
+    const record = findDisk(value, disk);
+    if (!record) return { out: { tag: 'unknown' } };
+    const status = diskStatusOf(value, record, state);
+    if (record.state === state) return { out: { tag: 'done', status } };
+    const isRepeat = state === 'emptying' && isDrainOrdered(value, disk);
+    if (record.state === 'lost') {
+      if (isRepeat) return { out: { tag: 'done', status: { ...status, state: record.state } } };
       return { out: { tag: 'refused', why: `disk ${disk} is lost` } };
     }
-    const bar = state === 'emptying' ? reasonToStay(value, { kind: 'empty' }, found, this.membership) : undefined;
-    // Taken before, for a disk that was replaced since: it is begun again as soon as that holds.
-    if (bar !== undefined) return { out: repeated ? { tag: 'unclear' } : { tag: 'refused', why: bar } };
+    const reasonNotToEmpty =
+      state === 'emptying' ? reasonToStay(value, { kind: 'empty' }, record, this.membership) : undefined;
+    // The request was accepted before, for a disk that was replaced since: the sender repeats it until it can start again.
+    if (reasonNotToEmpty !== undefined)
+      return { out: isRepeat ? { tag: 'unclear' } : { tag: 'refused', why: reasonNotToEmpty } };
     const emptyingTaken = state === 'emptying' ? true : undefined;
-    const disks = new Map(value.disks).set(found.id, { ...found, state, emptyingTaken });
-    return { next: { ...value, disks }, out: { tag: 'done', told } };
+    const disks = new Map(value.disks).set(record.id, { ...record, state, emptyingTaken });
+    return { next: { ...value, disks }, out: { tag: 'done', status } };
   }
 
-  /** How far the emptying of a disk has come, confirmed at a majority: a machine that is said to be emptied is taken away. */
+  /** The progress of emptying a disk, confirmed by a majority, because operators remove a machine that is reported as emptied. */
   async emptyStatus(disk: string): Promise<DiskStatus> {
-    const v = await this.answers.confirmedValue('EmptyStatus');
-    const d = findDisk(v, disk);
-    if (!d) throw new HarecrossError({ tag: 'unknown_disk', step: 'EmptyStatus', peer: this.kernel.self, disk });
-    const { id } = d;
+    const value = await this.answers.confirmedValue('EmptyStatus');
+    const record = findDisk(value, disk);
+    if (!record) throw new HarecrossError({ tag: 'unknown_disk', step: 'EmptyStatus', peer: this.kernel.self, disk });
+    const { id } = record;
     return {
       disk: id,
-      state: d.state === 'emptying' && holdsNothing(v, id) ? 'emptied' : d.state,
-      copies: replicaCountOn(v, id),
-      seat: v.voters.includes(id),
+      state: record.state === 'emptying' && holdsNothing(value, id) ? 'emptied' : record.state,
+      copies: replicaCountOn(value, id),
+      seat: value.voters.includes(id),
     };
   }
 
-  /** The calendar in force, confirmed at a majority, with how far each move has come. */
+  /** The planned moves in force, confirmed by a majority, with the state of each. */
   async moves(): Promise<{ version: number; moves: (Move & { state: MoveState | 'planned'; why: string })[] }> {
     const { version, config, moves } = await this.answers.confirmedValue('Moves');
     return {
       version,
-      moves: (config.moves ?? []).map((m) => ({ ...m, ...(moves.get(moveKey(m)) ?? { state: 'planned', why: '' }) })),
+      moves: (config.moves ?? []).map((move) => ({
+        ...move,
+        ...(moves.get(moveKey(move)) ?? { state: 'planned', why: '' }),
+      })),
     };
   }
 }
@@ -285,7 +298,7 @@
   seat: value.voters.includes(disk.id),
 });
 
-/** The changes of a value with one more outcome; the oldest beyond the bound are forgotten. */
+/** The change outcomes of a value with one more; the oldest beyond REGISTER.changeIdLimit are discarded. */
 function withChangeOutcome(
   value: FleetValue,
   changeId: string,
@@ -304,5 +317,5 @@
 registerPlugin({
   name: 'operators',
   needs: ['membership', 'register'],
-  setup: (k) => new Operators(k, k.use('membership'), k.use('register')),
+  setup: (kernel) => new Operators(kernel, kernel.use('membership'), kernel.use('register')),
 });
--- a/packages/control/src/operators/submissions.ts
+++ b/packages/control/src/operators/submissions.ts
@@ -1,9 +1,9 @@
 /**
- * Configurations that operators send with a revision of their own, from the first try until their outcome is settled. What settles
- * one is the agreed value alone, by content: see revision-outcomes.ts.
+ * Configurations that operators submit with their own revision number, from the first attempt until the outcome is settled. The outcome
+ * is decided by the content of the agreed value alone: see revision-outcomes.ts.
  *
- * An order that waits here may still come into force until REGISTER.submitMs after it was last sent to this node, whether its sender waits
- * or not, and only while nothing as high is in force; after that this node forgets it and tries no more.
+ * A queued submission may still come into force until REGISTER.submitMs after it was last sent to this node, whether or not its sender
+ * still waits, and only while no revision as high is in force. After that this node drops it and makes no further attempt.
  */
 import {
   HarecrossError,
@@ -21,14 +21,14 @@
 
 const STEP = 'SubmitConfig';
 
-/** What is in force after an order with a revision, that one or a higher one, and what became of the order. */
+/** The revision in force after a submission (its own or a higher one), and the outcome of the submission. */
 export interface RevisionResult {
   version: number;
   revision: number;
   outcome: 'accepted' | 'overtaken' | 'forgotten';
 }
 
-/** How an order ended: answered with what is in force, or refused. */
+/** How a submission ended: answered with what is in force, or refused. */
 type SubmissionResult =
   { tag: 'answer'; answer: RevisionResult } | { tag: 'conflict' } | { tag: 'invalid'; faults: PathFault[] };
 
@@ -37,21 +37,21 @@
   reject: (why: unknown) => void;
 }
 
-/** A configuration that is to come into force, with all who wait for it: it may be sent again and again. */
+/** A submitted configuration with all callers that wait for its outcome: the same one may be sent many times. */
 interface Submission extends RevisionOrder {
   key: string;
   changeId: string;
   config: FleetConfig;
   document?: string;
-  /** Time of the steady clock, ms: no try begins after it. */
+  /** Deadline (steady clock, ms): no attempt starts after it. */
   until: number;
   waiters: Waiter[];
 }
 
 /**
- * The answer for an order that finds the node's queue full.
+ * The error for a request that finds too many others in progress or queued at this node.
  * @example
- * if (this.changing >= REGISTER.concurrentChangeLimit) throw overloaded(k, 'PlanMoves');
+ * if (this.changesInFlight >= REGISTER.concurrentChangeLimit) throw overloaded(kernel, 'PlanMoves');
  */
 export function overloaded(kernel: Kernel, step: string): HarecrossError {
   return new HarecrossError({
@@ -62,20 +62,21 @@
   });
 }
 
-/** The answer that a value gives to an order that is settled. */
+/** The result of a settled submission, from the value that settles it. */
 function resultFrom(value: FleetValue, outcome: Exclude<RevisionOutcome, 'open'>): SubmissionResult {
   if (outcome === 'conflict') return { tag: 'conflict' };
   return { tag: 'answer', answer: { version: value.version, revision: value.revision!, outcome } };
 }
 
 /**
- * The bounded queue of orders with a revision at this node. One of them, the highest, is at work at a time: it settles the lower ones.
+ * The bounded queue of submissions with a revision at this node. Only the highest one is attempted at a time: its outcome settles the
+ * lower ones too.
  * @example
  * await submissions.submit({ revision: 17, config }) // { version: 5, revision: 17, outcome: 'accepted' }
  */
 export class Submissions {
   private readonly pending = new Map<string, Submission>();
-  private working = false;
+  private isProcessing = false;
 
   constructor(
     private readonly kernel: Kernel,
@@ -85,7 +86,7 @@
     kernel.addSubscription(register.value$.subscribe(() => this.answerSettled()));
   }
 
-  /** Takes an order, new or sent again, and answers when it is settled. */
+  /** Queues a submission, new or repeated, and resolves when its outcome is settled. */
   submit(request: {
     revision: number;
     changeId?: string;
@@ -100,11 +101,11 @@
       submission.waiters.push({ resolve, reject });
     });
     this.answerSettled();
-    void this.workThroughQueue();
+    void this.processQueue();
     return answer;
   }
 
-  /** The submission with this content, or a new one; `overloaded` where the queue, or the list of those who wait for it, is full. */
+  /** The queued submission with this content, or a new one; throws `overloaded` if the queue or the submission's list of waiters is full. */
   private enqueue(request: { revision: number; changeId?: string; config: unknown; document?: unknown }): Submission {
     const { revision, config, document } = request;
     const digest = digestOf(config, document);
@@ -131,40 +132,40 @@
     return new HarecrossError({ tag: 'invalid_config', step: STEP, peer: this.kernel.self, faults });
   }
 
-  /** Names what is in force, so that the caller can tell its own order from the other. */
+  /** Contains the version and revision in force, so that the caller can tell its own submission from the other one. */
   private conflict(): HarecrossError {
     const { version, revision } = this.register.value!;
     return new HarecrossError({ tag: 'conflict', step: STEP, peer: this.kernel.self, version, revision });
   }
 
-  /** Whether it is still one to work on; one that was sent again later is another. */
+  /** Whether this submission is still queued; one with the same content that was queued after its removal is a different one. */
   private isPending(submission: Submission): boolean {
     return this.pending.get(submission.key) === submission;
   }
 
-  /** The one function that takes a submission out; gives who is to be told. */
+  /** Removes a submission and returns the waiters to answer. No other method removes one. */
   private remove(submission: Submission): Waiter[] {
     if (this.isPending(submission)) this.pending.delete(submission.key);
     return submission.waiters.splice(0);
   }
 
-  private answerAll(waiters: Waiter[], settled: SubmissionResult): void {
+  private answerAll(waiters: Waiter[], result: SubmissionResult): void {
     for (const waiter of waiters) {
-      switch (settled.tag) {
+      switch (result.tag) {
         case 'answer':
-          waiter.resolve(settled.answer);
+          waiter.resolve(result.answer);
           break;
         case 'conflict':
           waiter.reject(this.conflict());
           break;
         case 'invalid':
-          waiter.reject(this.invalid(settled.faults));
+          waiter.reject(this.invalid(result.faults));
           break;
       }
     }
   }
 
-  /** Answers what a value that the fleet agreed on has settled, whoever brought it about. */
+  /** Answers all submissions that the agreed value has settled, whichever node changed it. */
   private answerSettled(): void {
     const { value } = this.register;
     if (!value) return;
@@ -178,7 +179,7 @@
     }
   }
 
-  /** It is settled, but something higher may be in force by now: a majority tells what is, or nothing is told. */
+  /** Answers once a majority has confirmed what is in force now, which may be a higher revision; fails if none does in time. */
   private async answerOnceConfirmed(
     outcome: RevisionResult['outcome'],
     until: number,
@@ -187,7 +188,7 @@
     const { clock, random } = this.kernel.host;
     while (!(await this.register.confirm().catch(() => false))) {
       if (clock.now() >= until) {
-        const detail = 'settled, but no majority tells what is in force';
+        const detail = 'the outcome is settled, but no majority of the voters confirmed which revision is in force';
         const failure = new HarecrossError({ tag: 'no_majority', step: STEP, peer: this.kernel.self, detail });
         for (const waiter of waiters) waiter.reject(failure);
         return;
@@ -197,7 +198,7 @@
     this.answerAll(waiters, resultFrom(this.register.value!, outcome));
   }
 
-  /** The one to work on: of the highest revision, the first that was sent. */
+  /** The submission to attempt next: the first one sent of the highest revision. */
   private next(): Submission | undefined {
     let highest: Submission | undefined;
     for (const submission of this.pending.values())
@@ -206,30 +207,31 @@
   }
 
   /**
-   * Works on the highest submission until none is left, or its time has passed. Senders may have left: several tries of one revision, at
-   * several nodes, each go on until they see it in force. They do not fight for long: the register's retries are spread out at random.
+   * Attempts the highest submission until the queue is empty; one whose deadline has passed is removed. The sender may have disconnected:
+   * if several nodes attempt the same revision, each goes on until it sees that revision in force. They don't block each other for long,
+   * because the register's retries are spread randomly.
    */
-  private async workThroughQueue(): Promise<void> {
-    if (this.working) return;
-    this.working = true;
+  private async processQueue(): Promise<void> {
+    if (this.isProcessing) return;
+    this.isProcessing = true;
     try {
       for (let submission = this.next(); submission; submission = this.next()) await this.attempt(submission);
     } finally {
-      this.working = false;
+      this.isProcessing = false;
     }
   }
 
   private async attempt(submission: Submission): Promise<void> {
     const { clock } = this.kernel.host;
     try {
-      const settled = await this.register.change(
+      const result = await this.register.change(
         (value) => this.applySubmission(value, submission),
         Math.min(REGISTER.submitAttemptMs, submission.until - clock.now()),
         () => this.isPending(submission),
       );
-      this.answerAll(this.remove(submission), settled);
+      this.answerAll(this.remove(submission), result);
     } catch (error) {
-      // No longer wanted: settled meanwhile.
+      // It was settled meanwhile.
       if (!this.isPending(submission)) return;
       if (toErrorDetails(error, STEP, this.kernel.self).tag === 'no_majority' && clock.now() < submission.until) return;
       const failure = this.register.value ? error : notReady(this.kernel, STEP);
@@ -238,8 +240,9 @@
   }
 
   /**
-   * What becomes of an order on top of a value. A refusal is an outcome and not thrown here: the register then has the value that it
-   * was judged by accepted anew, so that an earlier try of the same order, accepted by a few disks, can't come into force after it.
+   * The outcome of a submission on top of a value. A refusal is returned as an outcome and not thrown: the register then has the value
+   * that it was based on accepted again, so that an earlier attempt of the same submission, accepted by a few disks only, can't come into
+   * force after the refusal.
    */
   private applySubmission(value: FleetValue, submission: Submission): { next?: FleetValue; out: SubmissionResult } {
     const outcome = revisionOutcome(value, submission);
--- a/packages/control/src/placement/durability.ts
+++ b/packages/control/src/placement/durability.ts
@@ -1,4 +1,4 @@
-/** What the fleet promises to bear: how many replicas and voters that takes, and whether its disks have room for them. */
+/** The fault tolerance of a fleet: how many replicas and voters it needs, and whether the disks have room for them. */
 import {
   REGISTER,
   SHARD,
@@ -12,32 +12,32 @@
 import { copyDisks, quickOf } from './placement.js';
 import { roomFor } from './spread.js';
 
-/** Fewest voters of a fleet: one may be lost. */
-const LEAST_VOTERS = 3;
+/** The fewest voters that tolerate the loss of one. */
+const MIN_VOTER_COUNT = 3;
 
-/** The part of the agreed value that says what is to be borne. */
+/** The part of the agreed value that says how many losses are tolerated, and by how many replicas and voters. */
 export type Durability = Pick<FleetValue, 'copies' | 'votersWanted' | 'tolerance'>;
 
 /**
- * The replicas and voters by which the fleet bears what the config of a process asks for; the defaults where it asks for nothing.
+ * The numbers of replicas and voters for the fault tolerance in the config of a process; the defaults where it sets none.
  * @example
  * durabilityOf({ ...config, losses: 1 }); // { copies: 3, votersWanted: 3, tolerance: { machines: 1, domains: 0, regions: 0 } }
  */
 export function durabilityOf(config: NodeConfig): Durability {
   const tolerance = faultToleranceOf(config);
   if (!tolerance) return { copies: SHARD.replicaCount, votersWanted: REGISTER.voterCount };
-  const sizeFor = (least: number): number => {
-    const size = setSizeFor(tolerance, config.domains, least);
-    if (size === undefined) throw new Error('the config of a process was not checked');
+  const sizeFor = (minSize: number): number => {
+    const size = setSizeFor(tolerance, config.domains, minSize);
+    if (size === undefined) throw new Error('config was not validated: no set size tolerates the configured losses');
     return size;
   };
-  return { copies: sizeFor(1), votersWanted: sizeFor(LEAST_VOTERS), tolerance };
+  return { copies: sizeFor(1), votersWanted: sizeFor(MIN_VOTER_COUNT), tolerance };
 }
 
 /**
- * Why these disks can't bear what is promised, one clear line; undefined where they can, or where nothing was promised.
+ * Why these disks can't provide the fault tolerance, in one line; undefined if they can, or if no tolerance is set.
  * @example
- * shortfallOf(durability, disks); // 'replicas: 3 disks are needed and there is room for 2'
+ * shortfallOf(durability, disks); // 'replicas: tolerating the loss of 1 machines, ... requires 3 disks, ... have room for 2'
  */
 export function shortfallOf(durability: Durability, disks: DiskRecord[]): string | undefined {
   const { tolerance, copies, votersWanted } = durability;
@@ -53,8 +53,8 @@
   const room = roomFor(size, disks, tolerance);
   if (room >= size) return undefined;
   const { machines, domains, regions } = tolerance;
-  const asked = `the loss of ${machines} machines, or ${domains} failure domains, or ${regions} regions`;
-  return `${what}: to bear ${asked}, ${size} disks are needed, spread over them, and the ${disks.length} there have room for ${room}`;
+  const losses = `the loss of ${machines} machines, or ${domains} failure domains, or ${regions} regions`;
+  return `${what}: tolerating ${losses} requires ${size} disks, spread over them, and the ${disks.length} available have room for ${room}`;
 }
 
 const usableFor = (disks: DiskRecord[], use: DiskUse): DiskRecord[] => disks.filter((disk) => isUsedFor(disk, use));
--- a/packages/control/src/placement/placement.ts
+++ b/packages/control/src/placement/placement.ts
@@ -4,57 +4,61 @@
 import { isPrimarilyFor, type DiskRecord, type Placement, type FleetValue } from '../value/fleet-value.js';
 
 /**
- * Copies a shard gets: odd, so that one more copy never costs a larger majority without bearing one more loss.
+ * How many replicas a shard gets on this many disks. The number is odd: an even number needs a larger majority without tolerating one more
+ * loss.
  * @example
- * copiesFor(5, 4); // 3
+ * oddReplicaCount(5, 4); // 3
  */
 export function copiesFor(copies: number, disks: number): number {
-  const n = Math.min(copies, disks);
-  return n > 1 && n % 2 === 0 ? n - 1 : n;
+  const count = Math.min(copies, disks);
+  return count > 1 && count % 2 === 0 ? count - 1 : count;
 }
 
 /**
- * Copies a shard is meant to have, however few disks there are just now: by the placement made by hand, else as many as everywhere.
+ * How many replicas a shard should have, however few disks there are now: as many as its manual placement names, else the general number.
  * @example
- * wantedCopies({ families: [], copies: 5 }, 7); // 5
+ * desiredReplicaCount({ families: [], copies: 5 }, 7); // 5
  */
-export function wantedCopies(c: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
-  return c.placement?.find((p) => p.shard === shard)?.nodes.length ?? c.copies ?? copies;
+export function wantedCopies(config: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
+  return config.placement?.find((placement) => placement.shard === shard)?.nodes.length ?? config.copies ?? copies;
 }
 
 /**
- * Disks that answer several times sooner than those made for copies: a majority of copies there makes publishes as quick as they are.
+ * Ids of the disks that respond at least `PLACEMENT.quickDiskFactor` times faster than the median of the disks meant primarily for replicas.
+ * With a majority of a shard's replicas on fast disks, a publish doesn't wait for the slow ones.
  * @example
- * quickOf(disks) // none, unless the stores' disks are slow
+ * fastDiskIds(disks) // empty, unless the stores' disks are slow
  */
 export function quickOf(disks: DiskRecord[]): Set<string> {
-  const ms = disks
-    .filter((d) => isPrimarilyFor(d, 'copies') && d.ms !== undefined)
-    .map((d) => d.ms!)
+  const responseTimes = disks
+    .filter((disk) => isPrimarilyFor(disk, 'copies') && disk.ms !== undefined)
+    .map((disk) => disk.ms!)
     .sort((a, b) => a - b);
-  const typical = ms[Math.floor(ms.length / 2)];
+  const medianMs = responseTimes[Math.floor(responseTimes.length / 2)];
   return new Set(
-    typical === undefined
+    medianMs === undefined
       ? []
-      : disks.filter((d) => d.ms !== undefined && d.ms * PLACEMENT.quickDiskFactor <= typical).map((d) => d.id),
+      : disks
+          .filter((disk) => disk.ms !== undefined && disk.ms * PLACEMENT.quickDiskFactor <= medianMs)
+          .map((disk) => disk.id),
   );
 }
 
 /**
- * The disks that take copies: those made for it, and quick ones besides; where there are none made for it, all.
+ * The disks that take replicas: those meant primarily for replicas, and the fast ones; if there are neither, all.
  * @example
- * copyDisks(active, quickOf(active)).length
+ * replicaDisks(active, fastDiskIds(active)).length
  */
-export function copyDisks(disks: DiskRecord[], quick: Set<string>): DiskRecord[] {
-  const out = disks.filter((d) => isPrimarilyFor(d, 'copies') || quick.has(d.id));
-  return out.length ? out : disks;
+export function copyDisks(disks: DiskRecord[], fast: Set<string>): DiskRecord[] {
+  const selected = disks.filter((disk) => isPrimarilyFor(disk, 'copies') || fast.has(disk.id));
+  return selected.length ? selected : disks;
 }
 
 /**
- * Whether any majority of one set shares a disk with any majority of the other.
+ * Whether every majority of one set shares a disk with every majority of the other.
  * @example
- * majoritiesMeet(['a', 'b', 'c'], ['a', 'b', 'c', 'd']); // true
- * majoritiesMeet(['a', 'b', 'c'], ['b', 'c', 'd']); // false: a, b and c, d
+ * majoritiesIntersect(['a', 'b', 'c'], ['a', 'b', 'c', 'd']); // true
+ * majoritiesIntersect(['a', 'b', 'c'], ['b', 'c', 'd']); // false: a, b and c, d
  */
 export function majoritiesMeet(one: string[], other: string[]): boolean {
   const union = new Set([...one, ...other]).size;
@@ -62,120 +66,127 @@
 }
 
 /**
- * Whether these promises of a fence are enough to take a shard under this placement: a majority of the copies, and where one copy has
- * just been replaced by another, one of two things. Either a majority of the copies before has promised too, so that nobody can serve
- * under the generation before and whatever it accepted is among the promises. Or one of the copies that promised has an entry of this
- * generation: then an owner had that majority already, and its whole history came to that copy before the entry did.
- * `generation` is that of the last entry on the disk.
+ * Whether the disks that promised a fence are enough to become the owner of a shard under this placement. A majority of the replicas is
+ * needed, and, if a replica has just been replaced (`previous` is set), one of two further conditions. Either a majority of the previous
+ * replicas has promised too: then no owner can serve under the previous generation, and whatever was accepted there is on a disk that
+ * promised. Or one of the replicas that promised has an entry of this generation: then an earlier owner had the promises of that
+ * majority, and this replica received the whole history before that entry. `generation` is that of the last entry on the disk.
  * @example
- * fenceQuorum({ gen: 2, copies: ['b', 'c', 'd'], previous: ['a', 'b', 'c'] }, [{ disk: 'c', generation: 1 }, { disk: 'd', generation: 0 }]); // false
+ * hasFenceQuorum({ gen: 2, copies: ['b', 'c', 'd'], previous: ['a', 'b', 'c'] }, [{ disk: 'c', generation: 1 }, { disk: 'd', generation: 0 }]); // false
  */
 export function fenceQuorum(placement: Placement, promises: { disk: string; generation: number }[]): boolean {
   const promised = new Set(promises.map((promise) => promise.disk));
-  const majorityOf = (set: string[]): boolean => set.filter((disk) => promised.has(disk)).length * 2 > set.length;
-  if (!majorityOf(placement.copies)) return false;
-  if (!placement.previous || majorityOf(placement.previous)) return true;
+  const isMajorityOf = (set: string[]): boolean => set.filter((disk) => promised.has(disk)).length * 2 > set.length;
+  if (!isMajorityOf(placement.copies)) return false;
+  if (!placement.previous || isMajorityOf(placement.previous)) return true;
   return promises.some((promise) => placement.copies.includes(promise.disk) && promise.generation >= placement.gen);
 }
 
 /**
- * The disks on which each shard's copies belong. Rendezvous order, domains taken in turn so that copies spread as the tolerance asks,
- * and within a domain no disk above its share times a slack while another has room.
+ * The disks on which each shard's replicas belong. Disks are taken in rendezvous order, spread over regions and domains as the tolerance
+ * requires. Among equally spread disks, none gets more than its share times `SHARD.replicaSlack` while another has room.
  * @example
- * matchCopies(disks, 5).get(3); // ['disk-a', 'disk-f', ...]
+ * assignReplicas(disks, 5).get(3); // ['disk-a', 'disk-f', ...]
  */
 export function matchCopies(
-  all: DiskRecord[],
+  allDisks: DiskRecord[],
   copies: number,
   shardCount: number = SHARD.shardCount,
   tolerance?: FaultTolerance,
 ): Map<number, string[]> {
-  const quick = quickOf(all);
-  const disks = copyDisks(all, quick);
-  const n = copiesFor(copies, disks.length);
-  const most = Math.floor(n / 2) + 1;
-  const cap = Math.ceil(((shardCount * n) / Math.max(1, disks.length)) * SHARD.replicaSlack);
-  const weight = new Map<string, number>();
-  const out = new Map<number, string[]>();
-  for (let s = 0; s < shardCount; s++) {
-    const left = rendezvousOrder(`copy/${s}`, disks, (d) => d.id);
-    const spread = new Spread(n, tolerance);
-    const got: string[] = [];
-    while (got.length < n) {
-      // The spread over domains goes first: it bears the loss of a site, evenness only saves work.
-      const near = spread.leastCrowded(left);
-      // A majority on quick disks answers without waiting for the slow ones; the others bear the losses.
-      const wantQuick = got.filter((x) => quick.has(x)).length < most;
-      const some = near.filter((d) => quick.has(d.id) === wantQuick);
-      const pool = some.length ? some : near;
-      const d = pool.find((x) => quick.has(x.id) || (weight.get(x.id) ?? 0) < cap) ?? pool[0]!;
-      left.splice(left.indexOf(d), 1);
-      spread.add(d);
-      weight.set(d.id, (weight.get(d.id) ?? 0) + 1);
-      got.push(d.id);
+  const fast = quickOf(allDisks);
+  const disks = copyDisks(allDisks, fast);
+  const replicaCount = copiesFor(copies, disks.length);
+  const majorityCount = Math.floor(replicaCount / 2) + 1;
+  const maxPerDisk = Math.ceil(((shardCount * replicaCount) / Math.max(1, disks.length)) * SHARD.replicaSlack);
+  const load = new Map<string, number>();
+  const assignment = new Map<number, string[]>();
+  for (let shard = 0; shard < shardCount; shard++) {
+    const remaining = rendezvousOrder(`copy/${shard}`, disks, (disk) => disk.id);
+    const spread = new Spread(replicaCount, tolerance);
+    const chosen: string[] = [];
+    while (chosen.length < replicaCount) {
+      // Spreading over domains takes precedence over an even load: it tolerates the loss of a site, an even load only saves work.
+      const leastCrowded = spread.leastCrowded(remaining);
+      // A majority on fast disks acknowledges without waiting for slow ones; the other replicas are there for fault tolerance.
+      const needsFast = chosen.filter((candidate) => fast.has(candidate)).length < majorityCount;
+      const preferred = leastCrowded.filter((disk) => fast.has(disk.id) === needsFast);
+      const candidates = preferred.length ? preferred : leastCrowded;
+      const disk =
+        candidates.find((candidate) => fast.has(candidate.id) || (load.get(candidate.id) ?? 0) < maxPerDisk) ??
+        candidates[0]!;
+      remaining.splice(remaining.indexOf(disk), 1);
+      spread.add(disk);
+      load.set(disk.id, (load.get(disk.id) ?? 0) + 1);
+      chosen.push(disk.id);
     }
-    out.set(s, got);
+    assignment.set(shard, chosen);
   }
-  return out;
+  return assignment;
 }
 
 /**
- * The disk that should own each shard: the first able copy in the shard's rendezvous order that is not above its
- * share times a slack. All nodes that see the same able disks come to the same answer.
+ * The disk that should own each shard: the first eligible replica in the shard's rendezvous order that has less than its share of shards
+ * times `SHARD.ownerSlack`. All nodes that see the same eligible disks get the same result.
  * @example
- * matchOwners(value.shards, (d) => live.has(d)).get(3); // 'disk-f'
+ * assignOwners(value.shards, (d) => live.has(d)).get(3); // 'disk-f'
  */
-export function matchOwners(shards: Map<number, Placement>, able: (disk: string) => boolean): Map<number, string> {
-  const disks = new Set([...new Set([...shards.values()].flatMap((p) => p.copies))].filter(able));
-  const cap = Math.ceil((shards.size / Math.max(1, disks.size)) * SHARD.ownerSlack);
-  const weight = new Map<string, number>();
-  const out = new Map<number, string>();
-  for (const [s, p] of [...shards].sort((a, b) => a[0] - b[0])) {
+export function matchOwners(
+  shards: Map<number, Placement>,
+  isEligible: (disk: string) => boolean,
+): Map<number, string> {
+  const disks = new Set([...new Set([...shards.values()].flatMap((placement) => placement.copies))].filter(isEligible));
+  const maxPerDisk = Math.ceil((shards.size / Math.max(1, disks.size)) * SHARD.ownerSlack);
+  const load = new Map<string, number>();
+  const assignment = new Map<number, string>();
+  for (const [shard, placement] of [...shards].sort((a, b) => a[0] - b[0])) {
     const order = rendezvousOrder(
-      `key/${s}`,
-      p.copies.filter((d) => disks.has(d)),
+      `key/${shard}`,
+      placement.copies.filter((disk) => disks.has(disk)),
     );
-    const d = order.find((x) => (weight.get(x) ?? 0) < cap) ?? order[0];
-    if (d === undefined) continue;
-    weight.set(d, (weight.get(d) ?? 0) + 1);
-    out.set(s, d);
+    const disk = order.find((candidate) => (load.get(candidate) ?? 0) < maxPerDisk) ?? order[0];
+    if (disk === undefined) continue;
+    load.set(disk, (load.get(disk) ?? 0) + 1);
+    assignment.set(shard, disk);
   }
-  return out;
+  return assignment;
 }
 
 /**
- * Where the copies of each shard belong by the configuration: as placed by hand where all named machines have an
- * active disk; where one is missing, what is left of them and the fleet's own choice to fill up.
+ * The disks on which each shard's replicas belong under the configuration. A manual placement is followed as far as the named machines have
+ * an active disk; missing ones are replaced by other disks in rendezvous order.
  * @example
- * targetsOf(value.config, activeDisks).get(3);
+ * targetReplicas(value.config, activeDisks).get(3);
  */
 export function targetsOf(
-  c: FleetConfig,
+  config: FleetConfig,
   active: DiskRecord[],
   copies: number = SHARD.replicaCount,
   tolerance?: FaultTolerance,
 ): Map<number, string[]> {
-  const out = matchCopies(active, c.copies ?? copies, SHARD.shardCount, tolerance);
-  const at = new Map(active.map((d) => [d.peer, d.id]));
-  for (const p of c.placement ?? []) {
-    const found = p.nodes.map((n) => at.get(n)).filter((d) => d !== undefined);
-    const fill = rendezvousOrder(`copy/${p.shard}`, active, (d) => d.id)
-      .map((d) => d.id)
-      .filter((d) => !found.includes(d));
-    if (out.has(p.shard)) out.set(p.shard, [...found, ...fill].slice(0, copiesFor(p.nodes.length, active.length)));
+  const targets = matchCopies(active, config.copies ?? copies, SHARD.shardCount, tolerance);
+  const diskAt = new Map(active.map((disk) => [disk.peer, disk.id]));
+  for (const manual of config.placement ?? []) {
+    const namedDisks = manual.nodes.map((node) => diskAt.get(node)).filter((disk) => disk !== undefined);
+    const fallbacks = rendezvousOrder(`copy/${manual.shard}`, active, (disk) => disk.id)
+      .map((disk) => disk.id)
+      .filter((disk) => !namedDisks.includes(disk));
+    if (targets.has(manual.shard))
+      targets.set(manual.shard, [...namedDisks, ...fallbacks].slice(0, copiesFor(manual.nodes.length, active.length)));
   }
-  return out;
+  return targets;
 }
 
 /**
- * Whether a lost disk's place among those that hold something is kept for it: it is given up only once there is another. With
- * fewer disks just now, what is accepted or agreed meanwhile would not outlive the next loss.
+ * Whether a lost disk has to stay in a set of replicas or voters until another disk can replace it. If the set shrank now, what is
+ * accepted or agreed meanwhile would not survive the next loss.
  * @example
- * awaitsSuccessor(value, value.seats, 3); // true with three voters of which one is lost
+ * isAwaitingReplacement(value, value.voters, 3); // true with three voters of which one is lost
  */
 export function awaitsSuccessor(value: FleetValue, set: string[], wanted: number): boolean {
-  const there = set.filter((disk) => value.disks.get(disk)?.state !== 'lost');
+  const remaining = set.filter((disk) => value.disks.get(disk)?.state !== 'lost');
   return (
-    there.length < set.length && there.length < Math.min(copiesFor(set.length, set.length), copiesFor(wanted, wanted))
+    remaining.length < set.length &&
+    remaining.length < Math.min(copiesFor(set.length, set.length), copiesFor(wanted, wanted))
   );
 }
--- a/packages/control/src/placement/spread.ts
+++ b/packages/control/src/placement/spread.ts
@@ -1,9 +1,9 @@
-/** Spreads the members of a replicated set over failure domains and regions, so that a majority outlives what may be lost at once. */
+/** Spreads the members of a replicated set over failure domains and regions, so that a majority survives what may be lost at once. */
 import { roomUnder, spreadLimits, type FaultTolerance, type SpreadLimits } from '@harecross/kernel';
 import type { DiskRecord } from '../value/fleet-value.js';
 
 /**
- * Where the members of one set are so far, and where the next one fits best.
+ * Counts the members of one set by failure domain and region, and finds the best disks for the next member.
  * @example
  * const spread = new Spread(3, value.tolerance);
  * spread.add(disks[0]);
@@ -11,8 +11,8 @@
  */
 export class Spread {
   private readonly limits: SpreadLimits;
-  private readonly inDomain = new Map<string, number>();
-  private readonly inRegion = new Map<string, number>();
+  private readonly countByDomain = new Map<string, number>();
+  private readonly countByRegion = new Map<string, number>();
 
   constructor(
     size: number,
@@ -29,48 +29,48 @@
     this.count(disk, -1);
   }
 
-  /** Whether one more member there keeps the limits. */
+  /** Whether one more member on this disk stays within the limits. */
   fits(disk: DiskRecord): boolean {
     return this.membersIn(disk) < this.limits.perDomain && this.regionalMembers(disk) < this.limits.perRegion;
   }
 
-  /** Whether there are more members in the disk's domain or region than may be lost with it. */
+  /** Whether the disk's domain or region has more members than may be lost at once. */
   exceeds(disk: DiskRecord): boolean {
     return this.membersIn(disk) > this.limits.perDomain || this.regionalMembers(disk) > this.limits.perRegion;
   }
 
   /** Members in the disk's failure domain. */
   membersIn(disk: DiskRecord): number {
-    return this.inDomain.get(disk.domain) ?? 0;
+    return this.countByDomain.get(disk.domain) ?? 0;
   }
 
-  /** Members in the disk's region; 0 where no region may be lost, so that regions don't matter. */
+  /** Members in the disk's region; always 0 if the tolerance includes no loss of a region, so that regions are ignored. */
   regionalMembers(disk: DiskRecord): number {
-    return this.tolerance?.regions ? (this.inRegion.get(regionOf(disk)) ?? 0) : 0;
+    return this.tolerance?.regions ? (this.countByRegion.get(regionOf(disk)) ?? 0) : 0;
   }
 
-  /** The disks where the next member crowds its region, then its domain, the least; none beyond the limits while another is within. */
+  /** The disks whose region, and then whose domain, has the fewest members; only disks within the limits, if there are any. */
   leastCrowded(disks: DiskRecord[]): DiskRecord[] {
     const fitting = disks.filter((disk) => this.fits(disk));
-    const able = fitting.length ? fitting : disks;
-    const leastInRegion = Math.min(...able.map((disk) => this.regionalMembers(disk)));
-    const near = able.filter((disk) => this.regionalMembers(disk) === leastInRegion);
-    const leastInDomain = Math.min(...near.map((disk) => this.membersIn(disk)));
-    return near.filter((disk) => this.membersIn(disk) === leastInDomain);
+    const usable = fitting.length ? fitting : disks;
+    const minInRegion = Math.min(...usable.map((disk) => this.regionalMembers(disk)));
+    const inLeastUsedRegions = usable.filter((disk) => this.regionalMembers(disk) === minInRegion);
+    const minInDomain = Math.min(...inLeastUsedRegions.map((disk) => this.membersIn(disk)));
+    return inLeastUsedRegions.filter((disk) => this.membersIn(disk) === minInDomain);
   }
 
-  private count(disk: DiskRecord, by: number): void {
-    this.inDomain.set(disk.domain, (this.inDomain.get(disk.domain) ?? 0) + by);
-    this.inRegion.set(regionOf(disk), (this.inRegion.get(regionOf(disk)) ?? 0) + by);
+  private count(disk: DiskRecord, delta: number): void {
+    this.countByDomain.set(disk.domain, (this.countByDomain.get(disk.domain) ?? 0) + delta);
+    this.countByRegion.set(regionOf(disk), (this.countByRegion.get(regionOf(disk)) ?? 0) + delta);
   }
 }
 
 const regionOf = (disk: DiskRecord): string => disk.region ?? '';
 
 /**
- * How many members of a set of this size the disks have room for, spread as the tolerance asks.
+ * How many members of a set of this size fit on the disks within the spread limits of the tolerance.
  * @example
- * roomFor(3, disks, value.tolerance) >= 3 // whether the disks bear what is asked of them
+ * maxPlaceableMembers(3, disks, value.tolerance) >= 3 // whether the disks have room for the whole set
  */
 export function roomFor(size: number, disks: DiskRecord[], tolerance: FaultTolerance | undefined): number {
   const places = disks.map(({ domain, region }) => ({ domain, region, count: 1 }));
--- a/packages/control/src/reconcile/controller.ts
+++ b/packages/control/src/reconcile/controller.ts
@@ -1,4 +1,4 @@
-/** The fleet's controller: compares the agreed value with the machines that are there and plans the next step. */
+/** The fleet's controller: compares the agreed value with the observed membership and applies the next step towards the wanted state. */
 import {
   MEMBERSHIP,
   PLACEMENT,
@@ -20,8 +20,8 @@
 import type { FleetValue } from '../value/fleet-value.js';
 
 /**
- * What the owner of a shard says on the membership under `key/<shard>`. `behind`: the copies that don't have the history that it began
- * with yet, or lag far behind: they don't count as copies that bear a loss.
+ * What the owner of a shard publishes in the membership table under `key/<shard>`. `behind` lists the replicas that don't have the
+ * history that the owner started with yet, or that lag far behind: they don't count towards the number of replicas that may be lost.
  */
 export interface ShardOwnerRecord {
   fence: string;
@@ -32,7 +32,7 @@
 }
 
 /**
- * Seeds the rendezvous order by which the controller is chosen. All nodes of a fleet must agree on it, also those of earlier versions.
+ * Seed of the rendezvous order that elects the controller. It must be the same on all nodes of a fleet, including those of earlier versions.
  */
 const CONTROLLER_HASH_KEY = 'keeper';
 
@@ -43,18 +43,17 @@
 }
 
 /**
- * The keeper's duty: lets disks in, takes lost ones out, moves copies. It belongs to the first live seat by
- * rendezvous; should two believe they have it, each step is still one change of the register that is checked
- * against the value it changes.
+ * Admits disks, marks disks as lost, and moves replicas and votes. The first available voter in rendezvous order is the controller. It is
+ * safe for two nodes to act as controller at once: each step is one change of the register, planned anew from the value that it replaces.
  * @example
- * k.use('controller').mine(); // whether the duty is ours now
+ * kernel.use('controller').isElected(); // whether this node is the controller now
  */
 export class Controller {
-  /** Asked in this order, one step at a time: voters come before copies, because each step of the copies needs them. */
+  /** Called in this order; the first one with a due step wins. Voters come before replicas, because each step needs a majority of voters. */
   private readonly planners: Planner[];
   private running = false;
-  /** When the next look that news asked for is due. */
-  private nextReviewAt = Infinity;
+  /** When the next reconciliation triggered by an event is due (steady clock, ms); infinite if none is scheduled. */
+  private nextReconcileAt = Infinity;
 
   constructor(
     private kernel: Kernel,
@@ -62,56 +61,57 @@
     private register: ConsensusRegister,
   ) {
     const { clock, random } = kernel.host;
-    const durability = new DurabilityPlanner(kernel);
-    const forgetting = new ForgetPlanner(kernel, membership);
-    // Forgetting comes last of all: it frees room, and nothing waits for it.
+    const durabilityPlanner = new DurabilityPlanner(kernel);
+    const forgetPlanner = new ForgetPlanner(kernel, membership);
+    // Removing old disk records comes last: it only frees space, and nothing waits for it.
     this.planners = [
       planDisks,
       planDepartures,
-      (value) => durability.step(value),
+      (value) => durabilityPlanner.step(value),
       planVoters,
       planMoves,
       planReplicas,
-      (value) => forgetting.step(value),
+      (value) => forgetPlanner.step(value),
     ];
     kernel.addSubscription(runPeriodically(clock, PLACEMENT.controllerMs, random, () => this.reconcile()));
-    // A loss or a new machine is looked at when it is heard of, and a disk again once it may join.
+    // Reconciles soon after a member's state changes, and once more when the disk of a member that just became live may be admitted.
     kernel.addSubscription(
       membership.memberStateChanged$.subscribe(() => {
-        this.reviewAfter(PLACEMENT.controllerWakeMs);
-        clock.after(PLACEMENT.joinAfterMs + PLACEMENT.controllerWakeMs, () => this.reviewAfter(0));
+        this.reconcileAfter(PLACEMENT.controllerWakeMs);
+        clock.after(PLACEMENT.joinAfterMs + PLACEMENT.controllerWakeMs, () => this.reconcileAfter(0));
       }),
     );
     kernel.addSubscription(
       membership.factChanged$.subscribe((key) => {
-        if (key.startsWith('key/')) this.reviewAfter(PLACEMENT.controllerOwnerChangeMs);
+        if (key.startsWith('key/')) this.reconcileAfter(PLACEMENT.controllerOwnerChangeMs);
       }),
     );
   }
 
-  /** Looks again after this long; news that comes meanwhile is looked at with it. */
-  private reviewAfter(afterMs: number): void {
+  /** Schedules a reconciliation; events that arrive before it runs are handled by the same run. */
+  private reconcileAfter(afterMs: number): void {
     const { clock } = this.kernel.host;
     const at = clock.now() + afterMs;
-    if (this.nextReviewAt <= at || !this.isElected()) return;
-    this.nextReviewAt = at;
+    if (this.nextReconcileAt <= at || !this.isElected()) return;
+    this.nextReconcileAt = at;
     clock.after(afterMs, () => {
-      this.nextReviewAt = Infinity;
+      this.nextReconcileAt = Infinity;
       this.reconcile().catch(() => undefined);
     });
   }
 
+  /** Whether this node is the first available voter in rendezvous order. */
   isElected(): boolean {
-    const v = this.register.value;
-    if (!v || !this.register.disk || !v.voters.includes(this.register.disk)) return false;
-    const available = v.voters.filter((d) => {
-      const m = this.membership.memberOfDisk(d);
-      return m && (m.peer === this.kernel.self || this.membership.isAvailable(m.peer));
+    const value = this.register.value;
+    if (!value || !this.register.disk || !value.voters.includes(this.register.disk)) return false;
+    const available = value.voters.filter((disk) => {
+      const member = this.membership.memberOfDisk(disk);
+      return member && (member.peer === this.kernel.self || this.membership.isAvailable(member.peer));
     });
     return rendezvousOrder(CONTROLLER_HASH_KEY, available)[0] === this.register.disk;
   }
 
-  /** One at a time; steps that follow from one another are made in one go, because a second loss may be near. */
+  /** Runs one at a time. Steps that follow from one another are applied in the same run, because another machine may fail soon. */
   private async reconcile(): Promise<void> {
     if (this.running) return;
     this.running = true;
@@ -122,21 +122,21 @@
     }
   }
 
-  /** Makes the next step; false when none is due, or when it could not be agreed. */
+  /** Applies the next step; false when none is due, or when no majority agreed on it in time. */
   private async applyNextStep(): Promise<boolean> {
     if (!this.register.hasReadLease() || this.kernel.phase !== 'running' || !this.isElected()) return false;
     if (!this.plan(this.register.value!)) return false;
-    const made = await this.register.repair((value) => {
+    const applied = await this.register.repair((value) => {
       const step = this.plan(value);
       return { next: step?.next, out: step?.why };
     }, MEMBERSHIP.callMs * 3);
-    if (made === undefined) return false;
+    if (applied === undefined) return false;
     this.kernel.incrementCounter('keeper.steps');
-    this.kernel.host.log.info(`keeper: ${made}`);
+    this.kernel.host.log.info(`controller: ${applied}`);
     return true;
   }
 
-  /** The next step from this value, if one is due. */
+  /** The next due step from this value, if any. */
   private plan(value: FleetValue): Step | undefined {
     const { clock } = this.kernel.host;
     const fleet: FleetView = {
@@ -156,5 +156,5 @@
 registerPlugin({
   name: 'controller',
   needs: ['membership', 'register'],
-  setup: (k) => new Controller(k, k.use('membership'), k.use('register')),
+  setup: (kernel) => new Controller(kernel, kernel.use('membership'), kernel.use('register')),
 });
--- a/packages/control/src/reconcile/departure.ts
+++ b/packages/control/src/reconcile/departure.ts
@@ -1,4 +1,4 @@
-/** A stop of this node's process: it stays until what its disk has is with others, where a successor is there. */
+/** Graceful stop of this node's process: if its disk has a successor, the process waits until other disks have taken over what it holds. */
 import { PLACEMENT, PROCESS, registerPlugin, sleep, type Kernel } from '@harecross/kernel';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
 import type { MembershipTable } from '../membership/membership-table.js';
@@ -12,12 +12,12 @@
 }
 
 /**
- * Delays the end of a stopping process while the controller moves its vote and replicas away: once the process has ended, the next loss
- * may follow at once. A process without a successor ends as soon as it can: its machine is restarting.
+ * Delays the end of a stopping process while the controller moves its vote and replicas away: the next machine may fail right after the
+ * process has ended. A process without a successor ends as soon as it can: its machine is taken to be restarting.
  */
 export class Departure {
   /** When the process was told to stop (steady clock, ms). */
-  private stopBeganAt?: number;
+  private stopStartedAt?: number;
 
   constructor(
     private readonly kernel: Kernel,
@@ -26,7 +26,7 @@
   ) {
     kernel.addSubscription(
       kernel.phase$.subscribe((phase) => {
-        if (phase === 'draining') this.stopBeganAt = kernel.host.clock.now();
+        if (phase === 'draining') this.stopStartedAt = kernel.host.clock.now();
       }),
     );
     kernel.onStop(() => this.awaitHandOver());
@@ -35,11 +35,11 @@
   private async awaitHandOver(): Promise<void> {
     const { clock, config } = this.kernel.host;
     const stopMs = config.stopMs ?? PROCESS.stopMs;
-    const until = (this.stopBeganAt ?? clock.now()) + stopMs - PLACEMENT.departureReserveMs;
-    while (this.isHandOverPending() && clock.now() < until) await sleep(clock, PLACEMENT.departureCheckMs);
+    const deadline = (this.stopStartedAt ?? clock.now()) + stopMs - PLACEMENT.departureReserveMs;
+    while (this.isHandOverPending() && clock.now() < deadline) await sleep(clock, PLACEMENT.departureCheckMs);
   }
 
-  /** Whether others are to take over what this disk still has. */
+  /** Whether this disk still has a vote or replicas that other disks are to take over. */
   private isHandOverPending(): boolean {
     const { value, disk: ownDisk } = this.register;
     const disk = ownDisk === undefined ? undefined : value?.disks.get(ownDisk);
--- a/packages/control/src/reconcile/plan-departures.ts
+++ b/packages/control/src/reconcile/plan-departures.ts
@@ -1,25 +1,25 @@
-/** Disks whose process is stopping: what they have goes to others before they are gone, where a successor is there. */
+/** Disks whose process is stopping: if a successor exists, their votes and replicas move to other disks before the process ends. */
 import { isInPlannedRestart } from '../value/fleet-queries.js';
 import { liveMember, type FleetView, type Step } from './planner.js';
 import { isStopping, successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
 
 /**
- * Marks disks that leave, that have left, and that are back after all, in one step. A machine with no successor can only be restarting,
- * and one in a planned restart is: both keep their votes and replicas.
+ * Marks, in one step, disks that are leaving (`leaving`), that have left (`lost`), and whose process is running again (`active`). A
+ * machine without a successor is taken to be restarting, and so is one in a planned restart: both keep their votes and replicas.
  */
 export function planDepartures(value: FleetValue, fleet: FleetView): Step | undefined {
   const disks = new Map(value.disks);
-  const said: string[] = [];
+  const changes: string[] = [];
   for (const disk of value.disks.values()) {
-    // One that leaves is none of those that another can leave its things to.
+    // Uses the updated states: a disk marked as leaving just now can't be the successor of another.
     const state = stateOf({ ...value, disks }, fleet, disk);
     if (state === disk.state) continue;
     disks.set(disk.id, { ...disk, state });
-    said.push(`disk ${disk.id}: ${disk.state} -> ${state}`);
+    changes.push(`disk ${disk.id}: ${disk.state} -> ${state}`);
   }
-  if (!said.length) return undefined;
-  return { next: { ...value, disks }, why: said.join(', ') };
+  if (!changes.length) return undefined;
+  return { next: { ...value, disks }, why: changes.join(', ') };
 }
 
 function stateOf(value: FleetValue, fleet: FleetView, disk: DiskRecord): DiskState {
--- a/packages/control/src/reconcile/plan-disks.ts
+++ b/packages/control/src/reconcile/plan-disks.ts
@@ -1,4 +1,4 @@
-/** Lets disks into the fleet, and declares those lost whose machine is gone. */
+/** Admits disks to the fleet, and marks disks as lost whose machine is missing. */
 import { PLACEMENT } from '@harecross/kernel';
 import type { Member } from '../membership/member.js';
 import { hasSameUses, holdsNothing, plannedJoinTime } from '../value/fleet-queries.js';
@@ -6,17 +6,17 @@
 import { successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
 
-/** Disks that joined, came back or were lost, in one step. */
+/** Records disks that joined, came back or were lost, in one step. */
 export function planDisks(value: FleetValue, fleet: FleetView): Step | undefined {
   const disks = new Map(value.disks);
-  const said: string[] = [];
-  letIn(value, fleet, disks, said);
-  giveUpLost(value, fleet, disks, said);
-  if (!said.length) return undefined;
-  return { next: { ...value, disks }, why: said.join(', ') };
+  const changes: string[] = [];
+  admitDisks(value, fleet, disks, changes);
+  markLost(value, fleet, disks, changes);
+  if (!changes.length) return undefined;
+  return { next: { ...value, disks }, why: changes.join(', ') };
 }
 
-function letIn(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
+function admitDisks(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, changes: string[]): void {
   for (const member of fleet.membership.liveMembers()) {
     if (!member.disk || fleet.now - member.liveSince < PLACEMENT.joinAfterMs) continue;
     if (fleet.wall < plannedJoinTime(value, member.peer)) continue;
@@ -33,81 +33,84 @@
         ms: member.diskMs,
         machineJoinedRev: machineJoinedRev(value, member.peer),
       });
-      said.push(`disk ${member.disk} joins at ${member.peer}`);
+      changes.push(`disk ${member.disk} joins at ${member.peer}`);
       for (const other of value.disks.values()) {
         if (other.peer !== member.peer || other.state === 'lost') continue;
         disks.set(other.id, { ...other, state: 'lost' });
-        said.push(`disk ${other.id} was replaced`);
+        changes.push(`disk ${other.id} was replaced`);
       }
     } else if (known.peer !== member.peer || known.domain !== member.domain || known.state === 'lost') {
       const state = known.state === 'lost' ? stateOnJoining(member) : known.state;
       disks.set(known.id, { ...known, peer: member.peer, domain: member.domain, region: member.region, state });
-      said.push(`disk ${known.id} is back at ${member.peer}`);
+      changes.push(`disk ${known.id} is back at ${member.peer}`);
     } else if (known.region !== member.region) {
       disks.set(known.id, { ...known, region: member.region });
-      said.push(`disk ${known.id} is in region ${member.region}`);
+      changes.push(`disk ${known.id} is in region ${member.region}`);
     }
   }
 }
 
-/** Since which revision a machine is there: a new disk at an address that had one before is of the same machine. */
+/** The revision at which a disk's machine joined: a new disk at an address that had a disk before belongs to the same machine. */
 function machineJoinedRev(value: FleetValue, peer: string): number | undefined {
   const before = [...value.disks.values()].find((disk) => disk.peer === peer);
   return before ? before.machineJoinedRev : value.rev;
 }
 
-/** A disk that was emptied for an operator stays so until that is taken back, however long it was away. */
+/** A disk that an operator had emptied stays emptied until the operator cancels that, however long it was away. */
 function stateOnJoining(member: Member): DiskState {
   return member.emptied ? 'emptying' : 'active';
 }
 
-function giveUpLost(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
+function markLost(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, changes: string[]): void {
   for (const disk of value.disks.values()) {
     if (disk.state !== 'active' || disks.get(disk.id)!.state === 'lost') continue;
-    const silent = silentFor(fleet, disk);
-    if (silent === 0) continue;
-    const spare = holdsNothing(value, disk.id) ? undefined : spareFor(value, fleet, disk, disks, silent);
-    if (spare !== undefined) {
+    const silentMs = silentFor(fleet, disk);
+    if (silentMs === 0) continue;
+    const replacement = holdsNothing(value, disk.id) ? undefined : findReplacement(value, fleet, disk, disks, silentMs);
+    if (replacement !== undefined) {
       disks.set(disk.id, { ...disk, state: 'lost' });
-      said.push(`disk ${disk.id} gives its place to ${spare}`);
-    } else if (silent > PLACEMENT.replaceAfterMs) {
+      changes.push(`disk ${disk.id} is replaced by ${replacement}`);
+    } else if (silentMs > PLACEMENT.replaceAfterMs) {
       disks.set(disk.id, { ...disk, state: 'lost' });
-      said.push(`disk ${disk.id} is lost`);
+      changes.push(`disk ${disk.id} is lost`);
     }
   }
 }
 
 /**
- * A live disk of the same uses that holds nothing and that no lost one waits for. One that came to the same domain after the machine fell
- * silent is its successor and is taken sooner than one that has been there: that machine may only be restarting.
+ * The disk that replaces one whose machine is silent: a live spare disk of the same uses that holds nothing and that isn't needed for a
+ * disk lost earlier, or else the disk's successor. A spare that appeared in the same domain after the machine fell silent was sent in its
+ * place, and is used after a shorter silence than one that was there before: the machine may only be restarting.
  */
-function spareFor(
+function findReplacement(
   value: FleetValue,
   fleet: FleetView,
-  gone: DiskRecord,
+  missing: DiskRecord,
   disks: Map<string, DiskRecord>,
-  silent: number,
+  silentMs: number,
 ): string | undefined {
   const spares = [...disks.values()].filter(
     (disk) =>
       disk.state === 'active' &&
-      hasSameUses(disk, gone) &&
+      hasSameUses(disk, missing) &&
       holdsNothing(value, disk.id) &&
       fleet.membership.memberOfDisk(disk.id)?.state === 'live',
   );
-  const waiting = [...disks.values()].filter(
-    (disk) => disk.state === 'lost' && hasSameUses(disk, gone) && !holdsNothing(value, disk.id),
+  const earlierLost = [...disks.values()].filter(
+    (disk) => disk.state === 'lost' && hasSameUses(disk, missing) && !holdsNothing(value, disk.id),
   );
-  if (spares.length <= waiting.length)
-    return silent > PLACEMENT.spareAfterMs ? successorOf(value, fleet, gone)?.id : undefined;
-  const successor = spares.find((disk) => succeeds(fleet, disk, gone));
-  if (successor && silent > PLACEMENT.successorAfterMs) return successor.id;
-  return silent > PLACEMENT.spareAfterMs ? spares[waiting.length]!.id : undefined;
+  if (spares.length <= earlierLost.length)
+    return silentMs > PLACEMENT.spareAfterMs ? successorOf(value, fleet, missing)?.id : undefined;
+  const successor = spares.find((disk) => appearedSinceLastSeen(fleet, disk, missing));
+  if (successor && silentMs > PLACEMENT.successorAfterMs) return successor.id;
+  return silentMs > PLACEMENT.spareAfterMs ? spares[earlierLost.length]!.id : undefined;
 }
 
-/** Whether a disk came, in the same domain, after the other's machine was last heard of. */
-function succeeds(fleet: FleetView, spare: DiskRecord, gone: DiskRecord): boolean {
+/** Whether a disk appeared in the same domain after the other disk's machine was last heard from. */
+function appearedSinceLastSeen(fleet: FleetView, spare: DiskRecord, missing: DiskRecord): boolean {
   const member = liveMember(fleet, spare.id);
-  const lastSeen = fleet.membership.memberOfDisk(gone.id)?.seenAt;
-  return member !== undefined && lastSeen !== undefined && spare.domain === gone.domain && member.liveSince > lastSeen;
+  const lastSeen = fleet.membership.memberOfDisk(missing.id)?.seenAt;
+  return (
+    member !== undefined && lastSeen !== undefined && spare.domain === missing.domain && member.liveSince > lastSeen
+  );
 }
--- a/packages/control/src/reconcile/plan-moves.ts
+++ b/packages/control/src/reconcile/plan-moves.ts
@@ -1,21 +1,23 @@
-/** Begins and ends the moves of the calendar. A move runs once: its state is in the agreed value. */
+/** Starts and ends the planned moves of the configuration. Each move runs once: its state is stored in the agreed value. */
 import type { Move } from '@harecross/schema';
 import { reasonToStay, replicaCountOn, holdsNothing, moveKey } from '../value/fleet-queries.js';
 import type { FleetView, Step } from './planner.js';
 import type { DiskRecord, MoveRecord, MoveState, FleetValue } from '../value/fleet-value.js';
 
-/** The first move of the calendar that begins or ends now. */
+/** The first planned move that changes its state now. */
 export function planMoves(value: FleetValue, fleet: FleetView): Step | undefined {
   for (const move of value.config.moves ?? []) {
     const record = value.moves.get(moveKey(move));
-    const disk = [...value.disks.values()].find((d) => d.peer === move.node && d.state !== 'lost');
-    const step = record ? ends(value, fleet, move, record, disk) : begins(value, fleet, move, disk);
+    const disk = [...value.disks.values()].find(
+      (candidate) => candidate.peer === move.node && candidate.state !== 'lost',
+    );
+    const step = record ? endMove(value, fleet, move, record, disk) : startMove(value, fleet, move, disk);
     if (step) return step;
   }
   return undefined;
 }
 
-function turn(value: FleetValue, move: Move, state: MoveState, why: string, disk?: DiskRecord): Step {
+function setMoveState(value: FleetValue, move: Move, state: MoveState, why: string, disk?: DiskRecord): Step {
   const disks = disk ? new Map(value.disks).set(disk.id, disk) : value.disks;
   return {
     next: { ...value, disks, moves: new Map(value.moves).set(moveKey(move), { state, why }) },
@@ -23,18 +25,18 @@
   };
 }
 
-function begins(value: FleetValue, fleet: FleetView, move: Move, disk: DiskRecord | undefined): Step | undefined {
+function startMove(value: FleetValue, fleet: FleetView, move: Move, disk: DiskRecord | undefined): Step | undefined {
   if (fleet.wall < move.from) return undefined;
-  if (fleet.wall >= move.until) return turn(value, move, 'missed', 'its time passed before it could begin');
-  if (move.kind === 'add') return turn(value, move, 'running', '');
-  // What stands against it is looked at again until its time has passed.
+  if (fleet.wall >= move.until) return setMoveState(value, move, 'missed', 'its time passed before it could begin');
+  if (move.kind === 'add') return setMoveState(value, move, 'running', '');
+  // A move that can't start safely is tried again until its time has passed.
   if (reasonToStay(value, move, disk, fleet.membership)) return undefined;
-  if (move.kind === 'restart') return turn(value, move, 'running', '');
-  if (!disk) return turn(value, move, 'refused', `${move.node} has no disk`);
-  return turn(value, move, 'running', '', { ...disk, state: 'emptying' });
+  if (move.kind === 'restart') return setMoveState(value, move, 'running', '');
+  if (!disk) return setMoveState(value, move, 'refused', `${move.node} has no disk`);
+  return setMoveState(value, move, 'running', '', { ...disk, state: 'emptying' });
 }
 
-function ends(
+function endMove(
   value: FleetValue,
   fleet: FleetView,
   move: Move,
@@ -42,21 +44,22 @@
   disk: DiskRecord | undefined,
 ): Step | undefined {
   if (record.state !== 'running' && record.state !== 'late') return undefined;
-  const over = fleet.wall >= move.until;
+  const isOver = fleet.wall >= move.until;
   switch (move.kind) {
     case 'empty':
-      if (!disk || disk.state !== 'emptying') return turn(value, move, 'refused', 'the emptying was taken back');
-      if (holdsNothing(value, disk.id)) return turn(value, move, 'done', '');
-      if (record.state === 'running' && over)
-        return turn(value, move, 'late', `${replicaCountOn(value, disk.id)} copies are still there`);
+      if (!disk || disk.state !== 'emptying')
+        return setMoveState(value, move, 'refused', 'the emptying was taken back');
+      if (holdsNothing(value, disk.id)) return setMoveState(value, move, 'done', '');
+      if (record.state === 'running' && isOver)
+        return setMoveState(value, move, 'late', `${replicaCountOn(value, disk.id)} copies are still there`);
       return undefined;
     case 'restart':
-      return over ? turn(value, move, 'done', '') : undefined;
+      return isOver ? setMoveState(value, move, 'done', '') : undefined;
     case 'add': {
-      const there = fleet.membership.liveMembers().find((member) => member.peer === move.node);
-      const inUse = disk !== undefined && replicaCountOn(value, disk.id) > 0;
-      if (there && (!there.disk || inUse)) return turn(value, move, 'done', '');
-      return over ? turn(value, move, 'missed', 'the machine did not come') : undefined;
+      const member = fleet.membership.liveMembers().find((candidate) => candidate.peer === move.node);
+      const hasReplicas = disk !== undefined && replicaCountOn(value, disk.id) > 0;
+      if (member && (!member.disk || hasReplicas)) return setMoveState(value, move, 'done', '');
+      return isOver ? setMoveState(value, move, 'missed', 'the machine did not come') : undefined;
     }
   }
 }
--- a/packages/control/src/reconcile/plan-voters.ts
+++ b/packages/control/src/reconcile/plan-voters.ts
@@ -1,4 +1,4 @@
-/** Keeps as many voters as are wanted, on disks that are active: a lost or leaving one is replaced in one step. */
+/** Keeps the wanted number of voters on active disks: a lost or leaving voter is replaced in one step. */
 import { REGISTER, rendezvousOrder } from '@harecross/kernel';
 import { awaitsSuccessor } from '../placement/placement.js';
 import { Spread } from '../placement/spread.js';
@@ -7,44 +7,46 @@
 import { isStaying, joinedLater } from './successor.js';
 import { isPrimarilyFor, isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
-/** Seeds the rendezvous order of candidates. All nodes of a fleet agree on it, also those of earlier versions. */
+/** Seed of the rendezvous order of candidates. It must be the same on all nodes of a fleet, including those of earlier versions. */
 const VOTER_HASH_KEY = 'seat';
 
 /**
- * The next change of the voters. Each needs a majority of the voters before and of those after, until the next change is agreed; so each
- * is followed at once by one that changes nothing, after which the voters that went are needed no more.
+ * The next change of the voters. From a change of voters until the next change of the value, a majority of both the previous and the new
+ * voters is needed. Therefore each is followed at once by a change that alters nothing, after which removed voters are no longer needed.
  */
 export function planVoters(value: FleetValue, fleet: FleetView): Step | undefined {
-  const bad = value.voters.filter((disk) => value.disks.get(disk)?.state !== 'active');
-  const goodCount = value.voters.length - bad.length;
-  const wanted = votersWanted(value);
-  const candidate = goodCount < wanted ? candidatesFor(value, fleet, spreadOf(value))[0] : undefined;
-  if (candidate && bad.length > 0 && value.voters.length <= wanted) {
-    const gone = bad[0]!;
-    const voters = value.voters.map((disk) => (disk === gone ? candidate.id : disk));
-    if (majorityLive(fleet, voters))
-      return { next: { ...value, voters }, why: `vote of ${gone} goes to ${candidate.id}` };
-  } else if (candidate && bad.length === 0) {
-    return { next: { ...value, voters: [...value.voters, candidate.id] }, why: `vote for ${candidate.id}` };
+  const inactive = value.voters.filter((disk) => value.disks.get(disk)?.state !== 'active');
+  const activeCount = value.voters.length - inactive.length;
+  const wanted = targetVoterCount(value);
+  const candidate = activeCount < wanted ? candidatesFor(value, fleet, voterSpread(value))[0] : undefined;
+  if (candidate && inactive.length > 0 && value.voters.length <= wanted) {
+    const removed = inactive[0]!;
+    const voters = value.voters.map((disk) => (disk === removed ? candidate.id : disk));
+    if (isMajorityLive(fleet, voters))
+      return { next: { ...value, voters }, why: `voter ${removed} is replaced by ${candidate.id}` };
+  } else if (candidate && inactive.length === 0) {
+    return { next: { ...value, voters: [...value.voters, candidate.id] }, why: `disk ${candidate.id} becomes a voter` };
   }
-  const drop = value.voters.length > wanted || goodCount >= wanted ? toDrop(value, fleet, bad, wanted) : undefined;
-  const voters = value.voters.filter((disk) => disk !== drop);
-  if (drop !== undefined && majorityLive(fleet, voters))
-    return { next: { ...value, voters }, why: `vote of ${drop} is given up` };
-  return settle(value) ?? moveToLaterDisk(value, fleet, bad) ?? spreadVoters(value, fleet, bad);
+  const surplus =
+    value.voters.length > wanted || activeCount >= wanted ? surplusVoter(value, fleet, inactive, wanted) : undefined;
+  const voters = value.voters.filter((disk) => disk !== surplus);
+  if (surplus !== undefined && isMajorityLive(fleet, voters))
+    return { next: { ...value, voters }, why: `voter ${surplus} is removed` };
+  return dropPreviousVoters(value) ?? moveToLaterDisk(value, fleet, inactive) ?? spreadVoters(value, fleet, inactive);
 }
 
 /**
- * A vote goes to the disk whose machine joined the domain last: where a machine is replaced by plan, the new one comes first, and the old one may
- * then be removed at the moment of the next loss.
+ * Moves a vote to the disk whose machine joined the domain last: in a planned replacement the new machine joins first, and the old one may
+ * then be removed just when another machine fails.
  */
-function moveToLaterDisk(value: FleetValue, fleet: FleetView, bad: string[]): Step | undefined {
-  if (bad.length) return undefined;
+function moveToLaterDisk(value: FleetValue, fleet: FleetView, inactive: string[]): Step | undefined {
+  if (inactive.length) return undefined;
   for (const voter of value.voters) {
     const later = laterDiskWithoutVote(value, fleet, value.disks.get(voter)!);
     if (!later) continue;
     const voters = value.voters.map((disk) => (disk === voter ? later.id : disk));
-    if (majorityLive(fleet, voters)) return { next: { ...value, voters }, why: `vote of ${voter} goes to ${later.id}` };
+    if (isMajorityLive(fleet, voters))
+      return { next: { ...value, voters }, why: `voter ${voter} is replaced by ${later.id}` };
   }
   return undefined;
 }
@@ -61,24 +63,27 @@
     .at(-1);
 }
 
-/** A vote leaves a failure domain or region that has more of them than may be lost with it: the first voters are the seeds, wherever they are. */
-function spreadVoters(value: FleetValue, fleet: FleetView, bad: string[]): Step | undefined {
-  if (bad.length) return undefined;
-  const crowding = value.voters.filter((voter) => spreadOf(value).exceeds(value.disks.get(voter)!));
-  for (const voter of crowding) {
-    const spread = spreadOf(value);
+/**
+ * Moves a vote out of a failure domain or region that has more votes than may be lost at once: the first voters are the seeds, whatever
+ * their location.
+ */
+function spreadVoters(value: FleetValue, fleet: FleetView, inactive: string[]): Step | undefined {
+  if (inactive.length) return undefined;
+  const crowded = value.voters.filter((voter) => voterSpread(value).exceeds(value.disks.get(voter)!));
+  for (const voter of crowded) {
+    const spread = voterSpread(value);
     spread.remove(value.disks.get(voter)!);
     const candidate = candidatesFor(value, fleet, spread)[0];
     if (!candidate || !spread.fits(candidate)) continue;
     const voters = value.voters.map((disk) => (disk === voter ? candidate.id : disk));
-    if (majorityLive(fleet, voters))
-      return { next: { ...value, voters }, why: `vote of ${voter} goes to ${candidate.id}` };
+    if (isMajorityLive(fleet, voters))
+      return { next: { ...value, voters }, why: `voter ${voter} is replaced by ${candidate.id}` };
   }
   return undefined;
 }
 
-/** How the voters on active disks are spread. */
-function spreadOf(value: FleetValue): Spread {
+/** How the voters on active disks are spread over failure domains and regions. */
+function voterSpread(value: FleetValue): Spread {
   const spread = new Spread(value.votersWanted ?? REGISTER.voterCount, value.tolerance);
   for (const voter of value.voters) {
     const disk = value.disks.get(voter);
@@ -87,24 +92,24 @@
   return spread;
 }
 
-/** Odd, so that one more voter never costs a larger majority without bearing one more loss. */
-function votersWanted(value: FleetValue): number {
-  const able = [...value.disks.values()].filter((disk) => disk.state === 'active' && isUsedFor(disk, 'seat')).length;
-  const wanted = Math.min(value.votersWanted ?? REGISTER.voterCount, able);
+/** The number of voters to have now. It is odd: an even number needs a larger majority without tolerating one more loss. */
+function targetVoterCount(value: FleetValue): number {
+  const usable = [...value.disks.values()].filter((disk) => disk.state === 'active' && isUsedFor(disk, 'seat')).length;
+  const wanted = Math.min(value.votersWanted ?? REGISTER.voterCount, usable);
   return wanted % 2 === 0 ? Math.max(1, wanted - 1) : wanted;
 }
 
-function majorityLive(fleet: FleetView, voters: string[]): boolean {
+function isMajorityLive(fleet: FleetView, voters: string[]): boolean {
   return voters.filter((disk) => liveMember(fleet, disk)).length * 2 > voters.length;
 }
 
-/** Disks that may become voters, the best first. */
+/** Disks that may become voters, best first. */
 function candidatesFor(value: FleetValue, fleet: FleetView, spread: Spread): DiskRecord[] {
-  const able = [...value.disks.values()].filter(
+  const usable = [...value.disks.values()].filter(
     (disk) => isUsedFor(disk, 'seat') && isStaying(fleet, disk) && !value.voters.includes(disk.id),
   );
-  // Disks that are for nothing else first: voters are asked by every node, and copies have work of their own.
-  return rendezvousOrder(VOTER_HASH_KEY, able, (disk) => disk.id).sort(
+  // Prefers disks whose first use isn't replicas: every node sends requests to the voters, and replicas are a load of their own.
+  return rendezvousOrder(VOTER_HASH_KEY, usable, (disk) => disk.id).sort(
     (one, other) =>
       Number(spread.fits(other)) - Number(spread.fits(one)) ||
       Number(isPrimarilyFor(one, 'copies')) - Number(isPrimarilyFor(other, 'copies')) ||
@@ -113,17 +118,17 @@
   );
 }
 
-/** A voter to be given up without another in its place; none while the place of a lost one is kept for it. */
-function toDrop(value: FleetValue, fleet: FleetView, bad: string[], wanted: number): string | undefined {
+/** A voter to remove without a replacement; undefined while a lost voter is kept until another disk can replace it. */
+function surplusVoter(value: FleetValue, fleet: FleetView, inactive: string[], wanted: number): string | undefined {
   if (awaitsSuccessor(value, value.voters, value.votersWanted ?? REGISTER.voterCount)) return undefined;
-  if (bad.length) return bad[0];
+  if (inactive.length) return inactive[0];
   if (value.voters.length <= wanted) return undefined;
   const live = (disk: string): number => Number(liveMember(fleet, disk) !== undefined);
   return [...value.voters].sort((one, other) => live(one) - live(other))[0];
 }
 
-/** Until the next change a majority of the voters before is needed too: that change is made now. */
-function settle(value: FleetValue): Step | undefined {
+/** A change that alters nothing, after which a majority of the previous voters is no longer needed too. */
+function dropPreviousVoters(value: FleetValue): Step | undefined {
   if (value.voters.join() === value.previousVoters.join()) return undefined;
-  return { next: { ...value }, why: 'voters are settled' };
+  return { next: { ...value }, why: 'previous voters are no longer needed' };
 }
--- a/packages/control/src/reconcile/planner.ts
+++ b/packages/control/src/reconcile/planner.ts
@@ -1,33 +1,34 @@
-/** What the controller's planners have in common: what they see of the fleet, and what they give. */
+/** Types and queries shared by the controller's planners. */
 import type { DiskRecord, FleetValue } from '../value/fleet-value.js';
 import type { Member } from '../membership/member.js';
 import type { MembershipTable } from '../membership/membership-table.js';
 
-/** The fleet as the controller sees it at one moment. Times are of its own steady clock (ms), `wall` is the calendar's. */
+/** The fleet as the controller sees it at one moment. Times are of its steady clock (ms), except `wallTime`. */
 export interface FleetView {
   membership: MembershipTable;
   now: number;
+  /** Wall-clock time (ms), by which planned moves are scheduled. */
   wall: number;
-  /** When the controller's process started: who was not seen since then has been away for as long at least. */
+  /** When the controller's process started: a machine that it has never seen has been away for at least that long. */
   startedAt: number;
 }
 
-/** One change of the agreed value, and what the log says of it. */
+/** One change of the agreed value, and its description for the log. */
 export interface Step {
   next: FleetValue;
   why: string;
 }
 
-/** Gives the next step of its kind, or nothing while none is due. */
+/** Returns the next step of its kind, or undefined while none is due. */
 export type Planner = (value: FleetValue, fleet: FleetView) => Step | undefined;
 
-/** The member that has this disk, if it is live. */
+/** The member that has this disk, if that member is live. */
 export function liveMember(fleet: FleetView, disk: string): Member | undefined {
   const member = fleet.membership.memberOfDisk(disk);
   return member && fleet.membership.isLive(member.peer) ? member : undefined;
 }
 
-/** For how long the disk's machine has not been heard of (ms); 0 while it is live. */
+/** How long the disk's machine has not been heard from (ms); 0 while it is live. */
 export function silentFor(fleet: FleetView, disk: DiskRecord): number {
   const member = fleet.membership.memberOfDisk(disk.id);
   if (!member) return fleet.now - fleet.startedAt;
--- a/packages/control/src/reconcile/successor.ts
+++ b/packages/control/src/reconcile/successor.ts
@@ -1,20 +1,20 @@
-/** Finds the disk that is there in the place of another: where a machine is replaced by plan, the new one comes before the old one goes. */
+/** Finds the disk that takes over from another: in a planned replacement the new machine joins before the old one leaves. */
 import { REGISTER, SHARD } from '@harecross/kernel';
 import { roomFor } from '../placement/spread.js';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { hasSameUses, holdsNothing, replicaCountOn } from '../value/fleet-queries.js';
 import { isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
-/** What of the fleet a successor is looked for in. */
+/** The part of the fleet's state that the search for a successor needs beside the agreed value. */
 export interface MembershipView {
   membership: MembershipTable;
 }
 
 /**
- * The successor of a disk, if what the disk has can go to others: a disk of the same uses whose machine joined the same domain later, or one that
- * holds nothing, in whichever domain.
+ * The successor of a disk, provided that other disks have room for what it holds: a disk of the same uses whose machine joined the same
+ * domain later, or else one that holds nothing, in any domain.
  * @example
- * successorOf(value, fleet, disk)?.id // undefined where the machine can only be restarting
+ * successorOf(value, fleet, disk)?.id // undefined if no disk can take over: then the machine is taken to be restarting
  */
 export function successorOf(value: FleetValue, view: MembershipView, disk: DiskRecord): DiskRecord | undefined {
   if (!hasRoomWithout(value, disk)) return undefined;
@@ -26,27 +26,27 @@
   );
 }
 
-/** Whether a disk's machine joined the same domain after another's did. */
+/** Whether the first disk's machine joined the domain of both later than the other's did. */
 export function joinedLater(one: DiskRecord, other: DiskRecord): boolean {
   return one.domain === other.domain && (one.machineJoinedRev ?? 0) > (other.machineJoinedRev ?? 0);
 }
 
-/** Whether a disk is in use and its machine is live and not about to leave. */
+/** Whether a disk is active and its machine is live and not stopping: only such a disk is given a vote or is a successor. */
 export function isStaying(view: MembershipView, disk: DiskRecord): boolean {
   const member = view.membership.memberOfDisk(disk.id);
   if (member === undefined || !view.membership.isLive(member.peer)) return false;
   return disk.state === 'active' && !isStopping(view, disk);
 }
 
-/** Whether the disk's process has said that it stops, or has stopped. */
+/** Whether the disk's process has announced that it is stopping, or has left. */
 export function isStopping(view: MembershipView, disk: DiskRecord): boolean {
   const member = view.membership.memberOfDisk(disk.id);
   return member?.state === 'left' || (member?.state === 'live' && member.condition === 'draining');
 }
 
 /**
- * Whether as many disks as replicas and votes are wanted are there without this one, as far as it has replicas or a vote. One whose machine
- * is down or restarting counts: its place is kept for it, or goes to another.
+ * Whether the other active disks have room for the wanted number of replicas, if this disk has any, and for the wanted number of votes, if
+ * it has one. A disk whose machine is down or restarting counts: it keeps its replicas and vote until it returns or is replaced.
  */
 function hasRoomWithout(value: FleetValue, disk: DiskRecord): boolean {
   const others = [...value.disks.values()].filter((other) => other.id !== disk.id && other.state === 'active');
