--- a/packages/data/src/ownership/shard-election.ts
+++ b/packages/data/src/ownership/shard-election.ts
@@ -65,12 +65,12 @@
 
   private async takeUnder(shard: ShardState, placement: Placement): Promise<void> {
     const { clock, random } = this.kernel.host;
-    let highest = parseFence(this.replicas.get(shard.id).promised).n;
+    let highest = parseFence(this.replicas.get(shard.id).promised).number;
     for (let round = 0; round < ELECTION_ROUNDS; round++) {
       const fence = makeFence(placement.gen, highest + 1, `${this.kernel.self}~${this.kernel.instanceId}`);
       const answers = await this.requestFence(shard.id, placement, fence);
       const refusals = answers.flatMap((answer) => (answer.ok ? [] : [parseFence(answer.promised)]));
-      for (const refusal of refusals) highest = Math.max(highest, refusal.n);
+      for (const refusal of refusals) highest = Math.max(highest, refusal.number);
       if (refusals.some((refusal) => refusal.gen > placement.gen)) return;
       if (this.isQuorum(placement, answers)) {
         const promises = answers.filter((answer) => answer.ok);
