--- a/packages/control/src/operators/operators.ts
+++ b/packages/control/src/operators/operators.ts
@@ -201,7 +201,7 @@
    * Starts or cancels the emptying of a disk. A repeat of an accepted request succeeds again, whatever has happened to the disk since.
    * A request with a change id is executed only once, however late it is repeated: another request may have changed the state since.
    */
-  async setDisk(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
+  async setDiskState(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
     this.answers.rejectIfStale(step);
     if (!this.register.value) throw notReady(this.kernel, step);
     const changed = this.register.change(
--- a/packages/control/src/placement/placement.ts
+++ b/packages/control/src/placement/placement.ts
@@ -9,7 +9,7 @@
  * @example
  * oddReplicaCount(5, 4); // 3
  */
-export function copiesFor(copies: number, disks: number): number {
+export function oddReplicaCount(copies: number, disks: number): number {
   const count = Math.min(copies, disks);
   return count > 1 && count % 2 === 0 ? count - 1 : count;
 }
@@ -19,7 +19,7 @@
  * @example
  * desiredReplicaCount({ families: [], copies: 5 }, 7); // 5
  */
-export function wantedCopies(config: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
+export function desiredReplicaCount(config: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
   return config.placement?.find((placement) => placement.shard === shard)?.nodes.length ?? config.copies ?? copies;
 }
 
@@ -29,7 +29,7 @@
  * @example
  * fastDiskIds(disks) // empty, unless the stores' disks are slow
  */
-export function quickOf(disks: DiskRecord[]): Set<string> {
+export function fastDiskIds(disks: DiskRecord[]): Set<string> {
   const responseTimes = disks
     .filter((disk) => isPrimarilyFor(disk, 'copies') && disk.ms !== undefined)
     .map((disk) => disk.ms!)
@@ -49,7 +49,7 @@
  * @example
  * replicaDisks(active, fastDiskIds(active)).length
  */
-export function copyDisks(disks: DiskRecord[], fast: Set<string>): DiskRecord[] {
+export function replicaDisks(disks: DiskRecord[], fast: Set<string>): DiskRecord[] {
   const selected = disks.filter((disk) => isPrimarilyFor(disk, 'copies') || fast.has(disk.id));
   return selected.length ? selected : disks;
 }
@@ -60,7 +60,7 @@
  * majoritiesIntersect(['a', 'b', 'c'], ['a', 'b', 'c', 'd']); // true
  * majoritiesIntersect(['a', 'b', 'c'], ['b', 'c', 'd']); // false: a, b and c, d
  */
-export function majoritiesMeet(one: string[], other: string[]): boolean {
+export function majoritiesIntersect(one: string[], other: string[]): boolean {
   const union = new Set([...one, ...other]).size;
   return Math.floor(one.length / 2) + 1 + (Math.floor(other.length / 2) + 1) > union;
 }
@@ -74,7 +74,7 @@
  * @example
  * hasFenceQuorum({ gen: 2, copies: ['b', 'c', 'd'], previous: ['a', 'b', 'c'] }, [{ disk: 'c', generation: 1 }, { disk: 'd', generation: 0 }]); // false
  */
-export function fenceQuorum(placement: Placement, promises: { disk: string; generation: number }[]): boolean {
+export function hasFenceQuorum(placement: Placement, promises: { disk: string; generation: number }[]): boolean {
   const promised = new Set(promises.map((promise) => promise.disk));
   const isMajorityOf = (set: string[]): boolean => set.filter((disk) => promised.has(disk)).length * 2 > set.length;
   if (!isMajorityOf(placement.copies)) return false;
@@ -88,15 +88,15 @@
  * @example
  * assignReplicas(disks, 5).get(3); // ['disk-a', 'disk-f', ...]
  */
-export function matchCopies(
+export function assignReplicas(
   allDisks: DiskRecord[],
   copies: number,
   shardCount: number = SHARD.shardCount,
   tolerance?: FaultTolerance,
 ): Map<number, string[]> {
-  const fast = quickOf(allDisks);
-  const disks = copyDisks(allDisks, fast);
-  const replicaCount = copiesFor(copies, disks.length);
+  const fast = fastDiskIds(allDisks);
+  const disks = replicaDisks(allDisks, fast);
+  const replicaCount = oddReplicaCount(copies, disks.length);
   const majorityCount = Math.floor(replicaCount / 2) + 1;
   const maxPerDisk = Math.ceil(((shardCount * replicaCount) / Math.max(1, disks.length)) * SHARD.replicaSlack);
   const load = new Map<string, number>();
@@ -131,7 +131,7 @@
  * @example
  * assignOwners(value.shards, (d) => live.has(d)).get(3); // 'disk-f'
  */
-export function matchOwners(
+export function assignOwners(
   shards: Map<number, Placement>,
   isEligible: (disk: string) => boolean,
 ): Map<number, string> {
@@ -158,13 +158,13 @@
  * @example
  * targetReplicas(value.config, activeDisks).get(3);
  */
-export function targetsOf(
+export function targetReplicas(
   config: FleetConfig,
   active: DiskRecord[],
   copies: number = SHARD.replicaCount,
   tolerance?: FaultTolerance,
 ): Map<number, string[]> {
-  const targets = matchCopies(active, config.copies ?? copies, SHARD.shardCount, tolerance);
+  const targets = assignReplicas(active, config.copies ?? copies, SHARD.shardCount, tolerance);
   const diskAt = new Map(active.map((disk) => [disk.peer, disk.id]));
   for (const manual of config.placement ?? []) {
     const namedDisks = manual.nodes.map((node) => diskAt.get(node)).filter((disk) => disk !== undefined);
@@ -172,7 +172,10 @@
       .map((disk) => disk.id)
       .filter((disk) => !namedDisks.includes(disk));
     if (targets.has(manual.shard))
-      targets.set(manual.shard, [...namedDisks, ...fallbacks].slice(0, copiesFor(manual.nodes.length, active.length)));
+      targets.set(
+        manual.shard,
+        [...namedDisks, ...fallbacks].slice(0, oddReplicaCount(manual.nodes.length, active.length)),
+      );
   }
   return targets;
 }
@@ -183,10 +186,10 @@
  * @example
  * isAwaitingReplacement(value, value.voters, 3); // true with three voters of which one is lost
  */
-export function awaitsSuccessor(value: FleetValue, set: string[], wanted: number): boolean {
+export function isAwaitingReplacement(value: FleetValue, set: string[], wanted: number): boolean {
   const remaining = set.filter((disk) => value.disks.get(disk)?.state !== 'lost');
   return (
     remaining.length < set.length &&
-    remaining.length < Math.min(copiesFor(set.length, set.length), copiesFor(wanted, wanted))
+    remaining.length < Math.min(oddReplicaCount(set.length, set.length), oddReplicaCount(wanted, wanted))
   );
 }
--- a/packages/control/src/placement/spread.ts
+++ b/packages/control/src/placement/spread.ts
@@ -31,21 +31,21 @@
 
   /** Whether one more member on this disk stays within the limits. */
   fits(disk: DiskRecord): boolean {
-    return this.membersIn(disk) < this.limits.perDomain && this.regionalMembers(disk) < this.limits.perRegion;
+    return this.membersInDomain(disk) < this.limits.perDomain && this.membersInRegion(disk) < this.limits.perRegion;
   }
 
   /** Whether the disk's domain or region has more members than may be lost at once. */
   exceeds(disk: DiskRecord): boolean {
-    return this.membersIn(disk) > this.limits.perDomain || this.regionalMembers(disk) > this.limits.perRegion;
+    return this.membersInDomain(disk) > this.limits.perDomain || this.membersInRegion(disk) > this.limits.perRegion;
   }
 
   /** Members in the disk's failure domain. */
-  membersIn(disk: DiskRecord): number {
+  membersInDomain(disk: DiskRecord): number {
     return this.countByDomain.get(disk.domain) ?? 0;
   }
 
   /** Members in the disk's region; always 0 if the tolerance includes no loss of a region, so that regions are ignored. */
-  regionalMembers(disk: DiskRecord): number {
+  membersInRegion(disk: DiskRecord): number {
     return this.tolerance?.regions ? (this.countByRegion.get(regionOf(disk)) ?? 0) : 0;
   }
 
@@ -53,10 +53,10 @@
   leastCrowded(disks: DiskRecord[]): DiskRecord[] {
     const fitting = disks.filter((disk) => this.fits(disk));
     const usable = fitting.length ? fitting : disks;
-    const minInRegion = Math.min(...usable.map((disk) => this.regionalMembers(disk)));
-    const inLeastUsedRegions = usable.filter((disk) => this.regionalMembers(disk) === minInRegion);
-    const minInDomain = Math.min(...inLeastUsedRegions.map((disk) => this.membersIn(disk)));
-    return inLeastUsedRegions.filter((disk) => this.membersIn(disk) === minInDomain);
+    const minInRegion = Math.min(...usable.map((disk) => this.membersInRegion(disk)));
+    const inLeastUsedRegions = usable.filter((disk) => this.membersInRegion(disk) === minInRegion);
+    const minInDomain = Math.min(...inLeastUsedRegions.map((disk) => this.membersInDomain(disk)));
+    return inLeastUsedRegions.filter((disk) => this.membersInDomain(disk) === minInDomain);
   }
 
   private count(disk: DiskRecord, delta: number): void {
@@ -72,7 +72,7 @@
  * @example
  * maxPlaceableMembers(3, disks, value.tolerance) >= 3 // whether the disks have room for the whole set
  */
-export function roomFor(size: number, disks: DiskRecord[], tolerance: FaultTolerance | undefined): number {
+export function maxPlaceableMembers(size: number, disks: DiskRecord[], tolerance: FaultTolerance | undefined): number {
   const places = disks.map(({ domain, region }) => ({ domain, region, count: 1 }));
   return roomUnder(places, spreadLimits(size, tolerance));
 }
--- a/packages/control/src/reconcile/durability-planner.ts
+++ b/packages/control/src/reconcile/durability-planner.ts
@@ -2,7 +2,7 @@
 import { REGISTER, type Kernel } from '@harecross/kernel';
 import { durabilityOf, shortfallOf, type Durability } from '../placement/durability.js';
 import type { FleetValue } from '../value/fleet-value.js';
-import type { Step } from './planner.js';
+import type { PlannedStep } from './planner.js';
 
 /**
  * Copies the durability that the config of this process asks for into the agreed value. If the disks have no room for it, the shortfall
@@ -17,7 +17,7 @@
   constructor(private readonly kernel: Kernel) {}
 
   /** The change of the value that is due, if any. */
-  step(value: FleetValue): Step | undefined {
+  step(value: FleetValue): PlannedStep | undefined {
     const configured = durabilityOf(this.kernel.host.config);
     if (!configured.tolerance || isSame(configured, value)) return undefined;
     const shortfall = shortfallOf(
--- a/packages/control/src/reconcile/forget-planner.ts
+++ b/packages/control/src/reconcile/forget-planner.ts
@@ -5,7 +5,7 @@
 import { PLACEMENT, type Kernel } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
 import type { MembershipTable } from '../membership/membership-table.js';
-import type { Step } from './planner.js';
+import type { PlannedStep } from './planner.js';
 import { holdsNothing } from '../value/fleet-queries.js';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
 import type { DiskRecord, FleetValue } from '../value/fleet-value.js';
@@ -59,7 +59,7 @@
   }
 
   /** The same as a step of the controller. */
-  step(value: FleetValue): Step | undefined {
+  step(value: FleetValue): PlannedStep | undefined {
     const due = this.plan(value);
     return due && { next: due.next, why: `records of disks ${due.forgotten.join(', ')} are removed` };
   }
@@ -84,7 +84,7 @@
  * back long after its record was removed therefore joins as an emptied disk, which takes no replica and no vote, until an operator
  * cancels the emptying.
  */
-export function rememberEmptied(
+export function persistEmptiedState(
   kernel: Kernel,
   membership: MembershipTable,
   register: ConsensusRegister,
--- a/packages/control/src/reconcile/plan-departures.ts
+++ b/packages/control/src/reconcile/plan-departures.ts
@@ -1,6 +1,6 @@
 /** Disks whose process is stopping: if a successor exists, their votes and replicas move to other disks before the process ends. */
 import { isInPlannedRestart } from '../value/fleet-queries.js';
-import { liveMember, type FleetView, type Step } from './planner.js';
+import { liveMember, type FleetView, type PlannedStep } from './planner.js';
 import { isStopping, successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
 
@@ -8,7 +8,7 @@
  * Marks, in one step, disks that are leaving (`leaving`), that have left (`lost`), and whose process is running again (`active`). A
  * machine without a successor is taken to be restarting, and so is one in a planned restart: both keep their votes and replicas.
  */
-export function planDepartures(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planDepartures(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const disks = new Map(value.disks);
   const changes: string[] = [];
   for (const disk of value.disks.values()) {
--- a/packages/control/src/reconcile/plan-moves.ts
+++ b/packages/control/src/reconcile/plan-moves.ts
@@ -1,11 +1,11 @@
 /** Starts and ends the planned moves of the configuration. Each move runs once: its state is stored in the agreed value. */
 import type { Move } from '@harecross/schema';
 import { reasonToStay, replicaCountOn, holdsNothing, moveKey } from '../value/fleet-queries.js';
-import type { FleetView, Step } from './planner.js';
+import type { FleetView, PlannedStep } from './planner.js';
 import type { DiskRecord, MoveRecord, MoveState, FleetValue } from '../value/fleet-value.js';
 
 /** The first planned move that changes its state now. */
-export function planMoves(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planMoves(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   for (const move of value.config.moves ?? []) {
     const record = value.moves.get(moveKey(move));
     const disk = [...value.disks.values()].find(
@@ -17,7 +17,7 @@
   return undefined;
 }
 
-function setMoveState(value: FleetValue, move: Move, state: MoveState, why: string, disk?: DiskRecord): Step {
+function setMoveState(value: FleetValue, move: Move, state: MoveState, why: string, disk?: DiskRecord): PlannedStep {
   const disks = disk ? new Map(value.disks).set(disk.id, disk) : value.disks;
   return {
     next: { ...value, disks, moves: new Map(value.moves).set(moveKey(move), { state, why }) },
@@ -25,9 +25,14 @@
   };
 }
 
-function startMove(value: FleetValue, fleet: FleetView, move: Move, disk: DiskRecord | undefined): Step | undefined {
-  if (fleet.wall < move.from) return undefined;
-  if (fleet.wall >= move.until) return setMoveState(value, move, 'missed', 'its time passed before it could begin');
+function startMove(
+  value: FleetValue,
+  fleet: FleetView,
+  move: Move,
+  disk: DiskRecord | undefined,
+): PlannedStep | undefined {
+  if (fleet.wallTime < move.from) return undefined;
+  if (fleet.wallTime >= move.until) return setMoveState(value, move, 'missed', 'its time passed before it could begin');
   if (move.kind === 'add') return setMoveState(value, move, 'running', '');
   // A move that can't start safely is tried again until its time has passed.
   if (reasonToStay(value, move, disk, fleet.membership)) return undefined;
@@ -42,9 +47,9 @@
   move: Move,
   record: MoveRecord,
   disk: DiskRecord | undefined,
-): Step | undefined {
+): PlannedStep | undefined {
   if (record.state !== 'running' && record.state !== 'late') return undefined;
-  const isOver = fleet.wall >= move.until;
+  const isOver = fleet.wallTime >= move.until;
   switch (move.kind) {
     case 'empty':
       if (!disk || disk.state !== 'emptying')
--- a/packages/control/src/reconcile/plan-replicas.ts
+++ b/packages/control/src/reconcile/plan-replicas.ts
@@ -4,8 +4,13 @@
  */
 import { PLACEMENT } from '@harecross/kernel';
 import type { ShardOwnerRecord } from './controller.js';
-import { awaitsSuccessor, majoritiesMeet, targetsOf, wantedCopies } from '../placement/placement.js';
-import { liveMember, type FleetView, type Step } from './planner.js';
+import {
+  isAwaitingReplacement,
+  majoritiesIntersect,
+  targetReplicas,
+  desiredReplicaCount,
+} from '../placement/placement.js';
+import { liveMember, type FleetView, type PlannedStep } from './planner.js';
 import { isUsedFor, type Placement, type FleetValue } from '../value/fleet-value.js';
 
 /** A shard with its owner's record, and the disks on which its replicas should be. */
@@ -18,10 +23,10 @@
 }
 
 /** The placement changes of all shards that are due now, in one step. */
-export function planReplicas(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planReplicas(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const active = [...value.disks.values()].filter((disk) => disk.state === 'active' && isUsedFor(disk, 'copies'));
   if (!active.length) return undefined;
-  const targets = targetsOf(value.config, active, value.copies, value.tolerance);
+  const targets = targetReplicas(value.config, active, value.copies, value.tolerance);
   const planner = new ReplicaPlanner(value, fleet);
   const shards = new Map(value.shards);
   let changed = 0;
@@ -144,8 +149,8 @@
   /** Removes a surplus replica. A lost replica stays in the placement until there is another disk to replace it. */
   private remove(view: ShardView, removed: string): Placement | undefined {
     const { shard, placement, target } = view;
-    const wanted = wantedCopies(this.value.config, shard, this.value.copies);
-    if (awaitsSuccessor(this.value, placement.copies, wanted) || !this.areInSync(view, target)) return undefined;
+    const wanted = desiredReplicaCount(this.value.config, shard, this.value.copies);
+    if (isAwaitingReplacement(this.value, placement.copies, wanted) || !this.areInSync(view, target)) return undefined;
     return this.nextPlacement(
       placement,
       placement.copies.filter((disk) => disk !== removed),
@@ -159,7 +164,7 @@
    */
   private nextPlacement(placement: Placement, copies: string[], retained: string[]): Placement {
     const next: Placement = { gen: placement.gen + 1, copies };
-    if (!majoritiesMeet(placement.copies, copies)) next.previous = placement.copies;
+    if (!majoritiesIntersect(placement.copies, copies)) next.previous = placement.copies;
     if (retained.length) next.retained = retained;
     return next;
   }
--- a/packages/control/src/reconcile/plan-voters.ts
+++ b/packages/control/src/reconcile/plan-voters.ts
@@ -1,10 +1,10 @@
 /** Keeps the wanted number of voters on active disks: a lost or leaving voter is replaced in one step. */
 import { REGISTER, rendezvousOrder } from '@harecross/kernel';
-import { awaitsSuccessor } from '../placement/placement.js';
+import { isAwaitingReplacement } from '../placement/placement.js';
 import { Spread } from '../placement/spread.js';
 import { hasSameUses } from '../value/fleet-queries.js';
-import { liveMember, type FleetView, type Step } from './planner.js';
-import { isStaying, joinedLater } from './successor.js';
+import { liveMember, type FleetView, type PlannedStep } from './planner.js';
+import { canTakeOver, joinedLater } from './successor.js';
 import { isPrimarilyFor, isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
 /** Seed of the rendezvous order of candidates. It must be the same on all nodes of a fleet, including those of earlier versions. */
@@ -14,7 +14,7 @@
  * The next change of the voters. From a change of voters until the next change of the value, a majority of both the previous and the new
  * voters is needed. Therefore each is followed at once by a change that alters nothing, after which removed voters are no longer needed.
  */
-export function planVoters(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planVoters(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const inactive = value.voters.filter((disk) => value.disks.get(disk)?.state !== 'active');
   const activeCount = value.voters.length - inactive.length;
   const wanted = targetVoterCount(value);
@@ -39,7 +39,7 @@
  * Moves a vote to the disk whose machine joined the domain last: in a planned replacement the new machine joins first, and the old one may
  * then be removed just when another machine fails.
  */
-function moveToLaterDisk(value: FleetValue, fleet: FleetView, inactive: string[]): Step | undefined {
+function moveToLaterDisk(value: FleetValue, fleet: FleetView, inactive: string[]): PlannedStep | undefined {
   if (inactive.length) return undefined;
   for (const voter of value.voters) {
     const later = laterDiskWithoutVote(value, fleet, value.disks.get(voter)!);
@@ -58,7 +58,7 @@
         joinedLater(disk, voter) &&
         hasSameUses(disk, voter) &&
         !value.voters.includes(disk.id) &&
-        isStaying(fleet, disk),
+        canTakeOver(fleet, disk),
     )
     .at(-1);
 }
@@ -67,7 +67,7 @@
  * Moves a vote out of a failure domain or region that has more votes than may be lost at once: the first voters are the seeds, whatever
  * their location.
  */
-function spreadVoters(value: FleetValue, fleet: FleetView, inactive: string[]): Step | undefined {
+function spreadVoters(value: FleetValue, fleet: FleetView, inactive: string[]): PlannedStep | undefined {
   if (inactive.length) return undefined;
   const crowded = value.voters.filter((voter) => voterSpread(value).exceeds(value.disks.get(voter)!));
   for (const voter of crowded) {
@@ -106,21 +106,21 @@
 /** Disks that may become voters, best first. */
 function candidatesFor(value: FleetValue, fleet: FleetView, spread: Spread): DiskRecord[] {
   const usable = [...value.disks.values()].filter(
-    (disk) => isUsedFor(disk, 'seat') && isStaying(fleet, disk) && !value.voters.includes(disk.id),
+    (disk) => isUsedFor(disk, 'seat') && canTakeOver(fleet, disk) && !value.voters.includes(disk.id),
   );
   // Prefers disks whose first use isn't replicas: every node sends requests to the voters, and replicas are a load of their own.
   return rendezvousOrder(VOTER_HASH_KEY, usable, (disk) => disk.id).sort(
     (one, other) =>
       Number(spread.fits(other)) - Number(spread.fits(one)) ||
       Number(isPrimarilyFor(one, 'copies')) - Number(isPrimarilyFor(other, 'copies')) ||
-      spread.regionalMembers(one) - spread.regionalMembers(other) ||
-      spread.membersIn(one) - spread.membersIn(other),
+      spread.membersInRegion(one) - spread.membersInRegion(other) ||
+      spread.membersInDomain(one) - spread.membersInDomain(other),
   );
 }
 
 /** A voter to remove without a replacement; undefined while a lost voter is kept until another disk can replace it. */
 function surplusVoter(value: FleetValue, fleet: FleetView, inactive: string[], wanted: number): string | undefined {
-  if (awaitsSuccessor(value, value.voters, value.votersWanted ?? REGISTER.voterCount)) return undefined;
+  if (isAwaitingReplacement(value, value.voters, value.votersWanted ?? REGISTER.voterCount)) return undefined;
   if (inactive.length) return inactive[0];
   if (value.voters.length <= wanted) return undefined;
   const live = (disk: string): number => Number(liveMember(fleet, disk) !== undefined);
@@ -128,7 +128,7 @@
 }
 
 /** A change that alters nothing, after which a majority of the previous voters is no longer needed too. */
-function dropPreviousVoters(value: FleetValue): Step | undefined {
+function dropPreviousVoters(value: FleetValue): PlannedStep | undefined {
   if (value.voters.join() === value.previousVoters.join()) return undefined;
   return { next: { ...value }, why: 'previous voters are no longer needed' };
 }
--- a/packages/control/src/reconcile/planner.ts
+++ b/packages/control/src/reconcile/planner.ts
@@ -8,19 +8,19 @@
   membership: MembershipTable;
   now: number;
   /** Wall-clock time (ms), by which planned moves are scheduled. */
-  wall: number;
+  wallTime: number;
   /** When the controller's process started: a machine that it has never seen has been away for at least that long. */
   startedAt: number;
 }
 
 /** One change of the agreed value, and its description for the log. */
-export interface Step {
+export interface PlannedStep {
   next: FleetValue;
   why: string;
 }
 
 /** Returns the next step of its kind, or undefined while none is due. */
-export type Planner = (value: FleetValue, fleet: FleetView) => Step | undefined;
+export type Planner = (value: FleetValue, fleet: FleetView) => PlannedStep | undefined;
 
 /** The member that has this disk, if that member is live. */
 export function liveMember(fleet: FleetView, disk: string): Member | undefined {
@@ -29,7 +29,7 @@
 }
 
 /** How long the disk's machine has not been heard from (ms); 0 while it is live. */
-export function silentFor(fleet: FleetView, disk: DiskRecord): number {
+export function silenceMs(fleet: FleetView, disk: DiskRecord): number {
   const member = fleet.membership.memberOfDisk(disk.id);
   if (!member) return fleet.now - fleet.startedAt;
   return member.state === 'live' ? 0 : fleet.now - member.seenAt;
--- a/packages/control/src/value/fleet-queries.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -6,7 +6,7 @@
 import type { Move } from '@harecross/schema';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { shortfallOf } from '../placement/durability.js';
-import { copiesFor, copyDisks, quickOf } from '../placement/placement.js';
+import { oddReplicaCount, replicaDisks, fastDiskIds } from '../placement/placement.js';
 import { moveKey, isUsedFor, type DiskRecord, type FleetValue } from './fleet-value.js';
 
 /** A disk by its id, or by the name of the machine it is in. */
@@ -74,8 +74,8 @@
   for (const [s, p] of v.shards) if (short(p.copies)) return `shard ${s} would lose its majority`;
   if (m.kind === 'restart') return undefined;
   const all = [...v.disks.values()].filter((d) => d.state === 'active' && isUsedFor(d, 'copies'));
-  const active = copyDisks(all, quickOf(all));
-  const now = copiesFor(v.config.copies ?? v.copies ?? SHARD.replicaCount, active.length);
+  const active = replicaDisks(all, fastDiskIds(all));
+  const now = oddReplicaCount(v.config.copies ?? v.copies ?? SHARD.replicaCount, active.length);
   const left = active.filter((d) => d.id !== disk.id && live(d.id));
   if (left.length < now) return `${left.length} active live disks would be left for ${now} copies`;
   const usable = [...v.disks.values()].filter((d) => d.state === 'active');
--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -312,7 +312,7 @@
       case 'ReadConfig':
         return this.ops.readConfig();
       case 'EmptyDisk':
-        return this.ops.setDisk(body.disk, 'emptying', m, body.changeId);
+        return this.ops.setDiskState(body.disk, 'emptying', m, body.changeId);
       case 'EmptyStatus':
         return this.ops.emptyStatus(body.disk);
       case 'PlanMoves':
@@ -320,7 +320,7 @@
       case 'Moves':
         return this.ops.moves();
       case 'CancelEmpty':
-        return this.ops.setDisk(body.disk, 'active', m, body.changeId);
+        return this.ops.setDiskState(body.disk, 'active', m, body.changeId);
       case 'Fleet':
         return this.fleet();
       case 'Node':
--- a/packages/data/src/ownership/shard-election.ts
+++ b/packages/data/src/ownership/shard-election.ts
@@ -2,7 +2,7 @@
  * Election of a shard's owner. A candidate has a quorum of replicas promise a fencing token higher than all before, adopts the longest
  * valid history among them, and owns the shard once a majority has its first entry, the barrier.
  */
-import { fenceQuorum, type ConsensusRegister, type Placement } from '@harecross/control';
+import { hasFenceQuorum, type ConsensusRegister, type Placement } from '@harecross/control';
 import { SHARD, collectUntil, sleep, toErrorDetails, withTimeout, type Kernel } from '@harecross/kernel';
 import { lastFence, lastIdx, makeFence, parseFence, type Fence, type Replica } from '@harecross/state';
 import type { FenceAnswer, FetchAnswer, ReplicaStore } from '../replication/replica-store.js';
@@ -98,7 +98,7 @@
     const promises = answers
       .filter((answer) => answer.ok)
       .map((answer) => ({ disk: answer.disk, generation: parseFence(answer.lastFence).gen }));
-    return promises.some((promise) => promise.disk === this.replicas.disk) && fenceQuorum(placement, promises);
+    return promises.some((promise) => promise.disk === this.replicas.disk) && hasFenceQuorum(placement, promises);
   }
 
   private async requestFenceFrom(disk: string, shardId: number, fence: Fence): Promise<FenceAnswer> {
