--- a/packages/control/src/consensus/acceptor.ts
+++ b/packages/control/src/consensus/acceptor.ts
@@ -1,80 +1,82 @@
-/** The voter's part of the consensus register: promises and accepted values on this node's disk. */
+/** The acceptor (voter) role of the consensus register: promises and accepted values on this node's disk. */
 import { HarecrossError, REGISTER, type Kernel } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
 import { deserializeValue } from '../value/value-text.js';
 import type { FleetValue } from '../value/fleet-value.js';
 import { proposerOf, type Accepted, type Prepared, type VoterState } from './ballots.js';
 
-/** A ballot to promise. */
+/** Asks a voter to promise a ballot. */
 interface PrepareRequest {
   disk: string;
   ballot: string;
-  /** It is for a repair, which orders must not outbid; other ballots leave it out. */
+  /** Set for a repair, which has priority over operator orders; absent for all other ballots. */
   repair?: true;
 }
 
-/** For whom ballots of others are refused, and until when (steady clock, ms). */
+/** A proposer that repairs; ballots of others that are not for a repair are refused until `until` (monotonic clock, ms). */
 interface Reservation {
   proposer: string;
   until: number;
 }
 
-/** A value to accept under a ballot. */
+/** Asks a voter to accept a value under a ballot. */
 interface AcceptRequest {
   disk: string;
   ballot: string;
   value: string;
-  /** `Prepared.at` of this voter's promise; older nodes leave it out. */
+  /** `PrepareResponse.at` of this voter's promise; absent in requests of older nodes. */
   promisedAt?: number;
 }
 
 /**
- * Answers ballots by what this disk has promised and accepted. Nothing is answered before it is synced, and a
- * promise is never taken back: it refuses every ballot below the highest one promised. A value that comes long
- * after the promise is refused too: it lay in a buffer while a machine stood still or was cut off.
+ * Answers ballots according to what this disk has promised and accepted. Every answer waits until its state is synced, and a
+ * promise is never withdrawn: each ballot below the highest promised one is refused. A value that arrives long after the
+ * promise is refused too, because it was delayed in a buffer while a machine was frozen or partitioned.
  */
 export class Acceptor {
-  /** What was accepted last, chosen or not, and under which ballot. */
+  /** The value accepted last, whether it was chosen or not. */
   accepted?: FleetValue;
+  /** The ballot of `accepted`. */
   acceptedBallot = '';
-  /** Of a proposer that repairs; in memory only, since a refusal more or less decides nothing. */
+  /** The reservation of the latest repair. In memory only: an additional or missing refusal doesn't affect safety. */
   private reservation?: Reservation;
 
   constructor(
     private kernel: Kernel,
     private store: DurableState,
     readonly disk: string,
-    /** The revision that this node knows to be chosen. */
-    private knownRev: () => number,
+    /** The latest revision that this node knows to be chosen. */
+    private chosenRevision: () => number,
   ) {
     const saved = store.acceptorState();
     if (saved.value) {
       this.accepted = deserializeValue(saved.value);
       this.acceptedBallot = saved.ballot;
     }
-    kernel.on('RegPrepare', (b: PrepareRequest) => this.prepare(b));
-    kernel.on('RegAccept', (b: AcceptRequest) => this.accept(b));
-    kernel.on('RegRead', (b: { disk: string }) => this.voterState(b));
+    kernel.on('RegPrepare', (request: PrepareRequest) => this.prepare(request));
+    kernel.on('RegAccept', (request: AcceptRequest) => this.accept(request));
+    kernel.on('RegRead', (request: { disk: string }) => this.voterState(request));
   }
 
-  private mustBeOurs(disk: string, step: string): void {
+  private requireOwnDisk(disk: string, step: string): void {
     if (disk !== this.disk) throw new HarecrossError({ tag: 'unknown_disk', step, peer: this.kernel.self, disk });
   }
 
-  private async prepare(b: PrepareRequest): Promise<Prepared> {
+  private async prepare(request: PrepareRequest): Promise<Prepared> {
     const { store, disk } = this;
-    this.mustBeOurs(b.disk, 'RegPrepare');
+    this.requireOwnDisk(request.disk, 'RegPrepare');
     const at = this.kernel.host.clock.now();
-    if (b.repair) this.reservation = { proposer: proposerOf(b.ballot), until: at + REGISTER.repairReservationMs };
-    else if (this.isReservedForAnother(b.ballot, at)) {
+    if (request.repair)
+      this.reservation = { proposer: proposerOf(request.ballot), until: at + REGISTER.repairReservationMs };
+    else if (this.isReservedForAnother(request.ballot, at)) {
       const { promised, ballot } = store.acceptorState();
       return { disk, ok: false, promised, ballot };
     }
     return store.db.commit((): Prepared => {
       const saved = store.acceptorState();
-      if (b.ballot <= saved.promised) return { disk, ok: false, promised: saved.promised, ballot: saved.ballot };
-      store.saveAcceptorState({ ...saved, promised: b.ballot });
-      return { disk, ok: true, promised: b.ballot, ballot: saved.ballot, value: saved.value, at };
+      if (request.ballot <= saved.promised) return { disk, ok: false, promised: saved.promised, ballot: saved.ballot };
+      store.saveAcceptorState({ ...saved, promised: request.ballot });
+      return { disk, ok: true, promised: request.ballot, ballot: saved.ballot, value: saved.value, at };
     });
   }
 
@@ -83,32 +85,37 @@
     return reservation !== undefined && now < reservation.until && reservation.proposer !== proposerOf(ballot);
   }
 
-  private async accept(b: AcceptRequest): Promise<Accepted> {
+  private async accept(request: AcceptRequest): Promise<Accepted> {
     const { store, disk } = this;
-    this.mustBeOurs(b.disk, 'RegAccept');
+    this.requireOwnDisk(request.disk, 'RegAccept');
     const answer = await store.db.commit((): Accepted => {
       const saved = store.acceptorState();
-      if (b.ballot < saved.promised || this.isLate(b)) return { disk, ok: false, promised: saved.promised };
-      store.saveAcceptorState({ promised: b.ballot, ballot: b.ballot, value: b.value });
-      return { disk, ok: true, promised: b.ballot };
+      if (request.ballot < saved.promised || this.isLate(request)) return { disk, ok: false, promised: saved.promised };
+      store.saveAcceptorState({ promised: request.ballot, ballot: request.ballot, value: request.value });
+      return { disk, ok: true, promised: request.ballot };
     });
-    // Told to nobody before it is synced: a value that a majority has accepted is chosen.
-    if (answer.ok && b.ballot >= this.acceptedBallot) {
-      this.accepted = deserializeValue(b.value);
-      this.acceptedBallot = b.ballot;
+    // Not exposed before the commit is synced: a value that a majority has accepted is chosen.
+    if (answer.ok && request.ballot >= this.acceptedBallot) {
+      this.accepted = deserializeValue(request.value);
+      this.acceptedBallot = request.ballot;
     }
     return answer;
   }
 
-  /** Whether the promise to this ballot was given too long ago, or before this process began. */
-  private isLate(b: AcceptRequest): boolean {
-    if (b.promisedAt === undefined) return false;
-    const ageMs = this.kernel.host.clock.now() - b.promisedAt;
-    return b.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseLifeMs;
+  /** Whether the promise for this request is older than `promiseLifeMs` or was given before this process started. */
+  private isLate(request: AcceptRequest): boolean {
+    if (request.promisedAt === undefined) return false;
+    const ageMs = this.kernel.host.clock.now() - request.promisedAt;
+    return request.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseLifeMs;
   }
 
-  private voterState(b: { disk: string }): VoterState {
-    this.mustBeOurs(b.disk, 'RegRead');
-    return { disk: this.disk, rev: this.accepted?.rev ?? 0, known: this.knownRev(), ballot: this.acceptedBallot };
+  private voterState(request: { disk: string }): VoterState {
+    this.requireOwnDisk(request.disk, 'RegRead');
+    return {
+      disk: this.disk,
+      rev: this.accepted?.rev ?? 0,
+      known: this.chosenRevision(),
+      ballot: this.acceptedBallot,
+    };
   }
 }
--- a/packages/control/src/consensus/ballots.ts
+++ b/packages/control/src/consensus/ballots.ts
@@ -1,15 +1,15 @@
-/** Ballots, the messages of the consensus register and the rule of majorities. */
+/** Ballots, the messages of the consensus register and the majority rule. */
 import type { Kernel, PeerRpc } from '@harecross/kernel';
 import type { FleetValue } from '../value/fleet-value.js';
 
-/** A voter's answer to `RegPrepare`: its promise, and what it accepted last. */
+/** A voter's answer to `RegPrepare`: its promise and the value it accepted last, with that value's ballot. */
 export interface Prepared {
   disk: string;
   ok: boolean;
   promised: string;
   ballot: string;
   value?: string;
-  /** The voter's steady clock when it promised; it comes back with the value to accept. Older nodes leave it out. */
+  /** The voter's monotonic clock when it promised; the proposer returns it in `RegAccept`. Absent in answers of older nodes. */
   at?: number;
 }
 
@@ -20,7 +20,7 @@
   promised: string;
 }
 
-/** A voter's answer to `RegRead`: the revision it accepted last with its ballot, and the one it knows to be chosen. */
+/** A voter's answer to `RegRead`: the revision and ballot it accepted last, and the latest revision it knows to be chosen. */
 export interface VoterState {
   disk: string;
   rev: number;
@@ -28,57 +28,57 @@
   ballot: string;
 }
 
-/** Calls a method at the node of each disk; a disk without a known address gives a rejected promise. */
+/** Calls a method on the node of each disk; the promise of a disk without a known address is rejected. */
 export type CallVoters = <T>(disks: string[], method: PeerRpc, body: object) => Promise<T>[];
 
-/** The sets of voters of which a majority each has to agree: those of the value, and those of the value before it. */
+/** The voter sets that each need a majority: the voters of this value and those of the value before it. */
 export const voterSets = (v: FleetValue): string[][] => [v.voters, v.previousVoters];
 
-/** Every voter of either set, once. */
+/** The voters of both sets, without duplicates. */
 export const allVoters = (v: FleetValue): string[] => [...new Set([...v.voters, ...v.previousVoters])];
 
 /**
- * Whether the disks heard from are a majority of each set.
+ * Whether the given disks include a majority of each set.
  * @example
  * isMajority([['a', 'b', 'c']], new Set(['a', 'c'])); // true
  */
-export function isMajority(sets: string[][], heard: Set<string>): boolean {
-  return sets.every((s) => s.filter((d) => heard.has(d)).length * 2 > s.length);
+export function isMajority(sets: string[][], disks: Set<string>): boolean {
+  return sets.every((set) => set.filter((disk) => disks.has(disk)).length * 2 > set.length);
 }
 
-/** Digits of a ballot's number: ballots compare as strings. */
-const NUMBER_DIGITS = 12;
+/** Fixed number of digits of a ballot's sequence number, so that ballots compare as strings. */
+const SEQUENCE_DIGITS = 12;
 
-/** The process that made a ballot. */
-export const proposerOf = (ballot: string): string => ballot.slice(NUMBER_DIGITS + 1);
+/** The process that issued a ballot. */
+export const proposerOf = (ballot: string): string => ballot.slice(SEQUENCE_DIGITS + 1);
 
-/** Makes ballots that no other process makes, each above all that were seen. */
+/** Issues ballots that are unique to this process, each higher than all ballots it has issued or observed. */
 export class BallotSource {
+  /** The sequence number of the last ballot issued or observed. */
   private count = 0;
 
   constructor(private kernel: Kernel) {}
 
   next(): string {
-    return `${String(++this.count).padStart(NUMBER_DIGITS, '0')}.${this.kernel.self}~${this.kernel.instanceId}`;
+    return `${String(++this.count).padStart(SEQUENCE_DIGITS, '0')}.${this.kernel.self}~${this.kernel.instanceId}`;
   }
 
-  /** The next ballot is above this one. */
+  /** Ensures that the next ballot is higher than the given one. */
   outbid(ballot: string): void {
-    this.count = Math.max(this.count, Number(ballot.slice(0, NUMBER_DIGITS)) || 0);
+    this.count = Math.max(this.count, Number(ballot.slice(0, SEQUENCE_DIGITS)) || 0);
   }
 
-  /** The number of the last ballot made or seen. */
   get last(): number {
     return this.count;
   }
 }
 
 /**
- * Whether at most one voter goes and at most one comes. A voter may be replaced by another in one step, because the change itself
- * needs a majority of the voters before and of those after.
+ * Whether at most one voter is removed and at most one is added. One step may replace a voter by another, because the change
+ * itself needs a majority of both the old and the new voters.
  */
 export function oneVoterChanges(before: string[], after: string[]): boolean {
-  const gone = before.filter((disk) => !after.includes(disk));
-  const come = after.filter((disk) => !before.includes(disk));
-  return gone.length <= 1 && come.length <= 1;
+  const removed = before.filter((disk) => !after.includes(disk));
+  const added = after.filter((disk) => !before.includes(disk));
+  return removed.length <= 1 && added.length <= 1;
 }
--- a/packages/control/src/consensus/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -1,4 +1,4 @@
-/** Bootstrap of the consensus register: the first value of a fleet, agreed on by all three seeds. */
+/** Bootstrap of the consensus register: all three seeds agree on the first value of a fleet. */
 import { REGISTER, SHARD, type Kernel } from '@harecross/kernel';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { durabilityOf, shortfallOf } from '../placement/durability.js';
@@ -8,99 +8,98 @@
 import type { Accepted, BallotSource, Prepared } from './ballots.js';
 import type { FoundingRight } from './founding-right.js';
 
-/** Fleet ids are random numbers below this. */
+/** Fleet ids are random integers below this bound. */
 const FLEET_ID_RANGE = 2 ** 48;
 const FLEET_ID_RADIX = 36;
 
-/** A seed's answer to `RegWho`: its disk, the fleet that the disk belongs to, if any, and whether it may found one. Wire format. */
+/** A seed's answer to `RegWho`: its disk, the fleet that the disk belongs to, if any, and whether it may bootstrap one. Wire format. */
 interface SeedIdentity {
   disk: string;
   fleet?: string;
   mayFound?: boolean;
 }
 
-/** A seed with its disk. */
 interface Seed {
   peer: string;
   disk: string;
   mayFound: boolean;
 }
 
-/** Bootstraps the fleet, once. */
+/** Bootstraps the fleet once, if it does not exist yet. */
 export class Bootstrap {
-  /** When a shortfall of disks was last reported (steady clock, ms). */
-  private reportedAt = -Infinity;
+  /** When missing disks were last reported (monotonic clock, ms). */
+  private shortfallReportedAt = -Infinity;
 
   constructor(
     private readonly kernel: Kernel,
     private readonly membership: MembershipTable,
     private readonly ballots: BallotSource,
-    private readonly right: FoundingRight,
-    /** The value that is known here, if any. */
-    private readonly known: () => FleetValue | undefined,
-    /** Called with the first value once it is chosen. */
+    private readonly eligibility: FoundingRight,
+    /** The value known here, if any. */
+    private readonly knownValue: () => FleetValue | undefined,
+    /** Called with the first value after it was chosen. */
     private readonly learn: (value: FleetValue) => void,
   ) {}
 
   /**
-   * One attempt. Only the first seed that may makes it, and only while all three seeds answer that their disks belong to no
-   * fleet: asking, preparing and accepting all need all three. A value accepted anywhere is on a seed's disk and is
-   * found again; a disk that learns of its fleet remembers it, with a vote or without. So a disk of a seed of the first start that has
-   * nothing accepted proves that there is no fleet, and a second one could arise only if all three seeds' disks were emptied together.
+   * Makes one attempt. Only the first eligible seed makes it, and only if all three seeds answer that their disks belong to no fleet:
+   * the identity query, prepare and accept each need all three. Any accepted value is therefore on a seed's disk and is found by the next
+   * attempt, and a disk stores its fleet id once it learns it, whether it is a voter or not. So a disk of a seed of the first start that
+   * has accepted nothing proves that there is no fleet; a second fleet could arise only if the disks of all three seeds were wiped together.
    */
   async tryBootstrap(): Promise<void> {
-    const peers = this.right.seeds;
-    if (!peers || !this.hasLookedAround()) return;
+    const peers = this.eligibility.seeds;
+    if (!peers || !this.isDiscoveryOver()) return;
     const seeds = await this.seedsWithoutFleet(peers);
-    if (!seeds || seeds.find((seed) => seed.mayFound)?.peer !== this.kernel.self || !this.areDisksThere()) return;
+    if (!seeds || seeds.find((seed) => seed.mayFound)?.peer !== this.kernel.self || !this.hasEnoughDisks()) return;
     const ballot = this.ballots.next();
     const promises = await this.prepare(seeds, ballot);
     if (!promises) return;
     const value = this.firstValue(seeds, promises);
-    // A fleet that lives: the ordinary way finds it.
+    // The fleet exists already; the regular fetch of the value finds it.
     if (value.rev !== 1) return;
     if (!(await this.accept(seeds, ballot, promises, value))) return;
     this.kernel.host.log.info('fleet founded', { fleet: value.fleet, disks: value.disks.size });
     this.learn(value);
   }
 
-  /** Whether no fleet is known, and others had the time to come. */
-  private hasLookedAround(): boolean {
-    return !this.known() && this.waitedMs() >= REGISTER.bootstrapAfterMs;
+  /** Whether no fleet is known after other nodes had `bootstrapAfterMs` to appear. */
+  private isDiscoveryOver(): boolean {
+    return !this.knownValue() && this.uptimeMs() >= REGISTER.bootstrapAfterMs;
   }
 
-  private waitedMs(): number {
+  private uptimeMs(): number {
     return this.kernel.host.clock.now() - this.kernel.startedAt;
   }
 
   /**
-   * Whether the disks that are there bear what the configuration of the process asks for. Where it asks for nothing, those that came
-   * within some time are enough.
+   * Whether the live disks provide the fault tolerance in the process config. If the config states none, one replica disk per copy is
+   * enough, or whatever disks are live after `bootstrapAnywayMs`.
    */
-  private areDisksThere(): boolean {
-    const isLate = this.waitedMs() >= REGISTER.bootstrapAnywayMs;
+  private hasEnoughDisks(): boolean {
+    const isOverdue = this.uptimeMs() >= REGISTER.bootstrapAnywayMs;
     const durability = durabilityOf(this.kernel.host.config);
-    if (!durability.tolerance) return isLate || this.disksForReplicas() >= durability.copies;
+    if (!durability.tolerance) return isOverdue || this.liveReplicaDiskCount() >= durability.copies;
     const shortfall = shortfallOf(durability, [...this.liveDisks().values()]);
-    if (shortfall !== undefined && isLate) this.reportShortfall(shortfall);
+    if (shortfall !== undefined && isOverdue) this.reportShortfall(shortfall);
     return shortfall === undefined;
   }
 
-  /** Live disks that are for replicas before anything else. */
-  private disksForReplicas(): number {
+  /** Number of live disks whose primary use is replicas. */
+  private liveReplicaDiskCount(): number {
     return this.membership.liveMembers().filter((member) => member.diskUses?.[0] === 'copies').length;
   }
 
-  /** Says why the fleet is not founded: at once, and again while it stays so. */
+  /** Logs why the fleet can't be bootstrapped, and repeats it every `bootstrapReportMs` while that lasts. */
   private reportShortfall(shortfall: string): void {
     const now = this.kernel.host.clock.now();
-    if (now - this.reportedAt < REGISTER.bootstrapReportMs) return;
-    this.reportedAt = now;
+    if (now - this.shortfallReportedAt < REGISTER.bootstrapReportMs) return;
+    this.shortfallReportedAt = now;
     this.kernel.incrementCounter('bootstrap.short');
     this.kernel.host.log.warn(`cannot found the fleet: ${shortfall}`);
   }
 
-  /** All seeds with their disks; undefined unless each answers that it belongs to no fleet. */
+  /** All seeds with their disks; undefined unless every seed answers that its disk belongs to no fleet. */
   private async seedsWithoutFleet(peers: string[]): Promise<Seed[] | undefined> {
     const calls = peers.map((peer) => this.kernel.call<SeedIdentity>(peer, 'RegWho', {}).catch(() => undefined));
     const identities = await Promise.all(calls);
@@ -112,7 +111,7 @@
     return seeds;
   }
 
-  /** The promises of all seeds; undefined where one is missing. */
+  /** The promises of all seeds; undefined if one is missing. */
   private async prepare(seeds: Seed[], ballot: string): Promise<Prepared[] | undefined> {
     const calls = seeds.map(({ peer, disk }) =>
       this.kernel.call<Prepared>(peer, 'RegPrepare', { disk, ballot }).catch(() => undefined),
@@ -123,15 +122,15 @@
     return promises.length === seeds.length ? (promises as Prepared[]) : undefined;
   }
 
-  /** The value of a bootstrap that was cut short, if there was one; else a new one. */
+  /** The value of an interrupted bootstrap, if any seed accepted one; otherwise a new value. */
   private firstValue(seeds: Seed[], promises: Prepared[]): FleetValue {
     const accepted = promises
       .filter((promise) => promise.value)
-      .reduce<Prepared | undefined>((one, other) => (!one || other.ballot > one.ballot ? other : one), undefined);
-    return accepted ? deserializeValue(accepted.value!) : this.genesis(seeds);
+      .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
+    return accepted ? deserializeValue(accepted.value!) : this.initialValue(seeds);
   }
 
-  /** Whether all seeds accepted the value. */
+  /** Sends the value to all seeds; returns whether all of them accepted it. */
   private async accept(seeds: Seed[], ballot: string, promises: Prepared[], value: FleetValue): Promise<boolean> {
     const text = serializeValue(value);
     const calls = seeds.map(({ peer, disk }, i) =>
@@ -142,13 +141,13 @@
     return (await Promise.all(calls)).every((answer) => answer?.ok);
   }
 
-  private genesis(seeds: Seed[]): FleetValue {
+  private initialValue(seeds: Seed[]): FleetValue {
     const fleet = Math.floor(this.kernel.host.random.next() * FLEET_ID_RANGE).toString(FLEET_ID_RADIX);
-    const disks = this.firstDisks(seeds);
+    const disks = this.initialDisks(seeds);
     const durability = durabilityOf(this.kernel.host.config);
     const { copies, tolerance } = durability;
-    const forReplicas = [...disks.values()].filter((disk) => isUsedFor(disk, 'copies'));
-    const placements = [...matchCopies(forReplicas, copies, SHARD.shardCount, tolerance)];
+    const replicaDisks = [...disks.values()].filter((disk) => isUsedFor(disk, 'copies'));
+    const placements = [...matchCopies(replicaDisks, copies, SHARD.shardCount, tolerance)];
     const voters = seeds.map((seed) => seed.disk);
     return {
       fleet,
@@ -160,15 +159,15 @@
       disks,
       voters,
       previousVoters: voters,
-      shards: new Map(placements.map(([shard, on]): [number, Placement] => [shard, { gen: 1, copies: on }])),
+      shards: new Map(placements.map(([shard, diskIds]): [number, Placement] => [shard, { gen: 1, copies: diskIds }])),
       ...durability,
       changes: new Map(),
       moves: new Map(),
     };
   }
 
-  /** The disks of all live members, and those of the seeds. */
-  private firstDisks(seeds: Seed[]): Map<string, DiskRecord> {
+  /** The disks of all live members and of the seeds. */
+  private initialDisks(seeds: Seed[]): Map<string, DiskRecord> {
     const disks = this.liveDisks();
     for (const { peer, disk: id } of seeds)
       if (!disks.has(id)) disks.set(id, { id, peer, domain: '', state: 'active', uses: ['seat'] });
--- a/packages/control/src/consensus/consensus-register.ts
+++ b/packages/control/src/consensus/consensus-register.ts
@@ -1,4 +1,4 @@
-/** The consensus register: one agreed value, changed by ballots at a majority of the voters' disks. */
+/** The consensus register: a single agreed value, changed through ballots at a majority of the voters' disks. */
 import {
   HarecrossError,
   Kernel,
@@ -6,7 +6,7 @@
   REQUEST,
   jitteredRetryMs,
   periodicTicks,
-  registerPlugin as plug,
+  registerPlugin,
   runPeriodically,
   type PeerRpc,
 } from '@harecross/kernel';
@@ -32,14 +32,14 @@
   }
 }
 
-/** The key under which a disk keeps the id of its fleet. Stored data: it stays. */
-const FLEET_ROW = 'fleet';
+/** The key under which a disk stores the id of its fleet. Stored data: must not change. */
+const FLEET_ID_KEY = 'fleet';
 
 /**
- * The consensus register: one compare-and-set value, agreed on by a majority of the voters' disks under ballots. There is no log
- * and no leader: whoever wants a change prepares a ballot, takes the highest accepted value, applies the change
- * and has it accepted. A value that changes the voters needs a majority of the old and of the new ones, until the next
- * change; one voter comes or goes at a time, or one is replaced by another.
+ * The consensus register: a single compare-and-set value on which a majority of the voters' disks agrees through ballots, as in CASPaxos.
+ * There is no log and no leader: any node that wants a change prepares a ballot, takes the accepted value with the highest ballot, applies
+ * the change and has the result accepted. A value that changes the voters needs a majority of both the old and the new voters, until the
+ * next change; one change may add, remove or replace a single voter.
  * @example
  * await register.change((v) => ({ next: { ...v, version: v.version + 1 }, out: v.version + 1 }));
  */
@@ -97,71 +97,75 @@
       runPeriodically(clock, REGISTER.confirmMs, random, async () => this.isConfirmationDue() && this.confirm()),
     );
     this.startFirstConfirmation();
-    // Cut off before, and now somebody is there again: the periodic confirmation may still be waiting for calls that were lost.
+    // After a partition ends, the periodic confirmation may still be waiting for lost calls; confirm as soon as a member is live again.
     kernel.addSubscription(
-      membership.memberStateChanged$.subscribe((m) => m.state === 'live' && void this.renewExpiredLease()),
+      membership.memberStateChanged$.subscribe((member) => member.state === 'live' && void this.renewExpiredLease()),
     );
     if (this.state) {
-      const right = new FoundingRight(kernel, this.state);
-      this.answerIdentity(this.state, right);
-      if (right.seeds) this.startBootstrap(right);
+      const eligibility = new FoundingRight(kernel, this.state);
+      this.serveIdentity(this.state, eligibility);
+      if (eligibility.seeds) this.startBootstrap(eligibility);
     }
   }
 
-  private startBootstrap(right: FoundingRight): void {
+  private startBootstrap(eligibility: FoundingRight): void {
     const { kernel } = this;
     const { clock, random } = kernel.host;
     const learn = (value: FleetValue): void => this.learn(value);
-    const bootstrap = new Bootstrap(kernel, this.membership, this.ballots, right, () => this.value, learn);
+    const bootstrap = new Bootstrap(kernel, this.membership, this.ballots, eligibility, () => this.value, learn);
     kernel.addSubscription(runPeriodically(clock, REGISTER.bootstrapEveryMs, random, () => bootstrap.tryBootstrap()));
   }
 
-  /** Tells who founds the fleet what this disk is, and whether it could found one itself. */
-  private answerIdentity(state: DurableState, right: FoundingRight): void {
+  /** Answers the bootstrapping seed with this disk's id and fleet, and with whether this node may bootstrap a fleet itself. */
+  private serveIdentity(state: DurableState, eligibility: FoundingRight): void {
     this.kernel.on('RegWho', () => ({
       disk: this.disk,
-      fleet: state.get(FLEET_ROW),
-      mayFound: right.seeds !== undefined,
+      fleet: state.get(FLEET_ID_KEY),
+      mayFound: eligibility.seeds !== undefined,
     }));
   }
 
-  /** Until the first confirmation, tries often and not one after another: whom we ask may itself not be there yet. */
+  /** Retries often and concurrently until the first confirmation, because the queried peers may still be starting. */
   private startFirstConfirmation(): void {
     const { clock, random } = this.kernel.host;
-    let tries = 0;
-    let skipped = 0;
-    const first = periodicTicks(clock, REGISTER.firstConfirmMs, random).subscribe(() => {
+    let running = 0;
+    let ticks = 0;
+    const subscription = periodicTicks(clock, REGISTER.firstConfirmMs, random).subscribe(() => {
       if (this.wasEverConfirmed()) {
-        first.unsubscribe();
+        subscription.unsubscribe();
         return;
       }
-      if (tries >= (this.membership.isLargeFleet() ? 1 : REGISTER.firstConfirmConcurrency)) return;
-      // The core is not there: all who wait for it must not keep it busy when it comes.
-      // Nor may a large fleet that starts together keep those busy whom all its nodes know.
-      const paced = Math.ceil(
+      if (running >= (this.membership.isLargeFleet() ? 1 : REGISTER.firstConfirmConcurrency)) return;
+      // Attempts become rarer after firstConfirmEagerMs: if the voters are down, all waiting nodes would overload them on their return.
+      // In a large fleet they are rarer from the start: when all nodes start together, they query the same contact nodes.
+      const pacingDivisor = Math.ceil(
         this.membership.scaledPeriodMs(REGISTER.firstConfirmMs, REGISTER.firstConfirmPerMemberMs) /
           REGISTER.firstConfirmMs,
       );
-      const late = clock.now() - this.kernel.startedAt > REGISTER.firstConfirmEagerMs;
-      if (++skipped % (late ? Math.max(paced, REGISTER.firstConfirmLateDivisor) : paced) !== 0) return;
-      tries++;
+      const isPastEagerPhase = clock.now() - this.kernel.startedAt > REGISTER.firstConfirmEagerMs;
+      if (
+        ++ticks % (isPastEagerPhase ? Math.max(pacingDivisor, REGISTER.firstConfirmLateDivisor) : pacingDivisor) !==
+        0
+      )
+        return;
+      running++;
       void this.confirm()
         .catch(() => undefined)
         .finally(() => {
-          tries--;
+          running--;
         });
     });
-    this.kernel.addSubscription(first);
+    this.kernel.addSubscription(subscription);
   }
 
-  /** Confirms at once where a confirmation was had in this life of the process and has run out; one such try at a time. */
+  /** Confirms at once if the read lease was valid earlier in this process and has expired; one such attempt at a time. */
   private async renewExpiredLease(): Promise<void> {
     if (this.renewingExpiredLease || !this.wasEverConfirmed() || this.hasReadLease()) return;
     this.renewingExpiredLease = true;
     try {
       await this.confirm();
     } catch {
-      // The periodic confirmation goes on.
+      // The periodic confirmation retries.
     } finally {
       this.renewingExpiredLease = false;
     }
@@ -171,38 +175,39 @@
     return this.value$.value;
   }
 
-  /** Tells when the value becomes confirmed that was not lately. */
+  /** Emits when the read lease becomes valid after it was not. */
   get readLeaseBegun$(): ReadLease['begun$'] {
     return this.lease.begun$;
   }
 
-  /** Whether our value was confirmed by a majority so lately that we may serve by it. */
+  /** Whether a majority confirmed our value recently enough to serve from it. */
   hasReadLease(): boolean {
     return this.value$.value !== undefined && this.lease.valid();
   }
 
-  /** Whether a majority confirmed our value to a question asked at this time (steady clock) or later. */
+  /** Whether a majority confirmed our value in answer to a query sent at this time (monotonic clock) or later. */
   confirmedSince(askedAt: number): boolean {
     return this.value$.value !== undefined && this.lease.renewedSince(askedAt);
   }
 
-  /** Whether our value was ever confirmed in this life of the process. */
+  /** Whether a majority has confirmed our value since the process started. */
   wasEverConfirmed(): boolean {
     return this.value$.value !== undefined && this.lease.everValid;
   }
 
+  /** The address of the node that holds a disk, from the membership table or else from the newest known value. */
   peerOf(disk: string): string | undefined {
     return this.membership.memberOfDisk(disk)?.peer ?? (this.value ?? this.acceptor?.accepted)?.disks.get(disk)?.peer;
   }
 
-  /** The newest value seen here, chosen or only accepted. */
+  /** The newest value known here, chosen or only accepted. */
   private newestSeen(): FleetValue | undefined {
     const accepted = this.acceptor?.accepted;
     const known = this.value ?? accepted;
     return known && accepted && accepted.rev > known.rev ? accepted : known;
   }
 
-  /** Takes a value that is known to be agreed. Never goes back. */
+  /** Adopts a value that is known to be chosen; ignores values that are not newer, and those of another fleet. */
   private learn(value: FleetValue): void {
     const old = this.value$.value;
     if (old && old.rev >= value.rev) return;
@@ -214,18 +219,18 @@
     if (old?.version !== version) this.kernel.host.log.info(`configuration ${version} in force`, { rev });
     this.kernel.rev = rev;
     this.value$.next(old?.version === version ? withConfigurationOf(old, value) : value);
-    this.rememberFleet(fleet);
+    this.storeFleetId(fleet);
     this.membership.disseminate([]);
   }
 
-  /** Every disk remembers its fleet, with a vote or without: the bootstrap asks for it. */
-  private rememberFleet(fleet: string): void {
+  /** Stores the fleet id on every disk, voter or not, because the bootstrap queries it. */
+  private storeFleetId(fleet: string): void {
     const { state } = this;
-    if (!state || state.get(FLEET_ROW) === fleet) return;
-    state.db.commit(() => state.set(FLEET_ROW, fleet)).catch(() => undefined);
+    if (!state || state.get(FLEET_ID_KEY) === fleet) return;
+    state.db.commit(() => state.set(FLEET_ID_KEY, fleet)).catch(() => undefined);
   }
 
-  /** The value in a text; a voter has read the one that it accepted. */
+  /** Parses a serialized value; a voter already has the value it accepted last in parsed form. */
   private readText(text: string): FleetValue {
     const accepted = this.acceptor?.accepted;
     return accepted && cachedText(accepted) === text ? accepted : deserializeValue(text);
@@ -236,13 +241,13 @@
       const peer = this.peerOf(disk);
       return peer
         ? this.kernel.call<T>(peer, method, { disk, ...body })
-        : Promise.reject(new Error(`no address of ${disk}`));
+        : Promise.reject(new Error(`no known address for disk ${disk}`));
     });
   }
 
   /**
-   * Whether it is time for the periodic confirmation. In a large fleet it is less often, so that voters do not spend their time with
-   * answering, yet often enough that two may fail before the lease ends.
+   * Whether the periodic confirmation is due. Its period grows with the fleet to limit the load on the voters, but stays short enough
+   * that two confirmations may fail before the lease expires.
    */
   private isConfirmationDue(): boolean {
     const periodMs = Math.min(
@@ -252,42 +257,46 @@
     return this.lease.ageMs() > periodMs - REGISTER.confirmMs / 2;
   }
 
-  /** Confirms at a majority that no newer value than ours is agreed. */
+  /** Confirms with a majority that no value newer than ours is chosen. */
   confirm(): Promise<boolean> {
     return this.reader.confirm();
   }
 
-  /** The value as a majority has it now. */
+  /** Reads the latest value from a majority through a ballot. */
   async read(limitMs: number = REGISTER.changeMs): Promise<FleetValue> {
     const askedAt = this.kernel.host.clock.now();
-    const v = await this.change((x) => ({ out: x }), limitMs);
+    const value = await this.change((latest) => ({ out: latest }), limitMs);
     this.lease.renew(askedAt);
-    return v;
+    return value;
   }
 
   /**
-   * Applies a change to the latest agreed value. `fn` may run many times and must give the same outcome for the
-   * same value; without `next` it only reads. Fails with `no_majority` when it could not be told, or when it is no longer `wanted`.
+   * Applies a change to the latest agreed value. `fn` may run several times and must return the same result for the same value; if it
+   * returns no `next`, the value is only read. Fails with `no_majority` if the outcome is unknown after `limitMs`, or once `wanted`
+   * returns false.
    */
   change<T>(fn: ChangeFn<T>, limitMs: number = REGISTER.changeMs, wanted: () => boolean = () => true): Promise<T> {
     return this.proposer.change(fn, limitMs, wanted);
   }
 
-  /** Applies a change that restores what bears the next loss: the voters refuse others' ballots for a moment, so that it is agreed in time. */
+  /**
+   * Applies a change that restores fault tolerance. The voters briefly refuse the ballots of other proposers, so that the change is
+   * chosen before the next loss.
+   */
   repair<T>(fn: ChangeFn<T>, limitMs: number): Promise<T> {
     return this.proposer.change(fn, limitMs, () => true, 'repair');
   }
 }
 
-/** A newer value of the same version has the same configuration: what was laid out for looking things up in it stays. */
+/** Keeps the objects of the old configuration in a newer value of the same version, so that lookup tables cached for them stay in use. */
 function withConfigurationOf(old: FleetValue, value: FleetValue): FleetValue {
   return shareText({ ...value, config: old.config, incarnations: old.incarnations }, value);
 }
 
 /**
- * The answer for a request that came before we may serve.
+ * The error for a request that arrives before this node may serve.
  * @example
- * if (!register.value) throw notReady(k, 'ReadConfig');
+ * if (!register.value) throw notReadyError(kernel, 'ReadConfig');
  */
 export function notReady(kernel: Kernel, step: string): HarecrossError {
   return new HarecrossError({
@@ -298,4 +307,8 @@
   });
 }
 
-plug({ name: 'register', needs: ['membership'], setup: (k) => new ConsensusRegister(k, k.use('membership')) });
+registerPlugin({
+  name: 'register',
+  needs: ['membership'],
+  setup: (kernel) => new ConsensusRegister(kernel, kernel.use('membership')),
+});
--- a/packages/control/src/consensus/founding-right.ts
+++ b/packages/control/src/consensus/founding-right.ts
@@ -1,14 +1,14 @@
-/** Whether this node may found the fleet, which its disk remembers over restarts. */
+/** Whether this node may bootstrap the fleet; its disk keeps the answer across restarts. */
 import type { Kernel } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
 
-/** The key under which a disk keeps the seeds of the fleet's first start. Stored data: it stays. */
-const FOUNDING_SEEDS_ROW = 'founding-seeds';
+/** The key under which a disk stores the seeds of the fleet's first start. Stored data: must not change. */
+const BOOTSTRAP_SEEDS_KEY = 'founding-seeds';
 
 /**
- * The right of a seed to found the fleet. A process has it from its config at the first start of the whole fleet; its disk keeps it with the
- * seeds of that start, since a process that is started again is told neither that there is no fleet yet, nor perhaps the same seeds. A disk
- * that was emptied has it no more.
+ * Whether a seed may bootstrap the fleet. The process config grants this at the first start of the whole fleet, and the disk stores it
+ * together with the seeds of that start: the config of a restarted process doesn't say that there is no fleet yet, and its seeds may differ.
+ * A disk that was wiped is no longer eligible.
  */
 export class FoundingRight {
   private storedSeeds: string[] | undefined;
@@ -17,21 +17,21 @@
     private readonly kernel: Kernel,
     private readonly state: DurableState,
   ) {
-    const stored = state.get(FOUNDING_SEEDS_ROW);
+    const stored = state.get(BOOTSTRAP_SEEDS_KEY);
     if (stored !== undefined) this.storedSeeds = stored.split(',');
     else if (kernel.host.config.firstStart === true) this.store(kernel.host.config.seeds);
   }
 
-  /** The seeds that may found the fleet together, in order, where this node is one of them. */
+  /** The ordered seeds that may bootstrap the fleet together; undefined if this node is not one of them. */
   get seeds(): string[] | undefined {
     const { config } = this.kernel.host;
     const seeds = this.storedSeeds ?? (config.firstStart === false ? undefined : config.seeds);
     return seeds?.includes(this.kernel.self) ? seeds : undefined;
   }
 
-  /** Nothing waits for it: where it is not synced before a loss, another seed has the right still. */
+  /** Stores the seeds without waiting for the sync: if a failure loses them first, another seed is still eligible. */
   private store(seeds: string[]): void {
     this.storedSeeds = [...seeds];
-    this.state.db.commit(() => this.state.set(FOUNDING_SEEDS_ROW, seeds.join(','))).catch(() => undefined);
+    this.state.db.commit(() => this.state.set(BOOTSTRAP_SEEDS_KEY, seeds.join(','))).catch(() => undefined);
   }
 }
--- a/packages/control/src/consensus/proposer.ts
+++ b/packages/control/src/consensus/proposer.ts
@@ -1,4 +1,4 @@
-/** The proposer's part of the consensus register: changes to the agreed value by ballots. */
+/** The proposer role of the consensus register: changes the agreed value through ballots. */
 import { HarecrossError, collectUntil, sleep, type Kernel } from '@harecross/kernel';
 import invariant from 'tiny-invariant';
 import { deserializeValue, cachedText, serializeValue } from '../value/value-text.js';
@@ -14,29 +14,29 @@
   type Prepared,
 } from './ballots.js';
 
-/** What a change makes of a value: the next one, or none to read only, and the caller's outcome. */
+/** Computes the next value (absent for a plain read) and the caller's result `out` from the latest value. */
 export type ChangeFn<T> = (v: FleetValue) => { next?: FleetValue; out: T };
 
-/** Whether other proposers give way: a repair must be agreed before the next loss, and orders may come without a pause. */
+/** With `repair`, voters refuse other proposers' ballots: a repair must be chosen before the next loss, even under a constant stream of orders. */
 export type ChangePriority = 'ordinary' | 'repair';
 
-/** The answers to `RegPrepare` under one ballot, come or still to come, by disk. */
+/** The pending or received answers to `RegPrepare` under one ballot, by disk. */
 type Promises = Map<string, Promise<Prepared>>;
 
 type RoundResult<T> = { tag: 'done'; out: T } | { tag: 'again'; why: string };
 
-/** What the proposer needs of the register. */
+/** The functions of the register that the proposer uses. */
 export interface ProposerContext {
   ask: CallVoters;
-  /** The newest value known here, chosen or only accepted: whose voters are asked first. */
+  /** The newest value known here, chosen or only accepted; a ballot starts with its voters. */
   start(): FleetValue | undefined;
-  /** The disk of our own voter, if there is one. */
+  /** This node's own disk, if it has one; it may be a voter. */
   ownDisk: string | undefined;
   /** Called with a value that was chosen. */
   learn(v: FleetValue): void;
 }
 
-/** Changes the agreed value by ballots; any node may, at any time, and the ballots keep them apart. */
+/** Changes the agreed value through ballots. Any node may propose at any time; ballots order concurrent proposals. */
 export class Proposer {
   constructor(
     private kernel: Kernel,
@@ -44,7 +44,7 @@
     private context: ProposerContext,
   ) {}
 
-  /** See `Register.change`. */
+  /** See `ConsensusRegister.change`. */
   async change<T>(
     fn: ChangeFn<T>,
     limitMs: number,
@@ -52,26 +52,26 @@
     priority: ChangePriority = 'ordinary',
   ): Promise<T> {
     const { clock, random } = this.kernel.host;
-    const until = clock.now() + limitMs;
-    let why = 'no value known';
-    for (let tries = 0; clock.now() < until && wanted(); tries++) {
-      if (tries > 0) await sleep(clock, Math.min(600, 30 * 2 ** Math.min(tries, 4)) * (0.5 + random.next()));
+    const deadline = clock.now() + limitMs;
+    let reason = 'no value of the register is known yet';
+    for (let attempt = 0; clock.now() < deadline && wanted(); attempt++) {
+      if (attempt > 0) await sleep(clock, Math.min(600, 30 * 2 ** Math.min(attempt, 4)) * (0.5 + random.next()));
       const start = this.context.start();
       if (!start || !wanted()) continue;
-      const result = await this.round(start, fn, () => clock.now() < until && wanted(), priority);
+      const result = await this.round(start, fn, () => clock.now() < deadline && wanted(), priority);
       switch (result.tag) {
         case 'done':
           return result.out;
         case 'again':
-          why = result.why;
+          reason = result.why;
           break;
       }
     }
     this.kernel.incrementCounter('register.gave_up');
-    throw new HarecrossError({ tag: 'no_majority', step: 'change', peer: this.kernel.self, detail: why });
+    throw new HarecrossError({ tag: 'no_majority', step: 'change', peer: this.kernel.self, detail: reason });
   }
 
-  /** One ballot. `mayAccept` says, before each value is sent to be accepted, whether the change is still to be made. */
+  /** Runs one ballot. `mayAccept` is checked before each `RegAccept` call and tells whether the change is still wanted. */
   private async round<T>(
     start: FleetValue,
     fn: ChangeFn<T>,
@@ -83,17 +83,20 @@
     if (prepared.tag === 'again') return prepared;
     const latest = prepared.value;
     const outcome = outcomeOf(fn, latest);
-    const change = outcome.tag === 'changed' ? outcome.next : undefined;
-    const next = change ? { ...change, rev: latest.rev + 1, previousVoters: latest.voters } : latest;
-    invariant(!change || oneVoterChanges(latest.voters, next.voters), 'one voter at a time');
-    const why = await this.accept(ballot, next, prepared.promises, mayAccept, priority);
-    if (why !== undefined) return { tag: 'again', why };
+    const changed = outcome.tag === 'changed' ? outcome.next : undefined;
+    const next = changed ? { ...changed, rev: latest.rev + 1, previousVoters: latest.voters } : latest;
+    invariant(!changed || oneVoterChanges(latest.voters, next.voters), 'a change may replace at most one voter');
+    const failure = await this.accept(ballot, next, prepared.promises, mayAccept, priority);
+    if (failure !== undefined) return { tag: 'again', why: failure };
     this.context.learn(next);
     if (outcome.tag === 'refused') throw outcome.error;
     return { tag: 'done', out: outcome.out };
   }
 
-  /** Has the ballot promised by a majority, following the voters as newer values show them; gives the latest value. */
+  /**
+   * Obtains promises for the ballot from a majority and returns the latest accepted value. If that value names other voters, these
+   * are asked too until it has a majority of its own voters.
+   */
   private async prepare(
     ballot: string,
     start: FleetValue,
@@ -106,27 +109,31 @@
       const sets = voterSets(latest);
       const voters = allVoters(latest);
       for (const disk of voters) if (!promises.has(disk)) promises.set(disk, this.askPrepare(disk, ballot, priority));
-      const heard = new Set<string>();
+      const promisedDisks = new Set<string>();
       let refused = false;
       await collectUntil(
         voters.map(async (disk) => {
           const answer = await promises.get(disk)!;
           if (answer.ok) {
             answers.set(disk, answer);
-            heard.add(disk);
+            promisedDisks.add(disk);
           } else refused = true;
         }),
-        () => refused || isMajority(sets, heard),
+        () => refused || isMajority(sets, promisedDisks),
       );
-      if (refused) return { tag: 'again', why: 'another ballot is higher' };
-      if (!isMajority(sets, heard))
-        return { tag: 'again', why: `only ${heard.size} of ${voters.length} voters answered` };
-      const top = [...answers.values()]
-        .filter((r) => r.value)
+      if (refused)
+        return {
+          tag: 'again',
+          why: 'a voter refused the ballot: it promised a higher one, or is reserved for a repair',
+        };
+      if (!isMajority(sets, promisedDisks))
+        return { tag: 'again', why: `only ${promisedDisks.size} of ${voters.length} voters promised the ballot` };
+      const newest = [...answers.values()]
+        .filter((answer) => answer.value)
         .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
-      if (!top) return { tag: 'again', why: 'the voters are empty' };
-      // Mostly what is known here already: a large value is not read again.
-      latest = cachedText(start) === top.value ? start : deserializeValue(top.value!);
+      if (!newest) return { tag: 'again', why: 'none of the voters that answered has accepted a value' };
+      // Usually the value is already known here; this avoids parsing a large text again.
+      latest = cachedText(start) === newest.value ? start : deserializeValue(newest.value!);
       if (isMajority(voterSets(latest), new Set(answers.keys()))) return { tag: 'prepared', value: latest, promises };
     }
   }
@@ -139,8 +146,9 @@
   }
 
   /**
-   * Has a value accepted by a majority; gives why not, if not. A voter gets the value after its own promise. Our own voter comes
-   * last, when it makes the majority: were we cut off meanwhile, what it alone had accepted would be taken up again long after.
+   * Has a value accepted by a majority; returns the reason if that failed. Each voter gets the value only after it promised the ballot.
+   * Our own voter is asked last, and only if it completes a majority: if this node were partitioned, a value accepted only by its own
+   * voter would be picked up by another ballot long afterwards.
    */
   private async accept(
     ballot: string,
@@ -152,29 +160,35 @@
     const value = serializeValue(next);
     const sets = voterSets(next);
     const voters = allVoters(next);
-    const own = voters.filter((d) => d === this.context.ownDisk);
-    const heard = new Set<string>();
+    const own = voters.filter((disk) => disk === this.context.ownDisk);
+    const acceptedDisks = new Set<string>();
     let refused = false;
     const send = async (disk: string): Promise<void> => {
       const promise = await (promises.get(disk) ?? this.askPrepare(disk, ballot, priority));
-      if (!promise.ok || !mayAccept()) throw new Error(`${disk} is not asked to accept`);
+      if (!promise.ok || !mayAccept())
+        throw new Error(`voter ${disk} did not promise the ballot, or the change is no longer wanted`);
       const body = { ballot, value, promisedAt: promise.at };
       const answer = await this.context.ask<Accepted>([disk], 'RegAccept', body)[0]!;
-      if (answer.ok) heard.add(disk);
+      if (answer.ok) acceptedDisks.add(disk);
       else {
         this.ballots.outbid(answer.promised);
         refused = true;
       }
     };
-    const withOwn = (): boolean => isMajority(sets, new Set([...heard, ...own]));
-    await collectUntil(voters.filter((d) => !own.includes(d)).map(send), withOwn);
-    if (withOwn()) await collectUntil(own.map(send), () => true);
-    if (isMajority(sets, heard)) return undefined;
-    return refused ? 'another ballot is higher' : `only ${heard.size} of ${voters.length} voters accepted`;
+    const isMajorityWithOwn = (): boolean => isMajority(sets, new Set([...acceptedDisks, ...own]));
+    await collectUntil(voters.filter((disk) => !own.includes(disk)).map(send), isMajorityWithOwn);
+    if (isMajorityWithOwn()) await collectUntil(own.map(send), () => true);
+    if (isMajority(sets, acceptedDisks)) return undefined;
+    return refused
+      ? 'a voter refused the value: it promised a higher ballot, or its promise expired'
+      : `only ${acceptedDisks.size} of ${voters.length} voters accepted the value`;
   }
 }
 
-/** What a change makes of a value. A refusal counts only once that value is chosen: it may have been accepted by a minority. */
+/**
+ * Applies a change to the latest value. A refusal may be reported only once `latest` is chosen, because a minority alone may have
+ * accepted it.
+ */
 function outcomeOf<T>(
   fn: ChangeFn<T>,
   latest: FleetValue,
--- a/packages/control/src/consensus/read-lease.ts
+++ b/packages/control/src/consensus/read-lease.ts
@@ -1,20 +1,20 @@
-/** The read lease of the agreed value: how long a node may serve by it after a majority confirmed it. */
+/** The read lease of the agreed value: how long a node may serve from its copy after a majority confirmed it. */
 import { REGISTER, type Clock } from '@harecross/kernel';
 import { Subject } from 'rxjs';
 
 /**
- * A lease by the steady clock alone: it runs from the moment at which the confirming question was asked, not from
- * its answer, and a step of the wall clock does not touch it.
+ * A lease measured on the monotonic clock only, so wall clock steps don't affect it. It starts when the confirming query was
+ * sent, not when the answers arrived.
  */
 export class ReadLease {
-  /** Tells when the lease becomes valid that was not. */
+  /** Emits when the lease becomes valid after it was not. */
   readonly begun$ = new Subject<void>();
   private confirmedAt = -Infinity;
   readonly leaseMs: number;
 
   constructor(
     private clock: Clock,
-    /** A change has to be in force everywhere this long after its acknowledgement. */
+    /** Time within which an acknowledged change must be in force on every node; the default is `REGISTER.applyMs`. */
     applyMs: number | undefined,
   ) {
     this.leaseMs = (applyMs ?? REGISTER.applyMs) * REGISTER.readLeaseShare;
@@ -24,25 +24,25 @@
     return this.ageMs() <= this.leaseMs;
   }
 
-  /** Time since the question whose answer renewed it last (ms). */
+  /** Time since the query that last renewed the lease was sent (ms). */
   ageMs(): number {
     return this.clock.now() - this.confirmedAt;
   }
 
-  /** Whether a majority confirmed the value to a question asked at this time or later. */
+  /** Whether a majority confirmed the value in answer to a query sent at this time or later. */
   renewedSince(askedAt: number): boolean {
     return this.confirmedAt >= askedAt;
   }
 
-  /** Whether it was ever valid in this life of the process. */
+  /** Whether the lease has ever been valid since the process started. */
   get everValid(): boolean {
     return this.confirmedAt > -Infinity;
   }
 
-  /** The one function that renews the lease: a majority confirmed the value to a question asked at this time. */
+  /** Renews the lease after a majority confirmed the value in answer to a query sent at `askedAt`. Nothing else renews it. */
   renew(askedAt: number): void {
-    const was = this.valid();
+    const wasValid = this.valid();
     this.confirmedAt = Math.max(this.confirmedAt, askedAt);
-    if (!was && this.valid()) this.begun$.next();
+    if (!wasValid && this.valid()) this.begun$.next();
   }
 }
--- a/packages/control/src/consensus/reader.ts
+++ b/packages/control/src/consensus/reader.ts
@@ -1,4 +1,4 @@
-/** The reader's part of the consensus register: confirms at a majority that the value known here is the newest. */
+/** The reader role of the consensus register: confirms with a majority that the value known here is the latest. */
 import { REGISTER, collectUntil, sleep, withTimeout, type Kernel } from '@harecross/kernel';
 import type { MembershipTable } from '../membership/membership-table.js';
 import type { FleetValue } from '../value/fleet-value.js';
@@ -6,7 +6,7 @@
 import { allVoters, isMajority, voterSets, type CallVoters, type BallotSource, type VoterState } from './ballots.js';
 import type { ReadLease } from './read-lease.js';
 
-/** What the reader needs of the register. */
+/** The functions of the register that the reader uses. */
 export interface ReaderContext {
   ask: CallVoters;
   value(): FleetValue | undefined;
@@ -15,14 +15,14 @@
   fetch(peer: string): Promise<void>;
   /** Called with a value that was found to be chosen. */
   learn(v: FleetValue): void;
-  /** Reads by a ballot, which finishes what hangs between accepted and chosen. */
+  /** Reads through a ballot, which also completes a change that is accepted but not yet chosen. */
   readByBallot(): Promise<unknown>;
 }
 
-/** Renews the read lease by asking voters what they accepted; needs no ballot and no disk. */
+/** Renews the read lease by asking voters what they accepted; this needs neither a ballot nor a disk. */
 export class Reader {
-  /** The voter that is asked first comes in turn. */
-  private turn = 0;
+  /** Index of the voter that the next query starts with (round robin). */
+  private nextVoterIndex = 0;
 
   constructor(
     private kernel: Kernel,
@@ -33,114 +33,118 @@
     private context: ReaderContext,
   ) {}
 
-  /** Confirms at a majority that no newer value than ours is agreed. */
+  /** Confirms with a majority that no value newer than ours is chosen. */
   async confirm(): Promise<boolean> {
     const { clock, random } = this.kernel.host;
-    if (!this.context.value() && !(await this.firstValue())) return false;
-    for (let i = 0; i < 3; i++) {
-      const v = this.context.value()!;
+    if (!this.context.value() && !(await this.obtainFirstValue())) return false;
+    for (let attempt = 0; attempt < 3; attempt++) {
+      const value = this.context.value()!;
       const askedAt = clock.now();
-      const { heard, got } = await this.queryVoters(v);
-      if (!isMajority(voterSets(v), heard)) {
+      const { answered, states } = await this.queryVoters(value);
+      if (!isMajority(voterSets(value), answered)) {
         this.kernel.incrementCounter('register.unconfirmed');
         return false;
       }
-      const top = got.reduce((a, b) => (b.rev > a.rev ? b : a));
-      if (top.rev <= v.rev) {
-        if (this.context.value()!.rev > v.rev) continue;
+      const newest = states.reduce((a, b) => (b.rev > a.rev ? b : a));
+      if (newest.rev <= value.rev) {
+        if (this.context.value()!.rev > value.rev) continue;
         this.lease.renew(askedAt);
         return true;
       }
-      const knows = got.find((r) => r.known >= top.rev);
-      if (knows) await this.context.fetch(this.context.peerOf(knows.disk)!);
+      const informed = states.find((state) => state.known >= newest.rev);
+      if (informed) await this.context.fetch(this.context.peerOf(informed.disk)!);
       else await sleep(clock, 40 + 80 * random.next());
     }
-    // Someone's change hangs between accepted and agreed: finish it.
-    if (this.finishesChanges(this.context.value()!)) await this.context.readByBallot().catch(() => undefined);
+    // Another proposer's change is still accepted but not chosen: complete it.
+    if (this.completesChanges(this.context.value()!)) await this.context.readByBallot().catch(() => undefined);
     return false;
   }
 
   /**
-   * Whether this node finishes another's change with a ballot of its own. In a large fleet only the voters do, who see it too: were all
-   * nodes to, their ballots would outbid each other and the change itself, and each brings the whole value from a majority.
+   * Whether this node completes another proposer's change with a ballot of its own. In a large fleet only the voters do, which see such
+   * changes too: if all nodes did, their ballots would outbid each other and the change itself, and each ballot transfers the whole value
+   * from a majority.
    */
-  private finishesChanges(v: FleetValue): boolean {
-    return !this.membership.isLargeFleet() || (this.acceptor !== undefined && v.voters.includes(this.acceptor.disk));
+  private completesChanges(value: FleetValue): boolean {
+    return (
+      !this.membership.isLargeFleet() || (this.acceptor !== undefined && value.voters.includes(this.acceptor.disk))
+    );
   }
 
-  /** Gets a value where none is known yet, from a peer or from our own disk; says whether there is one now. */
-  private async firstValue(): Promise<boolean> {
-    const from = this.membership.randomPeersOrContacts(1).concat(this.membership.contactAddresses());
-    await this.context.fetch(from[Math.floor(this.kernel.host.random.next() * from.length)]!);
+  /** Obtains a value from a peer or from our own disk while none is known yet; returns whether one is known afterwards. */
+  private async obtainFirstValue(): Promise<boolean> {
+    const peers = this.membership.randomPeersOrContacts(1).concat(this.membership.contactAddresses());
+    await this.context.fetch(peers[Math.floor(this.kernel.host.random.next() * peers.length)]!);
     const { accepted, acceptedBallot } = this.acceptor ?? {};
     if (!this.context.value() && accepted && accepted.rev > 0) await this.recoverAccepted(accepted, acceptedBallot!);
     return this.context.value() !== undefined;
   }
 
-  /** Asks as many voters as make a majority, in turn, and the others only when those don't answer soon. */
-  private async queryVoters(v: FleetValue): Promise<{ heard: Set<string>; got: VoterState[] }> {
-    const heard = new Set<string>();
-    const got: VoterState[] = [];
-    const enough = (): boolean => isMajority(voterSets(v), heard);
-    const order = this.askingOrder(v);
-    const few = new Set<string>();
-    for (const d of order) if (!isMajority(voterSets(v), few)) few.add(d);
-    const calls = (disks: Iterable<string>): Promise<VoterState>[] =>
-      this.context.ask<VoterState>([...disks], 'RegRead', {}).map((p) =>
-        p.then((r) => {
-          heard.add(r.disk);
-          got.push(r);
-          this.ballots.outbid(r.ballot);
-          return r;
+  /** Queries just enough voters for a majority, rotating among them, and the remaining ones only if no majority answers in time. */
+  private async queryVoters(value: FleetValue): Promise<{ answered: Set<string>; states: VoterState[] }> {
+    const answered = new Set<string>();
+    const states: VoterState[] = [];
+    const hasMajority = (): boolean => isMajority(voterSets(value), answered);
+    const order = this.queryOrder(value);
+    const firstVoters = new Set<string>();
+    for (const disk of order) if (!isMajority(voterSets(value), firstVoters)) firstVoters.add(disk);
+    const query = (disks: Iterable<string>): Promise<VoterState>[] =>
+      this.context.ask<VoterState>([...disks], 'RegRead', {}).map((call) =>
+        call.then((state) => {
+          answered.add(state.disk);
+          states.push(state);
+          this.ballots.outbid(state.ballot);
+          return state;
         }),
       );
-    const first = calls(few);
-    const aloneMs = this.membership.scaledPeriodMs(
+    const firstCalls = query(firstVoters);
+    const majorityOnlyMs = this.membership.scaledPeriodMs(
       REGISTER.confirmMajorityOnlyMs,
       REGISTER.confirmMajorityOnlyPerMemberMs,
     );
-    await withTimeout(this.kernel.host.clock, aloneMs, collectUntil(first, enough));
-    if (!enough()) await collectUntil([...first, ...calls(order.filter((d) => !few.has(d)))], enough);
-    return { heard, got };
+    await withTimeout(this.kernel.host.clock, majorityOnlyMs, collectUntil(firstCalls, hasMajority));
+    if (!hasMajority())
+      await collectUntil([...firstCalls, ...query(order.filter((disk) => !firstVoters.has(disk)))], hasMajority);
+    return { answered, states };
   }
 
-  /** Our own voter first, which costs nothing; then those that are live, beginning with another one each time. */
-  private askingOrder(v: FleetValue): string[] {
-    const voters = allVoters(v);
-    const at = this.turn++ % voters.length;
+  /** Our own voter first, because it needs no network call, then the live voters, starting with a different one each time. */
+  private queryOrder(value: FleetValue): string[] {
+    const voters = allVoters(value);
+    const start = this.nextVoterIndex++ % voters.length;
     const own = this.acceptor?.disk;
-    const live = (d: string): boolean => {
-      const p = this.context.peerOf(d);
-      return p !== undefined && this.membership.isLive(p);
+    const isLive = (disk: string): boolean => {
+      const peer = this.context.peerOf(disk);
+      return peer !== undefined && this.membership.isLive(peer);
     };
-    return [...voters.slice(at), ...voters.slice(0, at)].sort(
-      (a, b) => Number(b === own) - Number(a === own) || Number(live(b)) - Number(live(a)),
+    return [...voters.slice(start), ...voters.slice(0, start)].sort(
+      (a, b) => Number(b === own) - Number(a === own) || Number(isLive(b)) - Number(isLive(a)),
     );
   }
 
   /**
-   * After a restart: what our own disk accepted is agreed, and nothing newer is, if a majority of the voters has accepted it under
-   * the same ballot: a newer value would be on one of them. So a fleet that comes back together needs no new ballot.
+   * Recovers the value after a restart. If a majority of the voters has accepted the value on our disk under the same ballot, it is
+   * chosen and no newer value is: a newer one would be on one of these voters. So a fleet that restarts as a whole needs no new ballot.
    */
   private async recoverAccepted(accepted: FleetValue, ballot: string): Promise<void> {
     const askedAt = this.kernel.host.clock.now();
-    const heard = new Set<string>();
-    let otherSeen = false;
+    const sameBallot = new Set<string>();
+    let sawOtherBallot = false;
     await collectUntil(
-      this.context.ask<VoterState>(allVoters(accepted), 'RegRead', {}).map((p) =>
-        p.then((r) => {
-          if (r.ballot === ballot) heard.add(r.disk);
-          else otherSeen = true;
-          return r;
+      this.context.ask<VoterState>(allVoters(accepted), 'RegRead', {}).map((call) =>
+        call.then((state) => {
+          if (state.ballot === ballot) sameBallot.add(state.disk);
+          else sawOtherBallot = true;
+          return state;
         }),
       ),
-      () => isMajority(voterSets(accepted), heard),
+      () => isMajority(voterSets(accepted), sameBallot),
     );
-    if (isMajority(voterSets(accepted), heard)) {
+    if (isMajority(voterSets(accepted), sameBallot)) {
       this.kernel.incrementCounter('register.recalled');
       this.context.learn(accepted);
       this.lease.renew(askedAt);
-    } else if (otherSeen && !this.context.value()) {
+    } else if (sawOtherBallot && !this.context.value()) {
       await this.context.readByBallot().catch(() => undefined);
     }
   }
--- a/packages/control/src/consensus/value-fetcher.ts
+++ b/packages/control/src/consensus/value-fetcher.ts
@@ -1,20 +1,21 @@
-/** Fetches the agreed value from peers: once where several tell of it, and a bounded number of times at once. */
+/** Fetches the agreed value from peers: once if several peers announce it, and with bounded concurrency. */
 import { MEMBERSHIP, REGISTER, withTimeout, type Kernel } from '@harecross/kernel';
 import type { MembershipTable } from '../membership/membership-table.js';
 import type { FleetValue } from '../value/fleet-value.js';
 import { valueIn, valueRequest, type ValueAnswer } from './value-transfer.js';
 
-/** What the fetcher needs of the register. */
+/** The functions of the register that the fetcher uses. */
 export interface ValueFetcherContext {
   value(): FleetValue | undefined;
-  /** The value in a text. */
+  /** Parses a serialized value. */
   readText(text: string): FleetValue;
-  /** Called with a newer value, which a peer knows to be chosen. */
+  /** Called with a newer value that a peer knows to be chosen. */
   learn(value: FleetValue): void;
 }
 
-/** The fetches of one node. */
+/** The value fetches of one node. */
 export class ValueFetcher {
+  /** Running fetches by peer. */
   private readonly inFlight = new Map<string, Promise<void>>();
 
   constructor(
@@ -23,7 +24,7 @@
     private readonly context: ValueFetcherContext,
   ) {}
 
-  /** Takes a newer value that a peer has. Who hears of it from several fetches it once, and from the others only if that takes long. */
+  /** Fetches the newer value that a peer announced. While another fetch runs, first waits a bounded time for its result. */
   async fetchNewer(revision: number, peer: string): Promise<void> {
     if (this.inFlight.size) {
       const exclusiveMs = this.membership.scaledPeriodMs(
@@ -33,34 +34,34 @@
       await withTimeout(this.kernel.host.clock, exclusiveMs, Promise.race(this.inFlight.values()));
       if (this.kernel.rev >= revision) return;
     }
-    // Each may bring the whole value, and our link is shared by them: more at once would make all of them late.
+    // Each fetch may transfer the whole value over this node's shared link; more at once would delay all of them.
     if (this.inFlight.size >= REGISTER.valueFetchConcurrency) await Promise.race(this.inFlight.values());
     else await this.fetchFrom(this.membership.preferPeerWithDisk(peer), revision, peer);
   }
 
-  /** Takes the value from one peer, and from the one that told us of it where that has not got it yet. */
-  private async fetchFrom(source: string, revision: number, teller: string): Promise<void> {
+  /** Fetches from `source`, and from the peer that announced the revision if `source` doesn't have it yet. */
+  private async fetchFrom(source: string, revision: number, announcer: string): Promise<void> {
     await this.fetch(source);
-    if (this.kernel.rev < revision && source !== teller) await this.fetch(teller);
+    if (this.kernel.rev < revision && source !== announcer) await this.fetch(announcer);
   }
 
-  /** Fetches a peer's value, if it has one; never fails: the next frame tells us again. */
+  /** Fetches a peer's value, if it has one. Never fails: every frame carries the sender's revision, so the next one triggers a retry. */
   fetch(peer: string): Promise<void> {
-    const underWay = this.inFlight.get(peer);
-    if (underWay) return underWay;
+    const running = this.inFlight.get(peer);
+    if (running) return running;
     const timeoutMs = this.membership.scaledPeriodMs(MEMBERSHIP.callMs, REGISTER.fetchPerMemberMs);
-    const fetched = this.kernel
+    const fetching = this.kernel
       .call<ValueAnswer>(peer, 'RegGet', valueRequest(this.context.value()), timeoutMs)
       .then(
-        (answer) => this.take(answer),
+        (answer) => this.learnFrom(answer),
         () => undefined,
       )
       .finally(() => this.inFlight.delete(peer));
-    this.inFlight.set(peer, fetched);
-    return fetched;
+    this.inFlight.set(peer, fetching);
+    return fetching;
   }
 
-  private take(answer: ValueAnswer): void {
+  private learnFrom(answer: ValueAnswer): void {
     const newer = valueIn(answer, this.context.value(), (text) => this.context.readText(text));
     if (newer) this.context.learn(newer);
   }
--- a/packages/control/src/consensus/value-transfer.ts
+++ b/packages/control/src/consensus/value-transfer.ts
@@ -1,44 +1,44 @@
 /**
- * How a node gets the agreed value from another: only when it is newer, and without the configuration when both have the same version of
- * it. The configuration is nearly all of the value's length, while most revisions change other things.
+ * Transfer of the agreed value between nodes: only a newer value is sent, and without the configuration if both nodes have the same
+ * version of it. The configuration makes up nearly all of the value's size, while most revisions change other parts.
  */
 import { deserializeValue, serializeValue } from '../value/value-text.js';
 import type { FleetValue } from '../value/fleet-value.js';
 
-/** What the asking node has; a node of before sends nothing of it and gets the whole value. */
+/** What the requesting node has. Older versions send no fields and get the whole value. */
 export interface ValueRequest {
   fleet?: string;
   rev?: number;
   version?: number;
 }
-/** The value as text, whole or without its configuration; undefined where the answering node has none that is newer. */
+/** The serialized value, whole or without its configuration; undefined if the answering node has none that is newer. */
 export type ValueAnswer = string | { exceptConfiguration: string } | undefined;
 
-/** Values without their configuration, each made once: many nodes ask for the same one. */
-const shortened = new WeakMap<FleetValue, FleetValue>();
+/** Values without their configuration, cached because many nodes request the same value. */
+const reducedValues = new WeakMap<FleetValue, FleetValue>();
 
 function exceptConfiguration(v: FleetValue): FleetValue {
-  let short = shortened.get(v);
-  if (!short) {
-    short = { ...v, config: { families: [] }, incarnations: new Map(), document: undefined };
-    shortened.set(v, short);
+  let reduced = reducedValues.get(v);
+  if (!reduced) {
+    reduced = { ...v, config: { families: [] }, incarnations: new Map(), document: undefined };
+    reducedValues.set(v, reduced);
   }
-  return short;
+  return reduced;
 }
 
 /**
- * A request for whatever is newer than this value.
+ * A request for any value newer than this one.
  * @example
- * const answer = await k.call<ValueAnswer>(peer, 'RegGet', valueRequest(register.value));
+ * const answer = await kernel.call<ValueAnswer>(peer, 'RegGet', valueRequest(register.value));
  */
 export function valueRequest(own: FleetValue | undefined): ValueRequest {
   return own ? { fleet: own.fleet, rev: own.rev, version: own.version } : {};
 }
 
 /**
- * The answer to such a request.
+ * Answers a value request.
  * @example
- * k.on('RegGet', (request: ValueRequest) => valueAnswer(request, register.value));
+ * kernel.on('RegGet', (request: ValueRequest) => valueAnswer(request, register.value));
  */
 export function valueAnswer(request: ValueRequest, v: FleetValue | undefined): ValueAnswer {
   if (!v) return undefined;
@@ -50,18 +50,18 @@
 }
 
 /**
- * The value in an answer. Undefined when there is none, or when our own configuration has changed since we asked: then we have a newer value.
- * `read` makes a value of a whole text; it may know the value already.
+ * The value in an answer. Undefined if there is none, or if our own configuration has changed since the request, in which case we have
+ * a newer value already. `parse` deserializes a whole value; the caller may supply one that returns an already parsed value.
  * @example
- * const newer = valueIn(answer, register.value);
+ * const newer = valueFromAnswer(answer, register.value);
  */
 export function valueIn(
   answer: ValueAnswer,
   own: FleetValue | undefined,
-  read: (text: string) => FleetValue = deserializeValue,
+  parse: (text: string) => FleetValue = deserializeValue,
 ): FleetValue | undefined {
   if (answer === undefined) return undefined;
-  if (typeof answer === 'string') return answer === '' ? undefined : read(answer);
+  if (typeof answer === 'string') return answer === '' ? undefined : parse(answer);
   const v = deserializeValue(answer.exceptConfiguration);
   if (!own || own.fleet !== v.fleet || own.version !== v.version) return undefined;
   return { ...v, config: own.config, incarnations: own.incarnations, document: own.document };
--- a/packages/control/src/value/fleet-queries.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -1,6 +1,6 @@
 /**
- * Questions about the agreed value that the planners and the operators' calls share: which machine a name means, what a disk
- * still holds, and whether a machine may leave.
+ * Queries on the agreed value that the planners and the operator API share: which disk a name refers to, what a disk still holds, and
+ * whether a machine may leave.
  */
 import { SHARD } from '@harecross/kernel';
 import type { Move } from '@harecross/schema';
@@ -9,29 +9,31 @@
 import { copiesFor, copyDisks, quickOf } from '../placement/placement.js';
 import { moveKey, isUsedFor, type DiskRecord, type FleetValue } from './fleet-value.js';
 
-/** A disk by its id, or by the name of the machine it is in. */
-export const findDisk = (v: FleetValue, x: string): DiskRecord | undefined => {
-  const there = [...v.disks.values()].filter((d) => d.name === x);
-  return v.disks.get(x) ?? there.find((d) => d.state !== 'lost') ?? there[0];
+/** Finds a disk by its id or by the name of its machine; of several disks with that name, preferably one that is not lost. */
+export const findDisk = (v: FleetValue, idOrName: string): DiskRecord | undefined => {
+  const named = [...v.disks.values()].filter((d) => d.name === idOrName);
+  return v.disks.get(idOrName) ?? named.find((d) => d.state !== 'lost') ?? named[0];
 };
 export { moveKey } from './fleet-value.js';
 /**
- * Copies that a disk still has, those among them that it keeps until the one in its place has the history.
+ * The number of replicas on a disk, including those it retains until the replicas that replaced them have the history.
  * @example
- * copiesOn(value, 'd1k'); // 12
+ * replicaCountOn(value, 'd1k'); // 12
  */
 export const replicaCountOn = (v: FleetValue, disk: string): number =>
   [...v.shards.values()].filter((p) => p.copies.includes(disk) || p.retained?.includes(disk)).length;
-/** Whether an order to empty a disk, or a machine by its name, was taken and not taken back: also of a disk that was there before. */
-export const isDrainOrdered = (v: FleetValue, x: string): boolean =>
-  [...v.disks.values()].some((d) => (d.id === x || d.name === x) && (d.emptyingTaken ?? d.state === 'emptying'));
-/** Whether nothing of the fleet is left on a disk: it is in no majority that is still needed, and has no copy. */
+/** Whether a drain order for a disk, given by its id or machine name, was accepted and not cancelled; also true for a lost disk. */
+export const isDrainOrdered = (v: FleetValue, idOrName: string): boolean =>
+  [...v.disks.values()].some(
+    (d) => (d.id === idOrName || d.name === idOrName) && (d.emptyingTaken ?? d.state === 'emptying'),
+  );
+/** Whether a disk is no longer needed: it holds no replica and is neither a current nor a previous voter. */
 export const holdsNothing = (v: FleetValue, disk: string): boolean =>
   replicaCountOn(v, disk) === 0 && !v.voters.includes(disk) && !v.previousVoters.includes(disk);
-/** Whether two disks are for the same things: one may stand in for the other. */
+/** Whether two disks have the same uses, so that one may replace the other. */
 export const hasSameUses = (one: DiskRecord, other: DiskRecord): boolean =>
   (['seat', 'copies'] as const).every((use) => isUsedFor(one, use) === isUsedFor(other, use));
-/** A machine that the calendar adds later is not let in before. */
+/** The time before which a machine must not join, because the calendar plans to add it later; 0 if there is no such plan. */
 export const plannedJoinTime = (v: FleetValue, peer: string): number =>
   Math.max(
     0,
@@ -47,9 +49,9 @@
   );
 
 /**
- * Whether the calendar has this machine out for a restart now.
+ * Whether a planned restart of this machine is running now.
  * @example
- * awayNow(register.value, k.self); // true from a restart's `from` to its `until`
+ * isInPlannedRestart(register.value, kernel.self); // true from a restart's `from` to its `until`
  */
 export const isInPlannedRestart = (v: FleetValue | undefined, peer: string): boolean =>
   v !== undefined &&
@@ -57,32 +59,34 @@
     (m) => m.kind === 'restart' && m.node === peer && v.moves.get(moveKey(m))?.state === 'running',
   );
 
-/** What keeps a machine from leaving now: a majority that would break, or copies that would have no place. */
+/** Why a machine may not leave now: a majority would be lost, or the remaining disks can't hold the replicas. Undefined if it may. */
 export function reasonToStay(
   v: FleetValue,
-  m: Pick<Move, 'kind'>,
+  move: Pick<Move, 'kind'>,
   disk: DiskRecord | undefined,
   membership: MembershipTable,
 ): string | undefined {
   if (!disk) return undefined;
-  const live = (d: string): boolean => {
-    const x = membership.memberOfDisk(d);
-    return d !== disk.id && x !== undefined && membership.isLive(x.peer);
+  const wouldBeLive = (id: string): boolean => {
+    const member = membership.memberOfDisk(id);
+    return id !== disk.id && member !== undefined && membership.isLive(member.peer);
   };
-  const short = (set: string[]): boolean => set.filter(live).length * 2 <= set.length;
-  if (short(v.voters)) return 'the register would lose its majority';
-  for (const [s, p] of v.shards) if (short(p.copies)) return `shard ${s} would lose its majority`;
-  if (m.kind === 'restart') return undefined;
-  const all = [...v.disks.values()].filter((d) => d.state === 'active' && isUsedFor(d, 'copies'));
-  const active = copyDisks(all, quickOf(all));
-  const now = copiesFor(v.config.copies ?? v.copies ?? SHARD.replicaCount, active.length);
-  const left = active.filter((d) => d.id !== disk.id && live(d.id));
-  if (left.length < now) return `${left.length} active live disks would be left for ${now} copies`;
-  const usable = [...v.disks.values()].filter((d) => d.state === 'active');
-  // What is short already may be for want of another machine: this one does not make it so.
-  if (shortfallOf(v, usable) !== undefined) return undefined;
+  const wouldLoseMajority = (disks: string[]): boolean => disks.filter(wouldBeLive).length * 2 <= disks.length;
+  if (wouldLoseMajority(v.voters)) return 'the register would lose its majority';
+  for (const [shard, placement] of v.shards)
+    if (wouldLoseMajority(placement.copies)) return `shard ${shard} would lose its majority`;
+  if (move.kind === 'restart') return undefined;
+  const activeForReplicas = [...v.disks.values()].filter((d) => d.state === 'active' && isUsedFor(d, 'copies'));
+  const replicaDisks = copyDisks(activeForReplicas, quickOf(activeForReplicas));
+  const replicaCount = copiesFor(v.config.copies ?? v.copies ?? SHARD.replicaCount, replicaDisks.length);
+  const remaining = replicaDisks.filter((d) => d.id !== disk.id && wouldBeLive(d.id));
+  if (remaining.length < replicaCount)
+    return `${remaining.length} active live disks would be left for ${replicaCount} copies`;
+  const activeDisks = [...v.disks.values()].filter((d) => d.state === 'active');
+  // An existing shortfall is not caused by this machine and must not keep it from leaving.
+  if (shortfallOf(v, activeDisks) !== undefined) return undefined;
   return shortfallOf(
     v,
-    usable.filter((d) => d.id !== disk.id),
+    activeDisks.filter((d) => d.id !== disk.id),
   );
 }
--- a/packages/control/src/value/fleet-value.ts
+++ b/packages/control/src/value/fleet-value.ts
@@ -1,102 +1,103 @@
-/** The one value that the fleet agrees on, and the records in it. */
+/** The value that the fleet agrees on, and the records in it. The fields are stored and sent, some under other names; see `stored-value.ts`. */
 import type { DiskUse, FaultTolerance } from '@harecross/kernel';
 import type { FleetConfig, Move } from '@harecross/schema';
 import { incarnationsAfter, type TopicIncarnations } from './topic-incarnations.js';
 import { withRevision, type RevisionOrder, type RevisionOutcomes } from './revision-outcomes.js';
 
 /**
- * `active`: it takes replicas and votes. `emptying`: an operator has it emptied. `leaving`: its process is stopping, and what it has goes
- * to others first, since another machine is there in its place. `lost`: its machine is gone.
+ * `active`: the disk may hold replicas and a vote. `emptying`: an operator ordered it to be drained. `leaving`: its process is stopping and
+ * its replicas and vote move to other disks first, because another machine has replaced it. `lost`: its machine is gone.
  */
 export type DiskState = 'active' | 'emptying' | 'leaving' | 'lost';
-/** `ms`: how long it took when it was first opened. `uses`: what the disk is for; a record of before there was a choice has none and is for everything. */
 export interface DiskRecord {
   id: string;
   peer: string;
   domain: string;
   region?: string;
   state: DiskState;
+  /** What the disk is used for, the primary use first. Absent in records of older versions: used for everything. */
   uses?: DiskUse[];
   name?: string;
+  /** How long opening the disk for the first time took (ms). */
   ms?: number;
-  /** The revision of the value in which its machine joined; the machines of the bootstrap have none. */
+  /** The revision of the value in which its machine joined; absent for machines that took part in the bootstrap. */
   machineJoinedRev?: number;
-  /** An order to empty it was taken, and not taken back; it stays when the disk is lost, so that the order may be sent again. */
+  /** A drain order was accepted and not cancelled. Kept when the disk is lost, so that the same order may be sent again. */
   emptyingTaken?: boolean;
 }
 /**
- * Whether a disk is for this before anything else.
+ * Whether this is the disk's primary use.
  * @example
- * firstFor(disk, 'copies') // false for a control node's, though it may take copies too
+ * isPrimarilyFor(disk, 'copies') // false for a control node's disk, even if it may hold replicas too
  */
-export const isPrimarilyFor = (d: DiskRecord, use: DiskUse): boolean => (d.uses?.[0] ?? 'copies') === use;
+export const isPrimarilyFor = (disk: DiskRecord, use: DiskUse): boolean => (disk.uses?.[0] ?? 'copies') === use;
 /**
- * Whether a disk is for this.
+ * Whether the disk may be used for this.
  * @example
- * usedFor(disk, 'copies') // false for a control node's
+ * isUsedFor(disk, 'copies') // false for the disk of a control node that takes no replicas
  */
-export const isUsedFor = (d: DiskRecord, use: DiskUse): boolean => d.uses?.includes(use) ?? true;
+export const isUsedFor = (disk: DiskRecord, use: DiskUse): boolean => disk.uses?.includes(use) ?? true;
 /**
- * Where the replicas of a shard are, under one generation. A generation is established once an owner serves under it: a majority
- * of its copies has the whole history then.
+ * The disks with the replicas of a shard in one generation. A generation is established once an owner serves under it: by then a
+ * majority of its replicas has the whole history.
  */
 export interface Placement {
   gen: number;
   copies: string[];
   /**
-   * The copies of the generation before, where one replaced another in a single step. Until the generation is established, its
-   * owner needs the fence of a majority of these too; see `fenceQuorum`.
+   * The replicas of the generation before, if this one replaced a replica in a single step. Until this generation is established, its
+   * owner must also fence a majority of these; see `fenceQuorum`.
    */
   previous?: string[];
-  /** Disks that were replaced while they still had their copy: they keep it until all the copies have the history. */
+  /** Replaced disks that still have their replica; they keep it until all replicas in `copies` have the history. */
   retained?: string[];
 }
 export type MoveState = 'running' | 'late' | 'done' | 'missed' | 'refused';
-/** How far a planned move has come; only moves that have begun (or never will) are here. */
+/** Progress of a planned move. Recorded only for moves that have started or will never start. */
 export interface MoveRecord {
   state: MoveState;
   why: string;
 }
 export type ChangeOutcomeRecord = { tag: 'taken'; version: number } | { tag: 'conflict'; version: number };
 
-/** The one value the fleet agrees on. rev counts every change, version only the operators'. */
+/** The value that the fleet agrees on. `rev` counts every change, `version` only changes of the configuration by operators. */
 export interface FleetValue {
   fleet: string;
   rev: number;
   version: number;
   changeId: string;
   config: FleetConfig;
-  /** The operators' own number of what is in force; the highest holds. */
+  /** The revision number that operators gave the configuration in force; a higher one supersedes it. */
   revision?: number;
-  /** The operators' own words, as JSON text: nothing in here reads them. */
+  /** The operators' document, as JSON text; it is stored and returned, but not interpreted. */
   document?: string;
-  /** What came into force under which revision. Unknown in a value of before outcomes were kept by content. */
+  /** The digest of the configuration that came into force under each revision. Absent in values of older versions. */
   revisionOutcomes?: RevisionOutcomes;
-  /** Since which version the topics of a pattern have been there without a break. */
+  /** The version since which the topics of each pattern have existed without interruption. */
   incarnations: TopicIncarnations;
   disks: Map<string, DiskRecord>;
   voters: string[];
   previousVoters: string[];
   shards: Map<number, Placement>;
-  /** Replicas of a shard where the configuration says nothing: as many as bear the tolerance. */
+  /** Replicas per shard if the configuration states none: the number that the fault tolerance requires. */
   copies: number;
-  /** Voters wanted, likewise. Unknown in a value of before there was a choice. */
+  /** The number of voters that the fault tolerance requires. Absent in values of older versions. */
   votersWanted?: number;
-  /** What the fleet bears. Unknown in a value of before it was kept, and where the processes are told none. */
+  /** The losses that the fleet must survive. Absent in values of older versions, and if the process configs state none. */
   tolerance?: FaultTolerance;
-  /** First outcomes by change id, the oldest first; REGISTER.changeIdLimit at most. */
+  /** The first outcome of each change id, oldest first; REGISTER.changeIdLimit at most. */
   changes: Map<string, ChangeOutcomeRecord>;
-  /** The version told by the newest outcome that was forgotten: nothing is known of a change id that expects no more than this. */
+  /** The version in the newest outcome that was evicted: outcomes of change ids that expect this version or a lower one are unknown. */
   changesForgottenTo?: number;
-  /** Key: id@from. */
+  /** By `moveKey`: id@from. */
   moves: Map<string, MoveRecord>;
 }
 
-/** The key of a move in the value's record of moves. */
+/** The key of a move in `FleetValue.moves`. */
 export const moveKey = (move: Move): string => `${move.id}@${move.from}`;
 
 /**
- * The value with a configuration in it, as the next version. Without a revision the one in force stays.
+ * Returns the value with a new configuration, as the next version. Without `revised`, the revision in force stays.
  * @example
  * withConfig(value, { changeId: 'c1', config }).version // value.version + 1
  */
@@ -106,7 +107,7 @@
 ): FleetValue {
   const { changeId, config, document, revised } = change;
   const version = value.version + 1;
-  const planned = new Set((config.moves ?? []).map(moveKey));
+  const plannedKeys = new Set((config.moves ?? []).map(moveKey));
   const next = {
     ...value,
     version,
@@ -114,7 +115,7 @@
     config,
     document,
     incarnations: incarnationsAfter(value.incarnations, config, version),
-    moves: new Map([...value.moves].filter(([key]) => planned.has(key))),
+    moves: new Map([...value.moves].filter(([key]) => plannedKeys.has(key))),
   };
   if (!revised) return next;
   return { ...next, revision: revised.revision, revisionOutcomes: withRevision(value, revised) };
--- a/packages/control/src/value/revision-outcomes.ts
+++ b/packages/control/src/value/revision-outcomes.ts
@@ -1,37 +1,38 @@
 /**
- * Which configuration came into force under which of the operators' revisions. The record is part of the agreed value, so every
- * node, restarted or new, gives the same outcome. Invariant: a revision is recorded once, with one digest, and revisions are
- * recorded in rising order, in the same step that brings the configuration into force.
+ * Records which configuration came into force under each operator revision. The record is part of the agreed value, so every node
+ * reports the same outcome, also after a restart or as a new member. Invariant: each revision is recorded once, with one digest, in
+ * ascending order, and in the same change that brings its configuration into force.
  */
 import { REGISTER } from '@harecross/kernel';
 import { createHash } from 'node:crypto';
 import type { FleetValue } from './fleet-value.js';
 
-/** 66 bits: two configurations that differ under one revision have equal digests once in 10^19 cases. */
+/** 66 bits: two different configurations under one revision have equal digests with a probability of about 1 in 10^19. */
 const DIGEST_CHARS = 11;
 
-/** The revisions whose outcome is known. */
+/** The revisions with a known outcome. */
 export interface RevisionOutcomes {
-  /** From here on a revision that is not in `digests` never came into force; below it outcomes are forgotten. */
+  /** A revision from here on that is not in `digests` has not come into force; outcomes of lower revisions were evicted. */
   knownFrom: number;
-  /** The digest of what came into force, by revision, lowest first; REGISTER.revisionOutcomeLimit at most. */
+  /** The digest of the configuration that came into force, by revision, lowest first; REGISTER.revisionOutcomeLimit at most. */
   digests: Map<number, string>;
 }
 
-/** An operator's order as far as its outcome depends on it. */
+/** The parts of an operator's submission that determine its outcome. */
 export interface RevisionOrder {
   revision: number;
   digest: string;
 }
 
 /**
- * What has become of an order. `open`: not settled, it may still come into force. `accepted`: it came into force, and may have been
- * superseded since. `overtaken`: a higher revision came first, it never comes into force. `forgotten`: below all that is recorded,
- * either of the two. `conflict`: another configuration came into force under this revision, this one never does.
+ * The outcome of a submission. `open`: undecided, it may still come into force. `accepted`: it came into force, and may have been
+ * superseded since. `overtaken`: a higher revision came into force first, so this one never will. `forgotten`: the revision is lower than
+ * all recorded ones, so the outcome is either of these two. `conflict`: another configuration came into force under this revision, so
+ * this one never will.
  */
 export type RevisionOutcome = 'open' | 'accepted' | 'overtaken' | 'forgotten' | 'conflict';
 
-/** JSON with the keys of every object in order: the same content gives the same text. */
+/** JSON with the keys of every object sorted, so that equal content gives equal text. */
 function canonicalJson(content: unknown): string {
   return JSON.stringify(content, (_key, part: unknown) =>
     part !== null && typeof part === 'object' && !Array.isArray(part)
@@ -51,10 +52,10 @@
 }
 
 /**
- * The digests of a value written before there were any. If the last change is the one that brought the revision, what is in force
- * tells the digest; else a later change without a revision has altered it, and the outcome is forgotten.
+ * The record for a value that was written without one. If the last change set the revision, the digest is computed from the
+ * configuration in force; otherwise a later change without a revision has altered the configuration and the outcome is `forgotten`.
  */
-function recomputed(value: FleetValue): RevisionOutcomes {
+function recomputedRecord(value: FleetValue): RevisionOutcomes {
   const { revision } = value;
   if (revision === undefined) return { knownFrom: 0, digests: new Map() };
   if (value.changeId !== `revision-${revision}`) return { knownFrom: revision + 1, digests: new Map() };
@@ -62,36 +63,36 @@
   return { knownFrom: revision, digests: new Map([[revision, digestOf(value.config, document)]]) };
 }
 
-/** The record of a value; of one whose last revision was brought by a node that keeps no record, what can be told of that one. */
+/** The record of a value; recomputed if a node of an older version, which keeps no record, set the last revision. */
 function recordOf(value: FleetValue): RevisionOutcomes {
   const { revision, revisionOutcomes } = value;
-  if (!revisionOutcomes) return recomputed(value);
+  if (!revisionOutcomes) return recomputedRecord(value);
   if (revision === undefined || revision < revisionOutcomes.knownFrom || revisionOutcomes.digests.has(revision))
     return revisionOutcomes;
-  return recomputed(value);
+  return recomputedRecord(value);
 }
 
 /**
- * What a value says of an order.
+ * The outcome of a submission according to a value.
  * @example
  * revisionOutcome(value, { revision: 50, digest }) // 'conflict'
  */
-export function revisionOutcome(value: FleetValue, order: RevisionOrder): RevisionOutcome {
+export function revisionOutcome(value: FleetValue, submission: RevisionOrder): RevisionOutcome {
   const record = recordOf(value);
-  const digest = record.digests.get(order.revision);
-  if (digest !== undefined) return digest === order.digest ? 'accepted' : 'conflict';
-  if (value.revision === undefined || order.revision > value.revision) return 'open';
-  return order.revision >= record.knownFrom ? 'overtaken' : 'forgotten';
+  const digest = record.digests.get(submission.revision);
+  if (digest !== undefined) return digest === submission.digest ? 'accepted' : 'conflict';
+  if (value.revision === undefined || submission.revision > value.revision) return 'open';
+  return submission.revision >= record.knownFrom ? 'overtaken' : 'forgotten';
 }
 
 /**
- * The record with an order that comes into force now; the lowest revisions beyond the bound are forgotten.
+ * The record after a submission comes into force; the lowest revisions beyond the limit are evicted.
  * @example
- * next.revisionOutcomes = withRevision(value, { revision: 51, digest });
+ * next.revisionOutcomes = recordRevision(value, { revision: 51, digest });
  */
-export function withRevision(value: FleetValue, order: RevisionOrder): RevisionOutcomes {
+export function withRevision(value: FleetValue, submission: RevisionOrder): RevisionOutcomes {
   const record = recordOf(value);
-  const digests = new Map(record.digests).set(order.revision, order.digest);
+  const digests = new Map(record.digests).set(submission.revision, submission.digest);
   let { knownFrom } = record;
   for (const revision of digests.keys()) {
     if (digests.size <= REGISTER.revisionOutcomeLimit) break;
--- a/packages/control/src/value/value-text.ts
+++ b/packages/control/src/value/value-text.ts
@@ -1,30 +1,30 @@
-/** The agreed value as text, for ballots, the wire and the voters' disks. */
+/** Serialization of the agreed value as text, for ballots, the wire and the voters' disks. */
 import { pack, unpack } from '@harecross/kernel';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { fromStored, toStored, type StoredValue } from './stored-value.js';
 import type { FleetValue } from './fleet-value.js';
 
-/** Shorter texts stay as they are: there is nothing to gain. */
-const FROM_CHARS = 1_024;
-/** Fast: the best level makes a configuration a twentieth smaller and takes three times as long. */
-const LEVEL = 1;
-/** A text as devalue writes it begins with a bracket. */
-const DEFLATED = 'z';
+/** Shorter texts are not compressed, as that would save nothing. */
+const COMPRESSION_MIN_CHARS = 1_024;
+/** The fastest level: the highest one makes a configuration 1/20 smaller, but takes 3 times as long. */
+const DEFLATE_LEVEL = 1;
+/** Marks a compressed text. An uncompressed one, written by devalue, starts with a bracket. */
+const DEFLATED_PREFIX = 'z';
 
-/** The text of each value that was written or read here: a value is never altered, so its text stays true. */
+/** The text of each value that was serialized or deserialized here. Values are immutable, so the text stays valid. */
 const texts = new WeakMap<FleetValue, string>();
 
 /**
- * The text of a value, where it is known without writing it anew.
+ * The text of a value, if it was serialized or deserialized here before.
  * @example
- * textOf(fromText(s)) === s
+ * cachedText(deserializeValue(text)) === text
  */
 export const cachedText = (v: FleetValue): string | undefined => texts.get(v);
 
 /**
- * Has a value that says the same as another have its text. Give only a copy in which no part says anything else.
+ * Caches the text of a value for a copy of it as well. The content of the copy must be equal in every part.
  * @example
- * sameText({ ...v, config: equalConfig }, v)
+ * shareCachedText({ ...value, config: equalConfig }, value)
  */
 export function shareText(copy: FleetValue, v: FleetValue): FleetValue {
   const text = texts.get(v);
@@ -33,30 +33,32 @@
 }
 
 /**
- * A value as text, for the wire and the disk. Configurations say the same words again and again, so a long one is deflated.
+ * Serializes a value for the wire and the disk. Long texts are deflated, because configurations are highly repetitive.
  * @example
- * fromText(toText(value)); // the same value
+ * deserializeValue(serializeValue(value)); // an equal value
  */
 export function serializeValue(v: FleetValue): string {
-  const known = texts.get(v);
-  if (known !== undefined) return known;
+  const cached = texts.get(v);
+  if (cached !== undefined) return cached;
   const packed = pack(toStored(v));
   const text =
-    packed.length < FROM_CHARS ? packed : DEFLATED + deflateRawSync(packed, { level: LEVEL }).toString('base64');
+    packed.length < COMPRESSION_MIN_CHARS
+      ? packed
+      : DEFLATED_PREFIX + deflateRawSync(packed, { level: DEFLATE_LEVEL }).toString('base64');
   texts.set(v, text);
   return text;
 }
 
 /**
- * The value in a text; also in one of before texts were deflated.
+ * Deserializes a value; also accepts uncompressed texts of older versions.
  * @example
- * fromText(seat.value).version; // 4
+ * deserializeValue(store.acceptorState().value).version; // 4
  */
-export function deserializeValue(s: string): FleetValue {
-  const packed = s.startsWith(DEFLATED)
-    ? inflateRawSync(Buffer.from(s.slice(DEFLATED.length), 'base64')).toString()
-    : s;
+export function deserializeValue(text: string): FleetValue {
+  const packed = text.startsWith(DEFLATED_PREFIX)
+    ? inflateRawSync(Buffer.from(text.slice(DEFLATED_PREFIX.length), 'base64')).toString()
+    : text;
   const value = fromStored(unpack(packed) as StoredValue);
-  texts.set(value, s);
+  texts.set(value, text);
   return value;
 }
