--- a/packages/control/src/consensus/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -2,7 +2,7 @@
 import { REGISTER, SHARD, type Kernel } from '@harecross/kernel';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { durabilityOf, shortfallOf } from '../placement/durability.js';
-import { matchCopies } from '../placement/placement.js';
+import { assignReplicas } from '../placement/placement.js';
 import { isUsedFor, type DiskRecord, type FleetValue, type Placement } from '../value/fleet-value.js';
 import { deserializeValue, serializeValue } from '../value/value-text.js';
 import type { Accepted, BallotSource, Prepared } from './ballots.js';
@@ -147,7 +147,7 @@
     const durability = durabilityOf(this.kernel.host.config);
     const { copies, tolerance } = durability;
     const replicaDisks = [...disks.values()].filter((disk) => isUsedFor(disk, 'copies'));
-    const placements = [...matchCopies(replicaDisks, copies, SHARD.shardCount, tolerance)];
+    const placements = [...assignReplicas(replicaDisks, copies, SHARD.shardCount, tolerance)];
     const voters = seeds.map((seed) => seed.disk);
     return {
       fleet,
--- a/packages/control/src/consensus/consensus-register.ts
+++ b/packages/control/src/consensus/consensus-register.ts
@@ -13,7 +13,7 @@
 import type { DurableState } from '@harecross/state';
 import { BehaviorSubject } from 'rxjs';
 import type { MembershipTable } from '../membership/membership-table.js';
-import { rememberEmptied } from '../reconcile/forget-planner.js';
+import { persistEmptiedState } from '../reconcile/forget-planner.js';
 import { Acceptor } from './acceptor.js';
 import { BallotSource } from './ballots.js';
 import { Bootstrap } from './bootstrap.js';
@@ -67,7 +67,7 @@
       this.disk = this.state.get('disk')!;
       membership.updateOwnState({ disk: this.disk });
       this.acceptor = new Acceptor(kernel, this.state, this.disk, () => this.value?.rev ?? 0);
-      rememberEmptied(kernel, membership, this, this.state);
+      persistEmptiedState(kernel, membership, this, this.state);
     }
     const ask = <T>(disks: string[], method: PeerRpc, body: object): Promise<T>[] =>
       this.callVoters<T>(disks, method, body);
--- a/packages/control/src/operators/operators.ts
+++ b/packages/control/src/operators/operators.ts
@@ -196,7 +196,7 @@
    * Begins or takes back the emptying of a disk. An order that was taken is answered again, whatever has become of the disk since. With a
    * change id, an order that was carried out is not carried out again, however late its repeat comes: another may have been given since.
    */
-  async setDisk(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
+  async setDiskState(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
     this.answers.rejectIfStale(step);
     if (!this.register.value) throw notReady(this.kernel, step);
     const changed = this.register.change((value) => this.setDiskOnce(value, disk, state, changeId), REGISTER.submitMs);
--- a/packages/control/src/reconcile/forget-planner.ts
+++ b/packages/control/src/reconcile/forget-planner.ts
@@ -5,7 +5,7 @@
 import { PLACEMENT, type Kernel } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
 import type { MembershipTable } from '../membership/membership-table.js';
-import type { Step } from './planner.js';
+import type { PlannedStep } from './planner.js';
 import { holdsNothing } from '../value/fleet-queries.js';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
 import type { DiskRecord, FleetValue } from '../value/fleet-value.js';
@@ -57,7 +57,7 @@
   }
 
   /** What is due as a step of the controller. */
-  step(value: FleetValue): Step | undefined {
+  step(value: FleetValue): PlannedStep | undefined {
     const due = this.plan(value);
     return due && { next: due.next, why: `records of ${due.forgotten.join(', ')} are forgotten` };
   }
@@ -81,7 +81,7 @@
  * A disk keeps by itself that it was emptied, and its member says so: long after its record was forgotten it joins as an emptied disk,
  * which takes no replica and no vote, until an operator takes the emptying back. Follows the agreed value.
  */
-export function rememberEmptied(
+export function persistEmptiedState(
   kernel: Kernel,
   membership: MembershipTable,
   register: ConsensusRegister,
--- a/packages/control/src/reconcile/plan-disks.ts
+++ b/packages/control/src/reconcile/plan-disks.ts
@@ -2,12 +2,12 @@
 import { PLACEMENT } from '@harecross/kernel';
 import type { Member } from '../membership/member.js';
 import { hasSameUses, holdsNothing, plannedJoinTime } from '../value/fleet-queries.js';
-import { liveMember, silentFor, type FleetView, type Step } from './planner.js';
+import { liveMember, silenceMs, type FleetView, type PlannedStep } from './planner.js';
 import { successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
 
 /** Disks that joined, came back or were lost, in one step. */
-export function planDisks(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planDisks(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const disks = new Map(value.disks);
   const said: string[] = [];
   letIn(value, fleet, disks, said);
@@ -19,7 +19,7 @@
 function letIn(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
   for (const member of fleet.membership.liveMembers()) {
     if (!member.disk || fleet.now - member.liveSince < PLACEMENT.joinAfterMs) continue;
-    if (fleet.wall < plannedJoinTime(value, member.peer)) continue;
+    if (fleet.wallTime < plannedJoinTime(value, member.peer)) continue;
     const known = disks.get(member.disk);
     if (!known) {
       disks.set(member.disk, {
@@ -64,7 +64,7 @@
 function giveUpLost(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
   for (const disk of value.disks.values()) {
     if (disk.state !== 'active' || disks.get(disk.id)!.state === 'lost') continue;
-    const silent = silentFor(fleet, disk);
+    const silent = silenceMs(fleet, disk);
     if (silent === 0) continue;
     const spare = holdsNothing(value, disk.id) ? undefined : spareFor(value, fleet, disk, disks, silent);
     if (spare !== undefined) {
--- a/packages/control/src/value/fleet-queries.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -6,7 +6,7 @@
 import type { Move } from '@harecross/schema';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { shortfallOf } from '../placement/durability.js';
-import { copiesFor, copyDisks, quickOf } from '../placement/placement.js';
+import { oddReplicaCount, replicaDisks, fastDiskIds } from '../placement/placement.js';
 import { moveKey, isUsedFor, type DiskRecord, type FleetValue } from './fleet-value.js';
 
 /** Finds a disk by its id or by the name of its machine; of several disks with that name, preferably one that is not lost. */
@@ -77,8 +77,8 @@
     if (wouldLoseMajority(placement.copies)) return `shard ${shard} would lose its majority`;
   if (move.kind === 'restart') return undefined;
   const activeForReplicas = [...v.disks.values()].filter((d) => d.state === 'active' && isUsedFor(d, 'copies'));
-  const replicaDisks = copyDisks(activeForReplicas, quickOf(activeForReplicas));
-  const replicaCount = copiesFor(v.config.copies ?? v.copies ?? SHARD.replicaCount, replicaDisks.length);
+  const replicaDisks = replicaDisks(activeForReplicas, fastDiskIds(activeForReplicas));
+  const replicaCount = oddReplicaCount(v.config.copies ?? v.copies ?? SHARD.replicaCount, replicaDisks.length);
   const remaining = replicaDisks.filter((d) => d.id !== disk.id && wouldBeLive(d.id));
   if (remaining.length < replicaCount)
     return `${remaining.length} active live disks would be left for ${replicaCount} copies`;
--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -23,7 +23,7 @@
 import { Rpcs, configFaults, familyOf, isUrgent, visitFault, type Method, type Visit } from '@harecross/schema';
 import type { FastifyError, FastifyReply } from 'fastify';
 import { firstValueFrom } from 'rxjs';
-import { frameLines, type Sink } from '../sessions/outgoing.js';
+import { serializeFrames, type Sink } from '../sessions/outgoing.js';
 import type { Route } from '../routing/route.js';
 import type { Sessions } from '../sessions/sessions.js';
 
@@ -169,7 +169,7 @@
   }
   /** Any word of a consumer is a sign of life of its conn. */
   heard(id: string): void {
-    this.sessions?.sign(id);
+    this.sessions?.recordActivity(id);
   }
   gone(id: string): void {
     this.sessions?.gone(id);
@@ -279,10 +279,10 @@
   private async answer({ m, body }: Request): Promise<unknown> {
     switch (m) {
       case 'Probe':
-        return { sent: this.conns(m).heard(body.conn, m).sent };
+        return { sent: this.conns(m).recordActivityOrThrow(body.conn, m).sent };
       case 'Detach': {
         const h = this.conns(m);
-        h.heard(body.conn, m);
+        h.recordActivityOrThrow(body.conn, m);
         h.gone(body.conn);
         return {};
       }
@@ -312,7 +312,7 @@
       case 'ReadConfig':
         return this.ops.readConfig();
       case 'EmptyDisk':
-        return this.ops.setDisk(body.disk, 'emptying', m, body.changeId);
+        return this.ops.setDiskState(body.disk, 'emptying', m, body.changeId);
       case 'EmptyStatus':
         return this.ops.emptyStatus(body.disk);
       case 'PlanMoves':
@@ -320,7 +320,7 @@
       case 'Moves':
         return this.ops.moves();
       case 'CancelEmpty':
-        return this.ops.setDisk(body.disk, 'active', m, body.changeId);
+        return this.ops.setDiskState(body.disk, 'active', m, body.changeId);
       case 'Fleet':
         return this.fleet();
       case 'Node':
@@ -396,13 +396,13 @@
       holdings: [
         this.holding.describe('edge'),
         ...(this.kernel.has('owner') ? this.kernel.use('owner').queues() : []),
-        ...(this.sessions?.queues() ?? []),
+        ...(this.sessions?.queueInfos() ?? []),
       ],
       counters: Object.fromEntries([...this.kernel.counters].sort(([a], [b]) => (a < b ? -1 : 1))),
       keys: this.kernel.has('owner') ? this.kernel.use('owner').ownedShards() : [],
-      copies: this.kernel.has('copies') ? this.kernel.use('copies').table() : [],
-      interest: this.kernel.has('owner') ? this.kernel.use('owner').interestTable() : [],
-      holds: this.sessions?.table() ?? [],
+      copies: this.kernel.has('copies') ? this.kernel.use('copies').describeReplicas() : [],
+      interest: this.kernel.has('owner') ? this.kernel.use('owner').describeInterests() : [],
+      holds: this.sessions?.listLeases() ?? [],
       conns: this.sessions?.size ?? 0,
     };
   }
@@ -452,7 +452,7 @@
     let over = false;
     const raw = reply.raw;
     const sink: Sink = {
-      write: (frames) => over || raw.write(frameLines(frames)),
+      write: (frames) => over || raw.write(serializeFrames(frames)),
       close: () => {
         if (over) return;
         over = true;
--- a/packages/data/src/routing/route.ts
+++ b/packages/data/src/routing/route.ts
@@ -16,7 +16,7 @@
 import { familyOf, urgencyOf } from '@harecross/schema';
 import { parseFence, senderKey, type Fence } from '@harecross/state';
 import { Subject } from 'rxjs';
-import { FORGOTTEN } from '../ownership/shard-state.js';
+import { FORGOTTEN_STEP } from '../ownership/shard-state.js';
 
 declare module '@harecross/kernel' {
   interface ServiceRegistry {
@@ -216,7 +216,7 @@
         case 'overloaded':
         case 'outcome_unknown':
           // What is so old that nobody knows of it stands in nobody's way.
-          if (f.step === FORGOTTEN) break;
+          if (f.step === FORGOTTEN_STEP) break;
           this.turnAway(b);
           // Told in order, so that they come again in order.
           await withTimeout(
--- a/packages/trial/src/test/gossip.test.ts
+++ b/packages/trial/src/test/gossip.test.ts
@@ -96,11 +96,11 @@
   for (let i = 0; i < 100; i++) a.add(`m/${i}`, 'v1');
   for (let i = 99; i >= 0; i--) b.add(`m/${i}`, 'v1');
   t.true(a.isSame(b.total));
-  t.deepEqual(a.differing(b.parts), []);
+  t.deepEqual(a.differingParts(b.parts), []);
   b.remove('m/7', 'v1');
   b.add('m/7', 'v2');
   t.false(a.isSame(b.total));
-  t.deepEqual(a.differing(b.parts), [TableSums.partOf('m/7')]);
+  t.deepEqual(a.differingParts(b.parts), [TableSums.partOf('m/7')]);
 });
 
 test('packed lists come back as they were; long ones are much shorter on the way', (t) => {
