--- a/packages/control/src/membership/member.ts
+++ b/packages/control/src/membership/member.ts
@@ -28,7 +28,7 @@
   /** Its disk was drained at an operator's request, and the request has not been cancelled. */
   emptied?: boolean;
   /**
-   * It takes ownership of shards by `fenceQuorum`. Versions without that rule omit this; while a node of such a version is present, no
+   * It takes ownership of shards by `hasFenceQuorum`. Versions without that rule omit this; while a node of such a version is present, no
    * replica is replaced in one step.
    */
   jointFences?: true;
--- a/packages/trial/src/capacity-page.ts
+++ b/packages/trial/src/capacity-page.ts
@@ -568,7 +568,7 @@
       x,
       f,
     ) => `The register's value keeps the disks, their weights and the rule's number; where a shard's copies are follows from them \
-(rendezvous, as today's \`matchCopies\` does), and only exceptions are written down: shards that are under way from one placement to the \
+(rendezvous, as today's \`assignReplicas\` does), and only exceptions are written down: shards that are under way from one placement to the \
 next, and those placed by hand. The value is then as large as the fleet and its moves, not as the topic space. Orders are worked out for a \
 shard when it is asked for, and anew only for shards that a changed disk touches, instead of all of them several times a second. One \
 issue: the rule and its exceptions beside the table, both answering in the simulator until they agree at every step; then the table goes. \
