--- a/packages/control/src/consensus/acceptor.ts
+++ b/packages/control/src/consensus/acceptor.ts
@@ -3,7 +3,7 @@
 import type { DurableState } from '@harecross/state';
 import { deserializeValue } from '../value/value-text.js';
 import type { FleetValue } from '../value/fleet-value.js';
-import { proposerOf, type Accepted, type Prepared, type VoterState } from './ballots.js';
+import { proposerOf, type AcceptResponse, type PrepareResponse, type VoterState } from './ballots.js';
 
 /** Asks a voter to promise a ballot. */
 interface PrepareRequest {
@@ -62,7 +62,7 @@
     if (disk !== this.disk) throw new HarecrossError({ tag: 'unknown_disk', step, peer: this.kernel.self, disk });
   }
 
-  private async prepare(request: PrepareRequest): Promise<Prepared> {
+  private async prepare(request: PrepareRequest): Promise<PrepareResponse> {
     const { store, disk } = this;
     this.requireOwnDisk(request.disk, 'RegPrepare');
     const at = this.kernel.host.clock.now();
@@ -72,7 +72,7 @@
       const { promised, ballot } = store.acceptorState();
       return { disk, ok: false, promised, ballot };
     }
-    return store.db.commit((): Prepared => {
+    return store.db.commit((): PrepareResponse => {
       const saved = store.acceptorState();
       if (request.ballot <= saved.promised) return { disk, ok: false, promised: saved.promised, ballot: saved.ballot };
       store.saveAcceptorState({ ...saved, promised: request.ballot });
@@ -85,10 +85,10 @@
     return reservation !== undefined && now < reservation.until && reservation.proposer !== proposerOf(ballot);
   }
 
-  private async accept(request: AcceptRequest): Promise<Accepted> {
+  private async accept(request: AcceptRequest): Promise<AcceptResponse> {
     const { store, disk } = this;
     this.requireOwnDisk(request.disk, 'RegAccept');
-    const answer = await store.db.commit((): Accepted => {
+    const answer = await store.db.commit((): AcceptResponse => {
       const saved = store.acceptorState();
       if (request.ballot < saved.promised || this.isLate(request)) return { disk, ok: false, promised: saved.promised };
       store.saveAcceptorState({ promised: request.ballot, ballot: request.ballot, value: request.value });
--- a/packages/control/src/consensus/ballots.ts
+++ b/packages/control/src/consensus/ballots.ts
@@ -3,7 +3,7 @@
 import type { FleetValue } from '../value/fleet-value.js';
 
 /** A voter's answer to `RegPrepare`: its promise and the value it accepted last, with that value's ballot. */
-export interface Prepared {
+export interface PrepareResponse {
   disk: string;
   ok: boolean;
   promised: string;
@@ -14,7 +14,7 @@
 }
 
 /** A voter's answer to `RegAccept`. */
-export interface Accepted {
+export interface AcceptResponse {
   disk: string;
   ok: boolean;
   promised: string;
@@ -53,7 +53,7 @@
 export const proposerOf = (ballot: string): string => ballot.slice(SEQUENCE_DIGITS + 1);
 
 /** Issues ballots that are unique to this process, each higher than all ballots it has issued or observed. */
-export class BallotSource {
+export class BallotGenerator {
   /** The sequence number of the last ballot issued or observed. */
   private count = 0;
 
@@ -64,7 +64,7 @@
   }
 
   /** Ensures that the next ballot is higher than the given one. */
-  outbid(ballot: string): void {
+  advancePast(ballot: string): void {
     this.count = Math.max(this.count, Number(ballot.slice(0, SEQUENCE_DIGITS)) || 0);
   }
 
@@ -77,7 +77,7 @@
  * Whether at most one voter is removed and at most one is added. One step may replace a voter by another, because the change
  * itself needs a majority of both the old and the new voters.
  */
-export function oneVoterChanges(before: string[], after: string[]): boolean {
+export function changesAtMostOneVoter(before: string[], after: string[]): boolean {
   const removed = before.filter((disk) => !after.includes(disk));
   const added = after.filter((disk) => !before.includes(disk));
   return removed.length <= 1 && added.length <= 1;
--- a/packages/control/src/consensus/founding-right.ts
+++ b/packages/control/src/consensus/bootstrap-eligibility.ts
@@ -10,7 +10,7 @@
  * together with the seeds of that start: the config of a restarted process doesn't say that there is no fleet yet, and its seeds may differ.
  * A disk that was wiped is no longer eligible.
  */
-export class FoundingRight {
+export class BootstrapEligibility {
   private storedSeeds: string[] | undefined;
 
   constructor(
--- a/packages/control/src/consensus/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -5,8 +5,8 @@
 import { assignReplicas } from '../placement/placement.js';
 import { isUsedFor, type DiskRecord, type FleetValue, type Placement } from '../value/fleet-value.js';
 import { deserializeValue, serializeValue } from '../value/value-text.js';
-import type { Accepted, BallotSource, Prepared } from './ballots.js';
-import type { FoundingRight } from './founding-right.js';
+import type { AcceptResponse, BallotGenerator, PrepareResponse } from './ballots.js';
+import type { BootstrapEligibility } from './bootstrap-eligibility.js';
 
 /** Fleet ids are random integers below this bound. */
 const FLEET_ID_RANGE = 2 ** 48;
@@ -33,8 +33,8 @@
   constructor(
     private readonly kernel: Kernel,
     private readonly membership: MembershipTable,
-    private readonly ballots: BallotSource,
-    private readonly eligibility: FoundingRight,
+    private readonly ballots: BallotGenerator,
+    private readonly eligibility: BootstrapEligibility,
     /** The value known here, if any. */
     private readonly knownValue: () => FleetValue | undefined,
     /** Called with the first value after it was chosen. */
@@ -112,30 +112,35 @@
   }
 
   /** The promises of all seeds; undefined if one is missing. */
-  private async prepare(seeds: Seed[], ballot: string): Promise<Prepared[] | undefined> {
+  private async prepare(seeds: Seed[], ballot: string): Promise<PrepareResponse[] | undefined> {
     const calls = seeds.map(({ peer, disk }) =>
-      this.kernel.call<Prepared>(peer, 'RegPrepare', { disk, ballot }).catch(() => undefined),
+      this.kernel.call<PrepareResponse>(peer, 'RegPrepare', { disk, ballot }).catch(() => undefined),
     );
     const answers = await Promise.all(calls);
-    for (const answer of answers) if (answer && !answer.ok) this.ballots.outbid(answer.promised);
+    for (const answer of answers) if (answer && !answer.ok) this.ballots.advancePast(answer.promised);
     const promises = answers.filter((answer) => answer?.ok === true);
-    return promises.length === seeds.length ? (promises as Prepared[]) : undefined;
+    return promises.length === seeds.length ? (promises as PrepareResponse[]) : undefined;
   }
 
   /** The value of an interrupted bootstrap, if any seed accepted one; otherwise a new value. */
-  private firstValue(seeds: Seed[], promises: Prepared[]): FleetValue {
+  private firstValue(seeds: Seed[], promises: PrepareResponse[]): FleetValue {
     const accepted = promises
       .filter((promise) => promise.value)
-      .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
+      .reduce<PrepareResponse | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
     return accepted ? deserializeValue(accepted.value!) : this.initialValue(seeds);
   }
 
   /** Sends the value to all seeds; returns whether all of them accepted it. */
-  private async accept(seeds: Seed[], ballot: string, promises: Prepared[], value: FleetValue): Promise<boolean> {
+  private async accept(
+    seeds: Seed[],
+    ballot: string,
+    promises: PrepareResponse[],
+    value: FleetValue,
+  ): Promise<boolean> {
     const text = serializeValue(value);
     const calls = seeds.map(({ peer, disk }, i) =>
       this.kernel
-        .call<Accepted>(peer, 'RegAccept', { disk, ballot, value: text, promisedAt: promises[i]!.at })
+        .call<AcceptResponse>(peer, 'RegAccept', { disk, ballot, value: text, promisedAt: promises[i]!.at })
         .catch(() => undefined),
     );
     return (await Promise.all(calls)).every((answer) => answer?.ok);
--- a/packages/control/src/consensus/consensus-register.ts
+++ b/packages/control/src/consensus/consensus-register.ts
@@ -15,13 +15,13 @@
 import type { MembershipTable } from '../membership/membership-table.js';
 import { persistEmptiedState } from '../reconcile/forget-planner.js';
 import { Acceptor } from './acceptor.js';
-import { BallotSource } from './ballots.js';
+import { BallotGenerator } from './ballots.js';
 import { Bootstrap } from './bootstrap.js';
-import { FoundingRight } from './founding-right.js';
+import { BootstrapEligibility } from './bootstrap-eligibility.js';
 import { ReadLease } from './read-lease.js';
 import { Proposer, type ChangeFn } from './proposer.js';
 import { Reader } from './reader.js';
-import { deserializeValue, shareText, cachedText } from '../value/value-text.js';
+import { deserializeValue, shareCachedText, cachedText } from '../value/value-text.js';
 import { ValueFetcher } from './value-fetcher.js';
 import { valueAnswer, type ValueRequest } from './value-transfer.js';
 import type { FleetValue } from '../value/fleet-value.js';
@@ -47,7 +47,7 @@
   readonly value$ = new BehaviorSubject<FleetValue | undefined>(undefined);
   readonly disk?: string;
   private readonly lease: ReadLease;
-  private readonly ballots: BallotSource;
+  private readonly ballots: BallotGenerator;
   private readonly acceptor?: Acceptor;
   private readonly proposer: Proposer;
   private readonly reader: Reader;
@@ -61,7 +61,7 @@
   ) {
     const { clock, random, db } = kernel.host;
     this.lease = new ReadLease(clock, kernel.host.config.applyMs);
-    this.ballots = new BallotSource(kernel);
+    this.ballots = new BallotGenerator(kernel);
     if (db) {
       this.state = kernel.use('state');
       this.disk = this.state.get('disk')!;
@@ -80,7 +80,7 @@
     this.proposer = new Proposer(kernel, this.ballots, {
       ask,
       learn,
-      start: () => this.newestSeen(),
+      newestKnown: () => this.newestKnown(),
       ownDisk: this.disk,
     });
     this.reader = new Reader(kernel, membership, this.ballots, this.lease, this.acceptor, {
@@ -102,13 +102,13 @@
       membership.memberStateChanged$.subscribe((member) => member.state === 'live' && void this.renewExpiredLease()),
     );
     if (this.state) {
-      const eligibility = new FoundingRight(kernel, this.state);
+      const eligibility = new BootstrapEligibility(kernel, this.state);
       this.serveIdentity(this.state, eligibility);
       if (eligibility.seeds) this.startBootstrap(eligibility);
     }
   }
 
-  private startBootstrap(eligibility: FoundingRight): void {
+  private startBootstrap(eligibility: BootstrapEligibility): void {
     const { kernel } = this;
     const { clock, random } = kernel.host;
     const learn = (value: FleetValue): void => this.learn(value);
@@ -117,7 +117,7 @@
   }
 
   /** Answers the bootstrapping seed with this disk's id and fleet, and with whether this node may bootstrap a fleet itself. */
-  private serveIdentity(state: DurableState, eligibility: FoundingRight): void {
+  private serveIdentity(state: DurableState, eligibility: BootstrapEligibility): void {
     this.kernel.on('RegWho', () => ({
       disk: this.disk,
       fleet: state.get(FLEET_ID_KEY),
@@ -176,8 +176,8 @@
   }
 
   /** Emits when the read lease becomes valid after it was not. */
-  get readLeaseBegun$(): ReadLease['begun$'] {
-    return this.lease.begun$;
+  get readLeaseStarted$(): ReadLease['started$'] {
+    return this.lease.started$;
   }
 
   /** Whether a majority confirmed our value recently enough to serve from it. */
@@ -201,7 +201,7 @@
   }
 
   /** The newest value known here, chosen or only accepted. */
-  private newestSeen(): FleetValue | undefined {
+  private newestKnown(): FleetValue | undefined {
     const accepted = this.acceptor?.accepted;
     const known = this.value ?? accepted;
     return known && accepted && accepted.rev > known.rev ? accepted : known;
@@ -290,7 +290,7 @@
 
 /** Keeps the objects of the old configuration in a newer value of the same version, so that lookup tables cached for them stay in use. */
 function withConfigurationOf(old: FleetValue, value: FleetValue): FleetValue {
-  return shareText({ ...value, config: old.config, incarnations: old.incarnations }, value);
+  return shareCachedText({ ...value, config: old.config, incarnations: old.incarnations }, value);
 }
 
 /**
@@ -298,7 +298,7 @@
  * @example
  * if (!register.value) throw notReadyError(kernel, 'ReadConfig');
  */
-export function notReady(kernel: Kernel, step: string): HarecrossError {
+export function notReadyError(kernel: Kernel, step: string): HarecrossError {
   return new HarecrossError({
     tag: 'not_ready',
     step,
--- a/packages/control/src/consensus/proposer.ts
+++ b/packages/control/src/consensus/proposer.ts
@@ -6,12 +6,12 @@
 import {
   allVoters,
   isMajority,
-  oneVoterChanges,
+  changesAtMostOneVoter,
   voterSets,
-  type Accepted,
+  type AcceptResponse,
   type CallVoters,
-  type BallotSource,
-  type Prepared,
+  type BallotGenerator,
+  type PrepareResponse,
 } from './ballots.js';
 
 /** Computes the next value (absent for a plain read) and the caller's result `out` from the latest value. */
@@ -21,7 +21,7 @@
 export type ChangePriority = 'ordinary' | 'repair';
 
 /** The pending or received answers to `RegPrepare` under one ballot, by disk. */
-type Promises = Map<string, Promise<Prepared>>;
+type Promises = Map<string, Promise<PrepareResponse>>;
 
 type RoundResult<T> = { tag: 'done'; out: T } | { tag: 'again'; why: string };
 
@@ -29,7 +29,7 @@
 export interface ProposerContext {
   ask: CallVoters;
   /** The newest value known here, chosen or only accepted; a ballot starts with its voters. */
-  start(): FleetValue | undefined;
+  newestKnown(): FleetValue | undefined;
   /** This node's own disk, if it has one; it may be a voter. */
   ownDisk: string | undefined;
   /** Called with a value that was chosen. */
@@ -40,7 +40,7 @@
 export class Proposer {
   constructor(
     private kernel: Kernel,
-    private ballots: BallotSource,
+    private ballots: BallotGenerator,
     private context: ProposerContext,
   ) {}
 
@@ -56,7 +56,7 @@
     let reason = 'no value of the register is known yet';
     for (let attempt = 0; clock.now() < deadline && wanted(); attempt++) {
       if (attempt > 0) await sleep(clock, Math.min(600, 30 * 2 ** Math.min(attempt, 4)) * (0.5 + random.next()));
-      const start = this.context.start();
+      const start = this.context.newestKnown();
       if (!start || !wanted()) continue;
       const result = await this.round(start, fn, () => clock.now() < deadline && wanted(), priority);
       switch (result.tag) {
@@ -85,7 +85,7 @@
     const outcome = outcomeOf(fn, latest);
     const changed = outcome.tag === 'changed' ? outcome.next : undefined;
     const next = changed ? { ...changed, rev: latest.rev + 1, previousVoters: latest.voters } : latest;
-    invariant(!changed || oneVoterChanges(latest.voters, next.voters), 'a change may replace at most one voter');
+    invariant(!changed || changesAtMostOneVoter(latest.voters, next.voters), 'a change may replace at most one voter');
     const failure = await this.accept(ballot, next, prepared.promises, mayAccept, priority);
     if (failure !== undefined) return { tag: 'again', why: failure };
     this.context.learn(next);
@@ -104,7 +104,7 @@
   ): Promise<{ tag: 'prepared'; value: FleetValue; promises: Promises } | { tag: 'again'; why: string }> {
     let latest = start;
     const promises: Promises = new Map();
-    const answers = new Map<string, Prepared>();
+    const answers = new Map<string, PrepareResponse>();
     for (;;) {
       const sets = voterSets(latest);
       const voters = allVoters(latest);
@@ -130,7 +130,7 @@
         return { tag: 'again', why: `only ${promisedDisks.size} of ${voters.length} voters promised the ballot` };
       const newest = [...answers.values()]
         .filter((answer) => answer.value)
-        .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
+        .reduce<PrepareResponse | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
       if (!newest) return { tag: 'again', why: 'none of the voters that answered has accepted a value' };
       // Usually the value is already known here; this avoids parsing a large text again.
       latest = cachedText(start) === newest.value ? start : deserializeValue(newest.value!);
@@ -138,10 +138,10 @@
     }
   }
 
-  private async askPrepare(disk: string, ballot: string, priority: ChangePriority): Promise<Prepared> {
+  private async askPrepare(disk: string, ballot: string, priority: ChangePriority): Promise<PrepareResponse> {
     const request = priority === 'repair' ? { ballot, repair: true } : { ballot };
-    const answer = await this.context.ask<Prepared>([disk], 'RegPrepare', request)[0]!;
-    if (!answer.ok) this.ballots.outbid(answer.promised);
+    const answer = await this.context.ask<PrepareResponse>([disk], 'RegPrepare', request)[0]!;
+    if (!answer.ok) this.ballots.advancePast(answer.promised);
     return answer;
   }
 
@@ -168,10 +168,10 @@
       if (!promise.ok || !mayAccept())
         throw new Error(`voter ${disk} did not promise the ballot, or the change is no longer wanted`);
       const body = { ballot, value, promisedAt: promise.at };
-      const answer = await this.context.ask<Accepted>([disk], 'RegAccept', body)[0]!;
+      const answer = await this.context.ask<AcceptResponse>([disk], 'RegAccept', body)[0]!;
       if (answer.ok) acceptedDisks.add(disk);
       else {
-        this.ballots.outbid(answer.promised);
+        this.ballots.advancePast(answer.promised);
         refused = true;
       }
     };
--- a/packages/control/src/consensus/read-lease.ts
+++ b/packages/control/src/consensus/read-lease.ts
@@ -8,7 +8,7 @@
  */
 export class ReadLease {
   /** Emits when the lease becomes valid after it was not. */
-  readonly begun$ = new Subject<void>();
+  readonly started$ = new Subject<void>();
   private confirmedAt = -Infinity;
   readonly leaseMs: number;
 
@@ -43,6 +43,6 @@
   renew(askedAt: number): void {
     const wasValid = this.valid();
     this.confirmedAt = Math.max(this.confirmedAt, askedAt);
-    if (!wasValid && this.valid()) this.begun$.next();
+    if (!wasValid && this.valid()) this.started$.next();
   }
 }
--- a/packages/control/src/consensus/reader.ts
+++ b/packages/control/src/consensus/reader.ts
@@ -3,7 +3,7 @@
 import type { MembershipTable } from '../membership/membership-table.js';
 import type { FleetValue } from '../value/fleet-value.js';
 import type { Acceptor } from './acceptor.js';
-import { allVoters, isMajority, voterSets, type CallVoters, type BallotSource, type VoterState } from './ballots.js';
+import { allVoters, isMajority, voterSets, type CallVoters, type BallotGenerator, type VoterState } from './ballots.js';
 import type { ReadLease } from './read-lease.js';
 
 /** The functions of the register that the reader uses. */
@@ -27,7 +27,7 @@
   constructor(
     private kernel: Kernel,
     private membership: MembershipTable,
-    private ballots: BallotSource,
+    private ballots: BallotGenerator,
     private lease: ReadLease,
     private acceptor: Acceptor | undefined,
     private context: ReaderContext,
@@ -93,7 +93,7 @@
         call.then((state) => {
           answered.add(state.disk);
           states.push(state);
-          this.ballots.outbid(state.ballot);
+          this.ballots.advancePast(state.ballot);
           return state;
         }),
       );
--- a/packages/control/src/consensus/value-transfer.ts
+++ b/packages/control/src/consensus/value-transfer.ts
@@ -55,7 +55,7 @@
  * @example
  * const newer = valueFromAnswer(answer, register.value);
  */
-export function valueIn(
+export function valueFromAnswer(
   answer: ValueAnswer,
   own: FleetValue | undefined,
   parse: (text: string) => FleetValue = deserializeValue,
--- a/packages/control/src/value/fleet-queries.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -28,7 +28,7 @@
     (d) => (d.id === idOrName || d.name === idOrName) && (d.emptyingTaken ?? d.state === 'emptying'),
   );
 /** Whether a disk is no longer needed: it holds no replica and is neither a current nor a previous voter. */
-export const holdsNothing = (v: FleetValue, disk: string): boolean =>
+export const isDiskUnused = (v: FleetValue, disk: string): boolean =>
   replicaCountOn(v, disk) === 0 && !v.voters.includes(disk) && !v.previousVoters.includes(disk);
 /** Whether two disks have the same uses, so that one may replace the other. */
 export const hasSameUses = (one: DiskRecord, other: DiskRecord): boolean =>
@@ -60,7 +60,7 @@
   );
 
 /** Why a machine may not leave now: a majority would be lost, or the remaining disks can't hold the replicas. Undefined if it may. */
-export function reasonToStay(
+export function departureBlocker(
   v: FleetValue,
   move: Pick<Move, 'kind'>,
   disk: DiskRecord | undefined,
--- a/packages/control/src/value/fleet-value.ts
+++ b/packages/control/src/value/fleet-value.ts
@@ -1,8 +1,8 @@
 /** The value that the fleet agrees on, and the records in it. The fields are stored and sent, some under other names; see `stored-value.ts`. */
 import type { DiskUse, FaultTolerance } from '@harecross/kernel';
 import type { FleetConfig, Move } from '@harecross/schema';
-import { incarnationsAfter, type TopicIncarnations } from './topic-incarnations.js';
-import { withRevision, type RevisionOrder, type RevisionOutcomes } from './revision-outcomes.js';
+import { nextIncarnations, type TopicIncarnations } from './topic-incarnations.js';
+import { recordRevision, type SubmittedRevision, type RevisionOutcomes } from './revision-outcomes.js';
 
 /**
  * `active`: the disk may hold replicas and a vote. `emptying`: an operator ordered it to be drained. `leaving`: its process is stopping and
@@ -103,7 +103,7 @@
  */
 export function withConfig(
   value: FleetValue,
-  change: { changeId: string; config: FleetConfig; document?: string; revised?: RevisionOrder },
+  change: { changeId: string; config: FleetConfig; document?: string; revised?: SubmittedRevision },
 ): FleetValue {
   const { changeId, config, document, revised } = change;
   const version = value.version + 1;
@@ -114,9 +114,9 @@
     changeId,
     config,
     document,
-    incarnations: incarnationsAfter(value.incarnations, config, version),
+    incarnations: nextIncarnations(value.incarnations, config, version),
     moves: new Map([...value.moves].filter(([key]) => plannedKeys.has(key))),
   };
   if (!revised) return next;
-  return { ...next, revision: revised.revision, revisionOutcomes: withRevision(value, revised) };
+  return { ...next, revision: revised.revision, revisionOutcomes: recordRevision(value, revised) };
 }
--- a/packages/control/src/value/revision-outcomes.ts
+++ b/packages/control/src/value/revision-outcomes.ts
@@ -19,7 +19,7 @@
 }
 
 /** The parts of an operator's submission that determine its outcome. */
-export interface RevisionOrder {
+export interface SubmittedRevision {
   revision: number;
   digest: string;
 }
@@ -77,7 +77,7 @@
  * @example
  * revisionOutcome(value, { revision: 50, digest }) // 'conflict'
  */
-export function revisionOutcome(value: FleetValue, submission: RevisionOrder): RevisionOutcome {
+export function revisionOutcome(value: FleetValue, submission: SubmittedRevision): RevisionOutcome {
   const record = recordOf(value);
   const digest = record.digests.get(submission.revision);
   if (digest !== undefined) return digest === submission.digest ? 'accepted' : 'conflict';
@@ -90,7 +90,7 @@
  * @example
  * next.revisionOutcomes = recordRevision(value, { revision: 51, digest });
  */
-export function withRevision(value: FleetValue, submission: RevisionOrder): RevisionOutcomes {
+export function recordRevision(value: FleetValue, submission: SubmittedRevision): RevisionOutcomes {
   const record = recordOf(value);
   const digests = new Map(record.digests).set(submission.revision, submission.digest);
   let { knownFrom } = record;
--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -15,7 +15,7 @@
 } from '@harecross/kernel';
 import {
   isInPlannedRestart,
-  notReady,
+  notReadyError,
   type MembershipTable,
   type Operators,
   type ConsensusRegister,
@@ -140,7 +140,7 @@
       const bad = visitFault('Attach', body);
       if (bad) throw this.bad('Attach', bad);
       if (!this.sessions) throw this.bad('Attach', 'this node is a store and takes no conns');
-      if (!this.takes()) throw notReady(this.kernel, 'Attach');
+      if (!this.takes()) throw notReadyError(this.kernel, 'Attach');
       const b = body as Visit<'Attach'>;
       return { id: this.sessions.attach(b.consumer, b.pingS, sink) };
     } catch (e) {
@@ -164,7 +164,7 @@
     return withTimeout(
       this.kernel.host.clock,
       left,
-      firstValueFrom(this.register.readLeaseBegun$, { defaultValue: undefined }),
+      firstValueFrom(this.register.readLeaseStarted$, { defaultValue: undefined }),
     ).then(() => undefined);
   }
   /** Any word of a consumer is a sign of life of its conn. */
@@ -184,7 +184,7 @@
     const method = m as Method;
     const bad = visitFault(method, body);
     if (bad) return this.failed(m, this.bad(m, bad));
-    if (this.kernel.phase === 'stopped') return this.failed(m, notReady(this.kernel, m));
+    if (this.kernel.phase === 'stopped') return this.failed(m, notReadyError(this.kernel, m));
     this.kernel.incrementCounter(`visit.${m}`);
     const request = { m: method, body } as Request;
     const p = this.holding.offer(request, this.urgent(request));
@@ -333,7 +333,7 @@
   }
 
   private mustServe(m: string): void {
-    if (!this.register.hasReadLease()) throw notReady(this.kernel, m);
+    if (!this.register.hasReadLease()) throw notReadyError(this.kernel, m);
   }
   private conns(m: string): Sessions {
     if (!this.sessions) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: this.kernel.self });
--- a/packages/data/src/ownership/ownership-check.ts
+++ b/packages/data/src/ownership/ownership-check.ts
@@ -47,7 +47,7 @@
     kernel.addSubscription(membership.memberStateChanged$.subscribe((member) => this.memberChanged(member.peer)));
     // Takes a shard under a new placement generation without delay: until then its new replicas don't count towards fault tolerance.
     kernel.addSubscription(register.value$.subscribe(() => this.schedule()));
-    const leaseBegun = register.readLeaseBegun$.subscribe(() => {
+    const leaseBegun = register.readLeaseStarted$.subscribe(() => {
       this.firstLeaseAt = Math.min(this.firstLeaseAt, clock.now());
     });
     kernel.addSubscription(leaseBegun);
--- a/packages/data/src/routing/route.ts
+++ b/packages/data/src/routing/route.ts
@@ -12,7 +12,7 @@
   type ErrorDetails,
   type RepeatablePeerRpc,
 } from '@harecross/kernel';
-import { notReady, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
+import { notReadyError, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
 import { familyOf, urgencyOf } from '@harecross/schema';
 import { parseFence, senderKey, type Fence } from '@harecross/state';
 import { Subject } from 'rxjs';
@@ -183,7 +183,7 @@
     const k = senderKey(b.topic, b.sender);
     const turned = this.turned.get(k);
     if (turned && b.seq <= turned.seq) this.turned.delete(k);
-    else if (turned && this.kernel.host.clock.now() < turned.until) throw notReady(this.kernel, 'Publish');
+    else if (turned && this.kernel.host.clock.now() < turned.until) throw notReadyError(this.kernel, 'Publish');
     const { clock } = this.kernel.host;
     const until = clock.now() + patienceMs;
     const all = this.sent.get(k) ?? new Set();
