--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -175,7 +175,7 @@
     const register = {
       value: this.valueAt(self),
       value$: new Subject(),
-      readLeaseBegun$: new Subject(),
+      readLeaseStarted$: new Subject(),
       hasReadLease: () => true,
       peerOf: (d: string) => d,
       disk: self,
