--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -38,23 +38,23 @@
   body: ReplyBody;
 }
 
-/** Body of a reply: the method's own answer, or why there is none. */
+/** Body of a reply: the method's result, or the error or rejection. */
 export interface ReplyBody {
   error?: ErrorDetails & { retryAfterMs?: number };
   rejected?: { reason: ErrorDetails['tag']; final: boolean; retryAfterMs: number };
   [field: string]: unknown;
 }
 
-/** A checked request: a method and the body that its schema demands. */
+/** A validated request: a method and the body that its schema requires. */
 type Request = { [M in Method]: { m: M; body: Visit<M> } }[Method];
 
 /**
- * HTTP status of a fault.
+ * HTTP status of an error.
  * @example
  * statusOf({ tag: 'overloaded', step: 'Attach', peer, retryAfterMs: 500 }); // 503
  */
-export function statusOf(f: ErrorDetails): number {
-  switch (f.tag) {
+export function statusOf(error: ErrorDetails): number {
+  switch (error.tag) {
     case 'bad_visit':
     case 'invalid_config':
     case 'cursor_ahead':
@@ -87,17 +87,18 @@
     case 'internal':
       return 500;
     default:
-      return assertNever(f);
+      return assertNever(error);
   }
 }
 
 /**
- * The way in for callers: checks a visit, holds it in a bounded holding, answers it. HTTP is a thin shell.
+ * The entry point for client and operator requests: validates a request, queues it in a bounded queue and answers it. Independent of
+ * the transport; `serveHttp` puts HTTP in front of it.
  * @example
- * await edge.visit('Probe', { conn }); // { status: 200, body: {} }
+ * await edge.handle('Probe', { conn }); // { status: 200, body: { sent: 3 } }
  */
 export class Edge {
-  private holding: BoundedQueue<Request, Reply>;
+  private requestQueue: BoundedQueue<Request, Reply>;
   private sessions?: Sessions;
 
   constructor(
@@ -105,27 +106,29 @@
     private membership: MembershipTable,
     private register: ConsensusRegister,
     private route: Route,
-    private ops: Operators,
+    private operators: Operators,
   ) {
-    this.holding = new BoundedQueue(REQUEST.gatewayQueueLimit, REQUEST.gatewayQueueLimit, (v) => this.serve(v));
+    this.requestQueue = new BoundedQueue(REQUEST.gatewayQueueLimit, REQUEST.gatewayQueueLimit, (request) =>
+      this.dispatch(request),
+    );
     if (kernel.has('sessions')) this.sessions = kernel.use('sessions');
-    kernel.on('Pass', (b: { m: string; body: unknown }) => this.visit(b.m, b.body));
+    kernel.on('Pass', (request: { m: string; body: unknown }) => this.visit(request.m, request.body));
   }
 
-  /** Whether the platform may send us conns. */
+  /** Whether this node takes new client connections. */
   ready(): boolean {
     return this.serving() && this.sessions !== undefined;
   }
 
-  /** Whether a conn that comes all the same is better taken and sent on than refused. */
-  private takes(): boolean {
+  /** Whether an Attach is accepted: also while not `ready`, as the session can then be redirected, which is better than a refusal. */
+  private acceptsAttach(): boolean {
     return (
       this.ready() ||
       (this.register.hasReadLease() && (this.kernel.phase === 'running' || this.kernel.phase === 'draining'))
     );
   }
 
-  /** Whether this node truly does its work; a store has no conns but serves. */
+  /** Whether this node serves requests. True for a store too, although it takes no client connections. */
   serving(): boolean {
     return (
       this.kernel.phase === 'running' &&
@@ -134,28 +137,28 @@
     );
   }
 
-  /** Checks an Attach and opens its conn. */
+  /** Validates an Attach and opens its session. */
   attach(body: unknown, sink: Sink): { id: string } | Reply {
     try {
-      const bad = visitFault('Attach', body);
-      if (bad) throw this.bad('Attach', bad);
-      if (!this.sessions) throw this.bad('Attach', 'this node is a store and takes no conns');
-      if (!this.takes()) throw notReady(this.kernel, 'Attach');
-      const b = body as Visit<'Attach'>;
-      return { id: this.sessions.attach(b.consumer, b.pingS, sink) };
+      const fault = visitFault('Attach', body);
+      if (fault) throw this.badRequest('Attach', fault);
+      if (!this.sessions) throw this.badRequest('Attach', 'this node is a store and accepts no client connections');
+      if (!this.acceptsAttach()) throw notReady(this.kernel, 'Attach');
+      const request = body as Visit<'Attach'>;
+      return { id: this.sessions.attach(request.consumer, request.pingS, sink) };
     } catch (e) {
-      return this.failed('Attach', e);
+      return this.errorReply('Attach', e);
     }
   }
   /**
-   * A node that has just begun and will serve in a moment lets an Attach wait for that, briefly, rather than turn the consumer away.
-   * Undefined when there is nothing to wait for.
+   * Resolves once this node can accept an Attach, at the latest `PROCESS.startWaitMs` after its start: for a node that has just started,
+   * a short wait is better for the client than a refusal. Undefined when there is nothing to wait for.
    */
   starting(): Promise<void> | undefined {
-    const left = this.kernel.startedAt + PROCESS.startWaitMs - this.kernel.host.clock.now();
+    const remainingMs = this.kernel.startedAt + PROCESS.startWaitMs - this.kernel.host.clock.now();
     if (
-      this.takes() ||
-      left <= 0 ||
+      this.acceptsAttach() ||
+      remainingMs <= 0 ||
       !this.sessions ||
       this.kernel.phase === 'draining' ||
       this.kernel.phase === 'stopped'
@@ -163,34 +166,40 @@
       return undefined;
     return withTimeout(
       this.kernel.host.clock,
-      left,
+      remainingMs,
       firstValueFrom(this.register.readLeaseBegun$, { defaultValue: undefined }),
     ).then(() => undefined);
   }
-  /** Any word of a consumer is a sign of life of its conn. */
+  /** Records that the client is alive; called for anything that arrives on its connection. */
   heard(id: string): void {
     this.sessions?.sign(id);
   }
+  /** Ends the session of a connection that was closed. */
   gone(id: string): void {
     this.sessions?.gone(id);
   }
+  /** Continues delivery once the connection's write buffer has drained. */
   drained(id: string): void {
     this.sessions?.drained(id);
   }
 
+  /** Handles any request but Attach. Never rejects: an error is a reply. */
   async visit(m: string, body: unknown): Promise<Reply> {
     if (!Object.hasOwn(Rpcs, m) || m === 'Attach')
-      return this.failed(m, new HarecrossError({ tag: 'unknown_method', step: m, peer: this.kernel.self, method: m }));
+      return this.errorReply(
+        m,
+        new HarecrossError({ tag: 'unknown_method', step: m, peer: this.kernel.self, method: m }),
+      );
     const method = m as Method;
-    const bad = visitFault(method, body);
-    if (bad) return this.failed(m, this.bad(m, bad));
-    if (this.kernel.phase === 'stopped') return this.failed(m, notReady(this.kernel, m));
+    const fault = visitFault(method, body);
+    if (fault) return this.errorReply(m, this.badRequest(m, fault));
+    if (this.kernel.phase === 'stopped') return this.errorReply(m, notReady(this.kernel, m));
     this.kernel.incrementCounter(`visit.${m}`);
     const request = { m: method, body } as Request;
-    const p = this.holding.offer(request, this.urgent(request));
-    if (!p && m === 'Publish') this.route.turnAway(body as Visit<'Publish'>);
-    if (!p)
-      return this.failed(
+    const reply = this.requestQueue.offer(request, this.urgent(request));
+    if (!reply && m === 'Publish') this.route.turnAway(body as Visit<'Publish'>);
+    if (!reply)
+      return this.errorReply(
         m,
         new HarecrossError({
           tag: 'overloaded',
@@ -199,7 +208,7 @@
           retryAfterMs: jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs),
         }),
       );
-    return p;
+    return reply;
   }
 
   private urgent({ m, body }: Request): boolean {
@@ -213,65 +222,73 @@
     }
   }
 
-  private bad(step: string, detail: string): HarecrossError {
+  private badRequest(step: string, detail: string): HarecrossError {
     return new HarecrossError({ tag: 'bad_visit', step, peer: this.kernel.self, detail });
   }
 
-  private failed(m: string, e: unknown): Reply {
-    const f = toErrorDetails(e, m, this.kernel.self);
-    if (f.tag === 'internal')
-      this.kernel.host.log.warn('visit failed', { fault: f, stack: e instanceof Error ? e.stack : undefined });
-    this.kernel.incrementCounter(`fault.${f.tag}`);
-    // A try that surely stored nothing is told so in the words of the schema. Earlier tries of its number are another matter: may be one
-    // is on its way. Only the owner's final no speaks of them too.
+  private errorReply(m: string, e: unknown): Reply {
+    const error = toErrorDetails(e, m, this.kernel.self);
+    if (error.tag === 'internal')
+      this.kernel.host.log.warn('request failed with an internal error', {
+        fault: error,
+        stack: e instanceof Error ? e.stack : undefined,
+      });
+    this.kernel.incrementCounter(`fault.${error.tag}`);
+    // An attempt that certainly stored nothing is answered with `rejected`. That does not cover earlier attempts with the same number,
+    // which may still be on their way (`final: false`); only the owner's `stale_seq` covers them too (`final: true`).
     if (
       m === 'Publish' &&
-      (f.tag === 'not_ready' || f.tag === 'overloaded' || f.tag === 'unreachable' || f.tag === 'not_owner')
+      (error.tag === 'not_ready' ||
+        error.tag === 'overloaded' ||
+        error.tag === 'unreachable' ||
+        error.tag === 'not_owner')
     ) {
       const retryAfterMs =
-        'retryAfterMs' in f ? f.retryAfterMs : jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
-      return { status: 503, body: { rejected: { reason: f.tag, final: false, retryAfterMs } } };
+        'retryAfterMs' in error ? error.retryAfterMs : jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
+      return { status: 503, body: { rejected: { reason: error.tag, final: false, retryAfterMs } } };
     }
-    if (m === 'Publish' && f.tag === 'stale_seq')
+    if (m === 'Publish' && error.tag === 'stale_seq')
       return { status: 409, body: { rejected: { reason: 'stale_seq', final: true, retryAfterMs: 0 } } };
-    const status = statusOf(f);
+    const status = statusOf(error);
     let retryAfterMs: number | undefined;
-    if ('retryAfterMs' in f) retryAfterMs = f.retryAfterMs;
+    if ('retryAfterMs' in error) retryAfterMs = error.retryAfterMs;
     else if (status === 503 || status === 504) retryAfterMs = jitteredRetryMs(this.kernel.host.random, REQUEST.retryMs);
-    return { status, body: { error: retryAfterMs === undefined ? f : { ...f, retryAfterMs } } };
+    return { status, body: { error: retryAfterMs === undefined ? error : { ...error, retryAfterMs } } };
   }
 
-  private async serve(request: Request): Promise<Reply> {
+  private async dispatch(request: Request): Promise<Reply> {
     try {
       if ('conn' in request.body) {
         const peer = request.body.conn.split('/')[0]!;
-        if (peer !== this.kernel.self) return await this.pass(peer, request);
+        if (peer !== this.kernel.self) return await this.forward(peer, request);
       }
       return { status: 200, body: (await this.answer(request)) as ReplyBody };
     } catch (e) {
-      return this.failed(request.m, e);
+      return this.errorReply(request.m, e);
     }
   }
 
-  /** Passes a visit to the relay that has the conn. */
-  private async pass(peer: string, { m, body }: Request): Promise<Reply> {
-    const known = this.membership.members.get(peer);
-    if (!known || known.role !== 'relay' || known.state === 'dead' || known.state === 'left') {
-      // A conn's id names its relay only if there is one by that name.
-      throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: known ? peer : this.kernel.self });
+  /** Forwards a request to the relay that has the client's connection. */
+  private async forward(peer: string, { m, body }: Request): Promise<Reply> {
+    const relay = this.membership.members.get(peer);
+    if (!relay || relay.role !== 'relay' || relay.state === 'dead' || relay.state === 'left') {
+      // A connection id starts with its relay's address; without a live relay there, the connection does not exist.
+      throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: relay ? peer : this.kernel.self });
     }
-    const fam = m === 'Subscribe' && this.register.value ? familyOf(this.register.value.config, body.topic) : undefined;
+    const family =
+      m === 'Subscribe' && this.register.value ? familyOf(this.register.value.config, body.topic) : undefined;
     try {
       return await this.kernel.callAnyPath<Reply>(
         peer,
         'Pass',
         { m, body },
-        fam ? fam.patienceMs + MEMBERSHIP.callMs : MEMBERSHIP.callMs,
+        family ? family.patienceMs + MEMBERSHIP.callMs : MEMBERSHIP.callMs,
       );
     } catch (e) {
-      const f = toErrorDetails(e, m, peer);
-      // Nobody is there. That a helper on an indirect path was not there says nothing of the connection.
-      if (f.tag === 'unreachable' && f.peer === peer) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer });
+      const error = toErrorDetails(e, m, peer);
+      // The relay itself is unreachable, so the connection is gone. An unreachable helper on an indirect path says nothing about it.
+      if (error.tag === 'unreachable' && error.peer === peer)
+        throw new HarecrossError({ tag: 'unknown_conn', step: m, peer });
       throw e;
     }
   }
@@ -281,104 +298,104 @@
       case 'Probe':
         return { sent: this.conns(m).heard(body.conn, m).sent };
       case 'Detach': {
-        const h = this.conns(m);
-        h.heard(body.conn, m);
-        h.gone(body.conn);
+        const sessions = this.conns(m);
+        sessions.heard(body.conn, m);
+        sessions.gone(body.conn);
         return {};
       }
       case 'Subscribe':
-        this.mustServe(m);
+        this.requireReadLease(m);
         return this.conns(m).subscribe(body.conn, body.topic, body.cursor);
       case 'Unsubscribe':
         return { left: this.conns(m).unsubscribe(body.conn, body.topic) };
       case 'Publish': {
         if (!this.register.hasReadLease()) this.route.turnAway(body);
-        this.mustServe(m);
-        const fam = this.family(m, body.topic);
-        const limit = fam.limits?.bodyBytes ?? REQUEST.bodyBytes;
+        this.requireReadLease(m);
+        const family = this.requireFamily(m, body.topic);
+        const limit = family.limits?.bodyBytes ?? REQUEST.bodyBytes;
         if (Buffer.byteLength(body.body) > limit)
           throw new HarecrossError({ tag: 'too_large', step: m, peer: this.kernel.self, limit });
-        return { accepted: await this.route.publish(body, fam.patienceMs) };
+        return { accepted: await this.route.publish(body, family.patienceMs) };
       }
       case 'Listeners': {
-        this.mustServe(m);
-        const fam = this.family(m, body.topic);
-        return this.route.atOwner(body.topic, 'Count', () => ({ topic: body.topic }), fam.patienceMs);
+        this.requireReadLease(m);
+        const family = this.requireFamily(m, body.topic);
+        return this.route.atOwner(body.topic, 'Count', () => ({ topic: body.topic }), family.patienceMs);
       }
       case 'SubmitConfig':
-        return this.ops.submit(body);
+        return this.operators.submit(body);
       case 'CheckConfig':
         return { version: this.register.value?.version ?? 0, faults: configFaults(body.config) };
       case 'ReadConfig':
-        return this.ops.readConfig();
+        return this.operators.readConfig();
       case 'EmptyDisk':
-        return this.ops.setDisk(body.disk, 'emptying', m, body.changeId);
+        return this.operators.setDisk(body.disk, 'emptying', m, body.changeId);
       case 'EmptyStatus':
-        return this.ops.emptyStatus(body.disk);
+        return this.operators.emptyStatus(body.disk);
       case 'PlanMoves':
-        return this.ops.planMoves(body);
+        return this.operators.planMoves(body);
       case 'Moves':
-        return this.ops.moves();
+        return this.operators.moves();
       case 'CancelEmpty':
-        return this.ops.setDisk(body.disk, 'active', m, body.changeId);
+        return this.operators.setDisk(body.disk, 'active', m, body.changeId);
       case 'Fleet':
         return this.fleet();
       case 'Node':
         return this.node();
       case 'Attach':
-        throw this.bad(m, 'Attach is a stream');
+        throw this.badRequest(m, 'Attach is a stream');
       default:
         return assertNever(m);
     }
   }
 
-  private mustServe(m: string): void {
+  private requireReadLease(m: string): void {
     if (!this.register.hasReadLease()) throw notReady(this.kernel, m);
   }
   private conns(m: string): Sessions {
     if (!this.sessions) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: this.kernel.self });
     return this.sessions;
   }
-  private family(m: string, topic: string) {
-    const f = familyOf(this.register.value!.config, topic);
-    if (!f) throw new HarecrossError({ tag: 'unknown_topic', step: m, peer: this.kernel.self, topic });
-    return f;
+  private requireFamily(m: string, topic: string) {
+    const family = familyOf(this.register.value!.config, topic);
+    if (!family) throw new HarecrossError({ tag: 'unknown_topic', step: m, peer: this.kernel.self, topic });
+    return family;
   }
 
   private fleet(): unknown {
-    const v = this.register.value;
+    const value = this.register.value;
     const now = this.kernel.host.clock.now();
     return {
       at: this.kernel.self,
       fresh: this.register.hasReadLease(),
-      rev: v?.rev ?? 0,
-      version: v?.version ?? 0,
-      fleet: v?.fleet,
-      members: [...this.membership.members.values()].map((m) => ({
-        peer: m.peer,
-        name: m.name,
-        client: m.client,
-        domain: m.domain,
-        role: m.role,
-        disk: m.disk,
-        state: m.state,
-        condition: m.condition,
-        weight: m.weight,
-        ageMs: m.peer === this.kernel.self ? 0 : Math.round(now - m.seenAt),
+      rev: value?.rev ?? 0,
+      version: value?.version ?? 0,
+      fleet: value?.fleet,
+      members: [...this.membership.members.values()].map((member) => ({
+        peer: member.peer,
+        name: member.name,
+        client: member.client,
+        domain: member.domain,
+        role: member.role,
+        disk: member.disk,
+        state: member.state,
+        condition: member.condition,
+        weight: member.weight,
+        ageMs: member.peer === this.kernel.self ? 0 : Math.round(now - member.seenAt),
       })),
-      disks: v
-        ? [...v.disks.values()].map((d) => ({
-            ...d,
-            seat: v.voters.includes(d.id),
-            copies: [...v.shards.values()].filter((p) => p.copies.includes(d.id)).length,
+      disks: value
+        ? [...value.disks.values()].map((disk) => ({
+            ...disk,
+            seat: value.voters.includes(disk.id),
+            copies: [...value.shards.values()].filter((placement) => placement.copies.includes(disk.id)).length,
           }))
         : [],
-      keys: v
-        ? [...v.shards].map(([s, p]) => ({
-            shard: s,
-            gen: p.gen,
-            copies: p.copies,
-            ...(this.membership.get(`key/${s}`) as object | undefined),
+      keys: value
+        ? [...value.shards].map(([shard, placement]) => ({
+            shard,
+            gen: placement.gen,
+            copies: placement.copies,
+            ...(this.membership.get(`key/${shard}`) as object | undefined),
           }))
         : [],
     };
@@ -389,12 +406,12 @@
       peer: this.kernel.self,
       inst: this.kernel.instanceId,
       phase: this.kernel.phase,
-      // Before the first confirmation nothing is in force here: no version, rather than an old one.
+      // Before the first confirmed read no configuration is in force here: the version is left out, as the stored one may be outdated.
       ...(this.register.wasEverConfirmed() ? { version: this.register.value!.version } : {}),
       rev: this.kernel.rev,
       fresh: this.register.hasReadLease(),
       holdings: [
-        this.holding.describe('edge'),
+        this.requestQueue.describe('edge'),
         ...(this.kernel.has('owner') ? this.kernel.use('owner').queues() : []),
         ...(this.sessions?.queues() ?? []),
       ],
@@ -409,25 +426,26 @@
 }
 
 /**
- * Serves an edge over HTTP/1.1.
+ * Serves an edge over HTTP/1.1 and returns a function that stops it.
  * @example
- * const close = await serveHttp(edge, '127.0.0.1:7001');
+ * const close = await serveHttp(kernel, edge, '127.0.0.1:7001');
  */
-export async function serveHttp(kernel: Kernel, edge: Edge, at: string): Promise<() => Promise<void>> {
-  // Loaded only where it serves: a node that is reached otherwise starts without it.
+export async function serveHttp(kernel: Kernel, edge: Edge, address: string): Promise<() => Promise<void>> {
+  // Imported only when HTTP is served: a node with another transport starts without loading it.
   const { default: fastify } = await import('fastify');
   const app = fastify({ bodyLimit: 2 * 1024 * 1024, keepAliveTimeout: 30_000 });
-  const send = (reply: FastifyReply, r: Reply): unknown => {
-    const ms = r.body.error?.retryAfterMs ?? r.body.rejected?.retryAfterMs;
-    if (ms !== undefined && r.status >= 500) reply.header('retry-after', String(Math.max(1, Math.ceil(ms / 1000))));
-    return reply.code(r.status).send(r.body);
+  const send = (response: FastifyReply, reply: Reply): unknown => {
+    const retryAfterMs = reply.body.error?.retryAfterMs ?? reply.body.rejected?.retryAfterMs;
+    if (retryAfterMs !== undefined && reply.status >= 500)
+      response.header('retry-after', String(Math.max(1, Math.ceil(retryAfterMs / 1000))));
+    return response.code(reply.status).send(reply.body);
   };
   app.setErrorHandler((e: FastifyError, _req, reply) => {
     const status = e.statusCode && e.statusCode < 500 ? e.statusCode : 500;
-    let fault: ErrorDetails = { tag: 'internal', step: 'read', peer: kernel.self, detail: e.message };
-    if (status === 413) fault = { tag: 'too_large', step: 'read', peer: kernel.self, limit: 2 * 1024 * 1024 };
-    else if (status < 500) fault = { tag: 'bad_visit', step: 'read', peer: kernel.self, detail: e.message };
-    return reply.code(status).send({ error: fault });
+    let error: ErrorDetails = { tag: 'internal', step: 'read', peer: kernel.self, detail: e.message };
+    if (status === 413) error = { tag: 'too_large', step: 'read', peer: kernel.self, limit: 2 * 1024 * 1024 };
+    else if (status < 500) error = { tag: 'bad_visit', step: 'read', peer: kernel.self, detail: e.message };
+    return reply.code(status).send({ error });
   });
   app.setNotFoundHandler((req, reply) =>
     reply.code(404).send({
@@ -449,34 +467,34 @@
   app.post('/rpc/Attach', async (req, reply) => {
     await edge.starting();
     let id = '';
-    let over = false;
+    let closed = false;
     const raw = reply.raw;
     const sink: Sink = {
-      write: (frames) => over || raw.write(frameLines(frames)),
+      write: (frames) => closed || raw.write(frameLines(frames)),
       close: () => {
-        if (over) return;
-        over = true;
+        if (closed) return;
+        closed = true;
         raw.end();
-        // A consumer that reads no more would keep the socket and what waits in it for many minutes.
+        // A client that no longer reads would keep the socket and its unsent data for many minutes.
         setTimeout(() => raw.destroy(), PROCESS.closeGraceMs).unref();
       },
     };
-    const head = (): void => {
+    const sendHead = (): void => {
       raw.writeHead(200, { 'content-type': 'application/x-ndjson', 'cache-control': 'no-store' });
       raw.flushHeaders();
     };
-    const r = edge.attach(req.body, sink);
-    if ('status' in r) return send(reply, r);
-    id = r.id;
+    const attached = edge.attach(req.body, sink);
+    if ('status' in attached) return send(reply, attached);
+    id = attached.id;
     reply.hijack();
-    head();
+    sendHead();
     raw.on('drain', () => edge.drained(id));
     raw.on('close', () => {
-      over = true;
+      closed = true;
       edge.gone(id);
     });
     raw.on('error', () => {
-      over = true;
+      closed = true;
       edge.gone(id);
     });
     return reply;
@@ -484,7 +502,7 @@
   app.post('/rpc/:method', async (req, reply) =>
     send(reply, await edge.visit((req.params as { method: string }).method, req.body ?? {})),
   );
-  await app.listen(parseAddress(at));
+  await app.listen(parseAddress(address));
   return async () => {
     app.server.closeAllConnections();
     await app.close();
--- a/packages/data/src/node/node.ts
+++ b/packages/data/src/node/node.ts
@@ -12,18 +12,22 @@
 import type { Edge } from '../gateway/edge.js';
 
 /**
- * The plug-ins of a node by its role and disk.
+ * The plug-ins of a node, by its role, whether it has a disk and what the disk is used for.
  * @example
  * pluginsOf('relay', false); // ['membership', 'register', 'route', 'sessions', 'operators', 'edge']
  */
-export function pluginsOf(role: Role, disk: boolean, uses: DiskUse[] = ['seat', 'copies']): (keyof ServiceRegistry)[] {
+export function pluginsOf(
+  role: Role,
+  hasDisk: boolean,
+  uses: DiskUse[] = ['seat', 'copies'],
+): (keyof ServiceRegistry)[] {
   return [
-    ...(disk ? (['state'] as const) : []),
+    ...(hasDisk ? (['state'] as const) : []),
     'membership',
     'register',
-    ...(disk ? (['departure'] as const) : []),
-    ...(disk && uses.includes('seat') ? (['controller'] as const) : []),
-    ...(disk && uses.includes('copies') ? (['copies', 'owner'] as const) : []),
+    ...(hasDisk ? (['departure'] as const) : []),
+    ...(hasDisk && uses.includes('seat') ? (['controller'] as const) : []),
+    ...(hasDisk && uses.includes('copies') ? (['copies', 'owner'] as const) : []),
     'route',
     ...(role === 'relay' ? (['sessions'] as const) : []),
     'operators',
@@ -32,7 +36,7 @@
 }
 
 /**
- * Boots a node of the fleet in the given surroundings; the programs and the simulator share it.
+ * Starts a node of the fleet on the given host. Used by both the programs and the simulator.
  * @example
  * const { kernel, edge } = await startNode(realHost(config));
  */
@@ -43,17 +47,17 @@
   const register = kernel.use('register');
   kernel.onStop(() => membership.updateOwnState({ condition: 'draining' }));
   const owner = kernel.has('owner') ? kernel.use('owner') : undefined;
-  let illUntil = -Infinity;
-  const condition = (): MemberCondition => {
+  let unhealthyUntil = -Infinity;
+  const currentCondition = (): MemberCondition => {
     if (!register.hasReadLease()) return 'joining';
     if (isInPlannedRestart(register.value, kernel.self)) return 'draining';
-    if (owner?.isIsolated()) illUntil = host.clock.now() + SHARD.unhealthyMs;
-    return host.clock.now() < illUntil ? 'ill' : 'ready';
+    if (owner?.isIsolated()) unhealthyUntil = host.clock.now() + SHARD.unhealthyMs;
+    return host.clock.now() < unhealthyUntil ? 'ill' : 'ready';
   };
-  const say = (): void => {
-    if (kernel.phase === 'running') membership.updateOwnState({ condition: condition() });
+  const publishCondition = (): void => {
+    if (kernel.phase === 'running') membership.updateOwnState({ condition: currentCondition() });
   };
-  kernel.addSubscription(runPeriodically(host.clock, 200, host.random, async () => say()));
-  kernel.addSubscription(register.readLeaseBegun$.subscribe(say));
+  kernel.addSubscription(runPeriodically(host.clock, 200, host.random, async () => publishCondition()));
+  kernel.addSubscription(register.readLeaseBegun$.subscribe(publishCondition));
   return { kernel, edge: kernel.use('edge') };
 }
--- a/packages/data/src/node/run.ts
+++ b/packages/data/src/node/run.ts
@@ -15,23 +15,23 @@
 import { serveHttp, type Edge } from '../gateway/edge.js';
 import { startNode } from './node.js';
 
-/** Exit code of a process that is to be started again for its disk, as after a disk fault. */
+/** Exit code that asks the supervisor for a restart because of the disk, the same as after a disk fault. */
 const DISK_EXIT_CODE = 3;
 
-/** A node's process: where its config comes from, and who it listens to. */
+/** How a process runs a node: where its configuration comes from and where it listens. */
 export interface ProcessPlan {
-  /** Named in messages. */
+  /** The program's name in messages. */
   program: string;
-  /** Reread on a signal and when it changes, if there is one. */
+  /** The configuration file, if there is one: reread on SIGHUP and when it changes. */
   file: string | undefined;
-  /** Throws an Error with one clear line. */
+  /** Reads the configuration; throws an Error with a one-line message. */
   read(): NodeConfig;
-  /** Begins to serve the outside; gives what ends it. */
+  /** Starts to serve clients and operators; returns a function that stops it. */
   listen(kernel: Kernel, edge: Edge, config: NodeConfig): Promise<() => void | Promise<void>>;
 }
 
 /**
- * Runs a node of the product's own programs: config file and flags, HTTP for callers.
+ * Runs a node of the programs harecross-relay and harecross-store: configured by file and flags, serving HTTP.
  * @example
  * await runNode('store', 'store-1.json', {});
  */
@@ -40,47 +40,46 @@
     program: `harecross-${role}`,
     file,
     read: () => readNodeConfig(role, file, flags),
-    listen: (k, edge, config) => serveHttp(k, edge, config.client),
+    listen: (kernel, edge, config) => serveHttp(kernel, edge, config.client),
   });
 }
 
 /**
- * Runs a node as a process: config, signals, rereads, a stop within its time.
+ * Runs a node as a process: reads and rereads the configuration, handles signals, and stops within `stopMs`.
  * @example
  * await runProcess({ program: 'harecross-store', file, read, listen });
  */
-export async function runProcess(plan: ProcessPlan): Promise<void> {
-  const { program, file } = plan;
+export async function runProcess(options: ProcessPlan): Promise<void> {
+  const { program, file } = options;
   let config: NodeConfig;
   try {
-    config = plan.read();
+    config = options.read();
   } catch (e) {
     process.stderr.write(`${program}: ${e instanceof Error ? e.message : String(e)}\n`);
     process.exit(2);
   }
-  const cannot = (e: unknown): never => {
+  const exitCannotStart = (e: unknown): never => {
     process.stderr.write(`${program}: cannot start: ${e instanceof Error ? e.message : String(e)}\n`);
     process.exit(1);
   };
-  // Signals may come before there is anything to say them to: a changed file is read again once we are up, and to leave
-  // is to end.
-  let heard: (() => void) | undefined;
-  let early = false;
-  let leave = (_reason: string, _code?: number): void => process.exit(0);
+  // Signals that arrive before the node is up: SIGHUP rereads the file once it is up, SIGTERM and SIGINT exit at once.
+  let onReload: (() => void) | undefined;
+  let reloadPending = false;
+  let stop = (_reason: string, _code?: number): void => process.exit(0);
   process.on('SIGHUP', () => {
-    if (heard) heard();
-    else early = true;
+    if (onReload) onReload();
+    else reloadPending = true;
   });
-  process.on('SIGTERM', () => leave('SIGTERM'));
-  process.on('SIGINT', () => leave('SIGINT'));
+  process.on('SIGTERM', () => stop('SIGTERM'));
+  process.on('SIGINT', () => stop('SIGINT'));
   let host: Host;
   try {
     host = realHost(config);
   } catch (e) {
-    return cannot(e);
+    return exitCannotStart(e);
   }
-  const { kernel, edge } = await startNode(host).catch(cannot);
-  const closeListeners = await plan.listen(kernel, edge, config).catch((e) => {
+  const { kernel, edge } = await startNode(host).catch(exitCannotStart);
+  const closeListeners = await options.listen(kernel, edge, config).catch((e) => {
     process.stderr.write(
       `${program}: cannot listen at ${config.client}: ${e instanceof Error ? e.message : String(e)}\n`,
     );
@@ -96,11 +95,12 @@
   const reread = (why: string): void => {
     if (!file) return;
     try {
-      const next = plan.read();
-      const fixed = (['peer', 'client', 'data'] as const).filter((f) => next[f] !== config[f]);
-      if (fixed.length) throw new Error(`${file}: ${fixed.join(', ')} cannot change while running`);
+      const next = options.read();
+      const changedFixedFields = (['peer', 'client', 'data'] as const).filter((field) => next[field] !== config[field]);
+      if (changedFixedFields.length)
+        throw new Error(`${file}: ${changedFixedFields.join(', ')} cannot change while running`);
       const changed = JSON.stringify(next) !== JSON.stringify(config);
-      // The host's config object is what every plug-in reads.
+      // Updated in place: every plug-in reads the host's configuration object.
       Object.assign(config, next);
       if (changed) kernel.use('membership').publishOwnRecord();
       host.log.info(changed ? 'config reread' : 'config reread, nothing changed', { why });
@@ -110,19 +110,19 @@
       host.log.warn(`config kept as it was: ${e instanceof Error ? e.message : String(e)}`, { why });
     }
   };
-  heard = () => reread('signal');
-  if (early) heard();
+  onReload = () => reread('signal');
+  if (reloadPending) onReload();
   if (file) {
-    watchFile(file, { interval: PROCESS.rereadMs }, (a, b) => {
-      if (a.mtimeMs !== b.mtimeMs || a.size !== b.size || a.ino !== b.ino) reread('file changed');
+    watchFile(file, { interval: PROCESS.rereadMs }, (now, before) => {
+      if (now.mtimeMs !== before.mtimeMs || now.size !== before.size || now.ino !== before.ino) reread('file changed');
     });
   }
 
-  let leaving = false;
-  leave = (reason, code = 0) => {
-    if (leaving) return;
-    leaving = true;
-    host.log.info(`leaving on ${reason}`);
+  let stopping = false;
+  stop = (reason, code = 0) => {
+    if (stopping) return;
+    stopping = true;
+    host.log.info(`stopping: ${reason}`);
     if (file) unwatchFile(file);
     void withTimeout(realClock, config.stopMs ?? PROCESS.stopMs, kernel.stop()).then(() => {
       void closeListeners();
@@ -132,9 +132,9 @@
   };
   const { data } = config;
   if (data !== undefined && !host.db) {
-    const restartOnceUsable = async (): Promise<void> => {
-      if (isDiskUsable(data)) leave('its disk being usable again', DISK_EXIT_CODE);
+    const exitOnceDiskUsable = async (): Promise<void> => {
+      if (isDiskUsable(data)) stop('the disk is usable again', DISK_EXIT_CODE);
     };
-    kernel.addSubscription(runPeriodically(realClock, PROCESS.diskRetryMs, host.random, restartOnceUsable));
+    kernel.addSubscription(runPeriodically(realClock, PROCESS.diskRetryMs, host.random, exitOnceDiskUsable));
   }
 }
--- a/packages/data/src/routing/route.ts
+++ b/packages/data/src/routing/route.ts
@@ -24,33 +24,36 @@
   }
 }
 
-/** A publish on its way; `dropped` once one before it was given up and will be sent again by its caller. */
-interface Sent {
+/** A publish in flight; `abandoned` once an earlier one of the same sender and topic was rejected and its caller will retry it. */
+interface InFlightPublish {
   seq: number;
-  dropped: boolean;
-  over: Promise<void>;
+  abandoned: boolean;
+  settled: Promise<void>;
 }
 
 /**
- * Finds the owner of a topic's shard, and passes visits to it while keys change hands.
+ * Finds the owner of a topic's shard and sends requests to it, with retries while the shard's ownership changes.
  * @example
  * await k.use('route').publish({ sender: 'desk', topic: 'pay/7', seq: 12, body: 'paid' }, 2_000); // { offset: 41 }
- * await k.use('route').atOwner('pay/7', 'Open', visit, 2_000);
+ * await k.use('route').callOwner('pay/7', 'Open', () => ({ topic: 'pay/7', confirm: true }), 2_000);
  */
 export class Route {
-  private hints = new Map<number, { fence: Fence; peer: string }>();
-  /** Shards whose copies are asked in the next round. */
-  private sought = new Set<number>();
-  private soughtAt = -Infinity;
-  private seeking = false;
-  /** Publishes on their way, by sender and topic. */
-  private sent = new Map<string, Set<Sent>>();
-  /** Publishes that were turned away, by sender and topic, and until when later ones were on their way before that was known. */
-  private turned = new Map<string, { seq: number; until: number }>();
-  /** When a slow owner was last looked at; older times than `REQUEST.slowAgainMs` are dropped with the next. */
-  private doubted = new Map<string, number>();
-  private budget: RetryBudget;
-  /** A shard whose owner changed, as far as we know. */
+  private knownOwners = new Map<number, { fence: Fence; peer: string }>();
+  /** Shards whose replicas are asked for the owner in the next round. */
+  private shardsToLocate = new Set<number>();
+  private lastLocateAt = -Infinity;
+  private locateScheduled = false;
+  /** Publishes in flight, by sender and topic. */
+  private sent = new Map<string, Set<InFlightPublish>>();
+  /**
+   * The lowest rejected sequence number by sender and topic. Until `until`, higher numbers may arrive that the sender sent before it
+   * knew of the rejection; they are rejected too.
+   */
+  private rejections = new Map<string, { seq: number; until: number }>();
+  /** When a slow owner was last probed; times older than `REQUEST.slowAgainMs` are removed at the next probe. */
+  private lastProbeAt = new Map<string, number>();
+  private retryBudget: RetryBudget;
+  /** Emits a shard when this node learns of a new owner. */
   readonly moved$ = new Subject<number>();
 
   constructor(
@@ -58,7 +61,7 @@
     private membership: MembershipTable,
     private register: ConsensusRegister,
   ) {
-    this.budget = new RetryBudget(kernel.host.clock, {
+    this.retryBudget = new RetryBudget(kernel.host.clock, {
       perS: REQUEST.retriesPerS,
       share: REQUEST.retriesShare,
       burst: REQUEST.retryBurstLimit,
@@ -66,287 +69,298 @@
     kernel.addSubscription(
       membership.factChanged$.subscribe((key) => {
         if (!key.startsWith('key/')) return;
-        const r = membership.get(key) as ShardOwnerRecord;
-        this.hint(Number(key.slice(4)), r.fence, r.peer);
+        const record = membership.get(key) as ShardOwnerRecord;
+        this.hint(Number(key.slice(4)), record.fence, record.peer);
       }),
     );
   }
 
+  /** Records a shard's owner unless one with the same or a higher fence is known. */
   private hint(shard: number, fence: Fence, peer: string): void {
-    const old = this.hints.get(shard);
-    if (!peer || (old && old.fence >= fence)) return;
-    this.hints.set(shard, { fence, peer });
+    const known = this.knownOwners.get(shard);
+    if (!peer || (known && known.fence >= fence)) return;
+    this.knownOwners.set(shard, { fence, peer });
     this.moved$.next(shard);
   }
 
+  /** The known owner of a shard, if it is live. */
   owner(shard: number): string | undefined {
-    const h = this.hints.get(shard);
-    return h && this.membership.isLive(h.peer) ? h.peer : undefined;
+    const known = this.knownOwners.get(shard);
+    return known && this.membership.isLive(known.peer) ? known.peer : undefined;
   }
 
-  /** Looks for an owner in the background: one round for all shards that are sought in one moment. */
+  /** Looks for a shard's owner in the background: one round for all shards requested within `REQUEST.ownerRetryMs`. */
   seek(shard: number): void {
-    this.sought.add(shard);
-    if (this.seeking) return;
-    this.seeking = true;
+    this.shardsToLocate.add(shard);
+    if (this.locateScheduled) return;
+    this.locateScheduled = true;
     const { clock } = this.kernel.host;
-    clock.after(Math.max(0, this.soughtAt + REQUEST.ownerRetryMs - clock.now()), () => {
-      this.seeking = false;
-      this.soughtAt = clock.now();
+    clock.after(Math.max(0, this.lastLocateAt + REQUEST.ownerRetryMs - clock.now()), () => {
+      this.locateScheduled = false;
+      this.lastLocateAt = clock.now();
       this.ask();
     });
   }
 
-  /** Asks the copies of all shards sought whom they promised the highest fence. */
+  /** Asks the replicas of each shard to be located for the highest fence that they promised; the fence names the owner. */
   private ask(): void {
     const byPeer = new Map<string, number[]>();
-    for (const shard of this.sought) {
-      for (const d of this.register.value?.shards.get(shard)?.copies ?? []) {
-        const peer = this.register.peerOf(d);
+    for (const shard of this.shardsToLocate) {
+      for (const disk of this.register.value?.shards.get(shard)?.copies ?? []) {
+        const peer = this.register.peerOf(disk);
         if (!peer || !this.membership.isLive(peer)) continue;
-        const l = byPeer.get(peer);
-        if (l) l.push(shard);
+        const peerShards = byPeer.get(peer);
+        if (peerShards) peerShards.push(shard);
         else byPeer.set(peer, [shard]);
       }
     }
-    this.sought.clear();
+    this.shardsToLocate.clear();
     for (const [peer, shards] of byPeer) {
       this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.whoMs).then(
-        (fs) => fs.forEach((f, i) => this.hint(shards[i]!, f, parseFence(f).peer)),
-        () => undefined, // others answer
+        (fences) => fences.forEach((fence, i) => this.hint(shards[i]!, fence, parseFence(fence).peer)),
+        () => undefined, // the other replicas answer
       );
     }
   }
 
-  /** Until a shard is known to have another owner, or for so long. */
-  private news(shard: number, ms: number): Promise<void> {
+  /** Resolves when a new owner of the shard becomes known, at the latest after `ms`. */
+  private waitForOwnerChange(shard: number, ms: number): Promise<void> {
     return new Promise((res) => {
-      const over = (): void => {
+      const finish = (): void => {
         cancel();
         sub.unsubscribe();
         res();
       };
-      const cancel = this.kernel.host.clock.after(ms, over);
+      const cancel = this.kernel.host.clock.after(ms, finish);
       const sub = this.moved$.subscribe((s) => {
-        if (s === shard) over();
+        if (s === shard) finish();
       });
     });
   }
 
-  /** A visit at an owner, given up as soon as another is known to have the key: what became of it is then not known. */
-  private unlessMoved<T>(shard: number, peer: string, step: string, visit: Promise<T>): Promise<T> {
+  /**
+   * The result of a call to an owner. Fails with `timeout`, outcome unknown, once another node is known to own the shard or the link to
+   * the owner broke.
+   */
+  private abandonIfOwnerChanged<T>(shard: number, peer: string, step: string, call: Promise<T>): Promise<T> {
     const { clock } = this.kernel.host;
     return new Promise((res, rej) => {
-      let left = false;
-      const leave = (): void => {
-        if (left) return;
-        left = true;
+      let abandoned = false;
+      const abandon = (): void => {
+        if (abandoned) return;
+        abandoned = true;
         this.kernel.incrementCounter('route.left');
-        // What was answered before the news stands.
+        // An answer that is already on its way still counts.
         clock.after(REQUEST.movedGraceMs, () => rej(new HarecrossError({ tag: 'timeout', step, peer })));
       };
-      const sub = this.moved$.subscribe((s) => {
-        if (s === shard && this.hints.get(shard)?.peer !== peer) leave();
+      const sub = this.moved$.subscribe((changed) => {
+        if (changed === shard && this.knownOwners.get(shard)?.peer !== peer) abandon();
       });
       sub.add(
-        this.kernel.linkBroken$.subscribe((p) => {
-          if (p === peer) leave();
+        this.kernel.linkBroken$.subscribe((brokenPeer) => {
+          if (brokenPeer === peer) abandon();
         }),
       );
-      const slow = clock.after(REQUEST.slowVisitMs, () => this.doubt(peer));
-      visit.then(res, rej).finally(() => {
-        slow();
+      const cancelSlowTimer = clock.after(REQUEST.slowVisitMs, () => this.probeSlowOwner(peer));
+      call.then(res, rej).finally(() => {
+        cancelSlowTimer();
         sub.unsubscribe();
       });
     });
   }
 
-  /** An owner that takes long to answer: others should have its keys soon if it is gone. */
-  private doubt(peer: string): void {
+  /** Probes an owner that is slow to answer: if it has failed, other nodes should take over its shards soon. */
+  private probeSlowOwner(peer: string): void {
     const now = this.kernel.host.clock.now();
-    if (peer === this.kernel.self || now - (this.doubted.get(peer) ?? -Infinity) < REQUEST.slowAgainMs) return;
-    for (const [p, at] of this.doubted) if (now - at >= REQUEST.slowAgainMs) this.doubted.delete(p);
-    this.doubted.set(peer, now);
+    if (peer === this.kernel.self || now - (this.lastProbeAt.get(peer) ?? -Infinity) < REQUEST.slowAgainMs) return;
+    for (const [p, at] of this.lastProbeAt) if (now - at >= REQUEST.slowAgainMs) this.lastProbeAt.delete(p);
+    this.lastProbeAt.set(peer, now);
     this.kernel.incrementCounter('route.slow');
     this.membership.probeNow(peer);
   }
 
   /**
-   * A publish at the owner of its topic. Those of one sender on one topic stay in the order of their numbers, though several are on
-   * their way and some have to be tried again: each try names the highest number before it that is still on its way, and an owner
-   * stores it only behind that one. When one is given up, those behind it are too, so that its caller can bring it again.
+   * Publishes a message at the owner of its topic. Messages of one sender on one topic stay in the order of their sequence numbers even
+   * when several are in flight and some are retried: each attempt names the highest lower number that is still in flight (`after`), and
+   * the owner stores the message only after that one. When one is rejected, the later ones are too, so that the caller can retry it.
    */
   async publish(
-    b: { sender: string; topic: string; seq: number; body: string },
-    patienceMs: number,
+    message: { sender: string; topic: string; seq: number; body: string },
+    timeoutMs: number,
   ): Promise<{ offset: number }> {
-    const k = senderKey(b.topic, b.sender);
-    const turned = this.turned.get(k);
-    if (turned && b.seq <= turned.seq) this.turned.delete(k);
-    else if (turned && this.kernel.host.clock.now() < turned.until) throw notReady(this.kernel, 'Publish');
+    const key = senderKey(message.topic, message.sender);
+    const rejection = this.rejections.get(key);
+    if (rejection && message.seq <= rejection.seq) this.rejections.delete(key);
+    else if (rejection && this.kernel.host.clock.now() < rejection.until) throw notReady(this.kernel, 'Publish');
     const { clock } = this.kernel.host;
-    const until = clock.now() + patienceMs;
-    const all = this.sent.get(k) ?? new Set();
-    this.sent.set(k, all);
-    let over = (): void => {};
-    const mine: Sent = {
-      seq: b.seq,
-      dropped: false,
-      over: new Promise((res) => {
-        over = res;
+    const deadline = clock.now() + timeoutMs;
+    const senderPublishes = this.sent.get(key) ?? new Set();
+    this.sent.set(key, senderPublishes);
+    let settle = (): void => {};
+    const mine: InFlightPublish = {
+      seq: message.seq,
+      abandoned: false,
+      settled: new Promise((res) => {
+        settle = res;
       }),
     };
-    all.add(mine);
+    senderPublishes.add(mine);
     try {
       return await this.atOwner<{ offset: number }>(
-        b.topic,
+        message.topic,
         'Publish',
         () => {
           let after: number | undefined;
-          for (const s of all) if (s.seq < b.seq && (after === undefined || s.seq > after)) after = s.seq;
-          return after === undefined ? b : { ...b, after };
+          for (const other of senderPublishes)
+            if (other.seq < message.seq && (after === undefined || other.seq > after)) after = other.seq;
+          return after === undefined ? message : { ...message, after };
         },
-        patienceMs,
+        timeoutMs,
         mine,
       );
     } catch (e) {
-      const f = toErrorDetails(e, 'Publish', this.kernel.self);
-      switch (f.tag) {
+      const error = toErrorDetails(e, 'Publish', this.kernel.self);
+      switch (error.tag) {
         case 'not_ready':
         case 'overloaded':
         case 'outcome_unknown':
-          // What is so old that nobody knows of it stands in nobody's way.
-          if (f.step === FORGOTTEN) break;
-          this.turnAway(b);
-          // Told in order, so that they come again in order.
+          // Too old for any node to know its outcome; later publishes need not wait for it.
+          if (error.step === FORGOTTEN) break;
+          this.turnAway(message);
+          // Answered in order, so that the caller retries in order.
           await withTimeout(
             clock,
-            Math.max(0, Math.min(REQUEST.inOrderMs, until - clock.now())),
-            Promise.all([...all].filter((s) => s.seq < b.seq).map((s) => s.over)),
+            Math.max(0, Math.min(REQUEST.inOrderMs, deadline - clock.now())),
+            Promise.all([...senderPublishes].filter((other) => other.seq < message.seq).map((other) => other.settled)),
           );
           break;
         default:
-          break; // it will not come again
+          break; // the caller will not retry it
       }
       throw e;
     } finally {
-      all.delete(mine);
-      over();
-      if (!all.size && this.sent.get(k) === all) this.sent.delete(k);
+      senderPublishes.delete(mine);
+      settle();
+      if (!senderPublishes.size && this.sent.get(key) === senderPublishes) this.sent.delete(key);
     }
   }
 
-  /** A publish that is not stored, and that its caller will bring again: what is behind it must not overtake it. */
-  turnAway(b: { sender: string; topic: string; seq: number }): void {
-    const k = senderKey(b.topic, b.sender);
-    for (const s of this.sent.get(k) ?? []) if (s.seq > b.seq) s.dropped = true;
+  /** Records a rejected publish that the caller will retry: later ones of the same sender and topic must not overtake it. */
+  turnAway(message: { sender: string; topic: string; seq: number }): void {
+    const key = senderKey(message.topic, message.sender);
+    for (const other of this.sent.get(key) ?? []) if (other.seq > message.seq) other.abandoned = true;
     const { clock } = this.kernel.host;
-    const x = { seq: Math.min(b.seq, this.turned.get(k)?.seq ?? Infinity), until: clock.now() + REQUEST.onTheWayMs };
-    this.turned.set(k, x);
+    const rejection = {
+      seq: Math.min(message.seq, this.rejections.get(key)?.seq ?? Infinity),
+      until: clock.now() + REQUEST.onTheWayMs,
+    };
+    this.rejections.set(key, rejection);
     clock.after(REQUEST.onTheWayMs, () => {
-      if (this.turned.get(k) === x) this.turned.delete(k);
+      if (this.rejections.get(key) === rejection) this.rejections.delete(key);
     });
   }
 
   /**
-   * One visit at the owner, tried again while the key changes hands. Gives up, at once, when nobody owns the key
-   * or the patience is over. `outcome_unknown` when some try may have been stored.
+   * Calls the owner of a topic's shard, with retries while the ownership changes. Gives up once the shard had no owner for
+   * `REQUEST.noOwnerMs`, the retry budget is used up or `timeoutMs` is over. Fails with `outcome_unknown` when some attempt may have
+   * been stored.
    */
   async atOwner<T>(
     topic: string,
-    m: RepeatablePeerRpc,
+    method: RepeatablePeerRpc,
     body: () => unknown,
-    patienceMs: number,
-    sent?: Sent,
+    timeoutMs: number,
+    inFlight?: InFlightPublish,
   ): Promise<T> {
-    mustBeRepeatable(m);
+    mustBeRepeatable(method);
     const { clock, random } = this.kernel.host;
     const shard = shardOf(topic);
-    const until = clock.now() + patienceMs;
-    let lostSince: number | undefined;
-    let perhaps = false;
+    const deadline = clock.now() + timeoutMs;
+    let noOwnerSince: number | undefined;
+    let maybeStored = false;
     const family = this.register.value && familyOf(this.register.value.config, topic);
     const urgent = family !== undefined && urgencyOf(this.register.value!.config, family) === 'urgent';
-    this.budget.recordFirstAttempt();
-    const again = (): boolean => {
-      const may = this.budget.tryRetry(urgent);
-      if (!may) this.kernel.incrementCounter('route.budget');
-      return may;
+    this.retryBudget.recordFirstAttempt();
+    const mayRetry = (): boolean => {
+      const allowed = this.retryBudget.tryRetry(urgent);
+      if (!allowed) this.kernel.incrementCounter('route.budget');
+      return allowed;
     };
     for (;;) {
-      const left = until - clock.now();
-      if (left <= 0) break;
+      const remainingMs = deadline - clock.now();
+      if (remainingMs <= 0) break;
       const peer = this.owner(shard);
-      // Nobody owned the key for a while: give up now rather than hold the caller to its deadline.
-      if (lostSince !== undefined && clock.now() - lostSince > REQUEST.noOwnerMs) break;
-      if (sent?.dropped) break;
+      // The shard had no owner for a while: fails now instead of keeping the caller waiting deadline its deadline.
+      if (noOwnerSince !== undefined && clock.now() - noOwnerSince > REQUEST.noOwnerMs) break;
+      if (inFlight?.abandoned) break;
       if (!peer) {
-        lostSince ??= clock.now();
+        noOwnerSince ??= clock.now();
         this.seek(shard);
-        await this.news(shard, Math.min(left, REQUEST.ownerRetryMs));
+        await this.waitForOwnerChange(shard, Math.min(remainingMs, REQUEST.ownerRetryMs));
         continue;
       }
-      const { fence } = this.hints.get(shard)!;
-      let f: ErrorDetails;
+      const { fence } = this.knownOwners.get(shard)!;
+      let error: ErrorDetails;
       try {
-        return await this.unlessMoved(
+        return await this.abandonIfOwnerChanged(
           shard,
           peer,
-          m,
-          this.kernel.callAnyPath<T>(peer, m, body(), Math.min(REQUEST.ownerTryMs, left)),
+          method,
+          this.kernel.callAnyPath<T>(peer, method, body(), Math.min(REQUEST.ownerTryMs, remainingMs)),
         );
       } catch (e) {
-        f = toErrorDetails(e, m, peer);
+        error = toErrorDetails(e, method, peer);
       }
-      // Whatever the last try was told, an earlier one may have been stored.
-      const end = (): HarecrossError =>
+      // Whatever the last attempt was answered, an earlier one may have been stored.
+      const finalError = (): HarecrossError =>
         new HarecrossError(
-          perhaps && m === 'Publish'
-            ? { tag: 'outcome_unknown', step: m, peer, retryAfterMs: jitteredRetryMs(random, REQUEST.retryMs) }
-            : f,
+          maybeStored && method === 'Publish'
+            ? { tag: 'outcome_unknown', step: method, peer, retryAfterMs: jitteredRetryMs(random, REQUEST.retryMs) }
+            : error,
         );
-      // An owner answers by a configuration that is at least as new as ours. Where ours still has the topic, we do not say that it is
-      // gone before we have that one too: another owner, as far as we are, would take it back.
-      const newer = f.tag === 'unknown_topic' && familyOf(this.register.value!.config, topic) !== undefined;
-      switch (newer ? 'not_ready' : f.tag) {
+      // An owner's configuration is at least as new as this node's. While the topic is still in this node's, the answer is not yet
+      // `unknown_topic`: an owner that is only as far as this node would contradict it.
+      const ownerHasNewerConfig =
+        error.tag === 'unknown_topic' && familyOf(this.register.value!.config, topic) !== undefined;
+      switch (ownerHasNewerConfig ? 'not_ready' : error.tag) {
         case 'unreachable':
         case 'not_ready':
-          lostSince ??= clock.now();
+          noOwnerSince ??= clock.now();
           break;
         case 'not_owner':
-          lostSince ??= clock.now();
-          if (f.tag === 'not_owner' && f.hint) this.hint(shard, f.hint, parseFence(f.hint).peer);
+          noOwnerSince ??= clock.now();
+          if (error.tag === 'not_owner' && error.hint) this.hint(shard, error.hint, parseFence(error.hint).peer);
           break;
         case 'fenced':
-          if (f.tag === 'fenced') this.hint(shard, f.fence, parseFence(f.fence).peer);
-          lostSince = undefined;
-          perhaps = true;
+          if (error.tag === 'fenced') this.hint(shard, error.fence, parseFence(error.fence).peer);
+          noOwnerSince = undefined;
+          maybeStored = true;
           break;
         case 'timeout':
         case 'cut':
         case 'disk_ill':
         case 'internal':
-          lostSince = undefined;
-          perhaps = true;
+          noOwnerSince = undefined;
+          maybeStored = true;
           break;
         case 'stale_seq':
-          // Final, also for earlier tries: a higher number is committed, and this one is not in the history.
-          throw new HarecrossError(f);
+          // Final for earlier attempts too: a higher number is committed, and this one is not in the history.
+          throw new HarecrossError(error);
         default:
-          throw end();
+          throw finalError();
       }
-      if (!again()) break;
-      // Another is known to have the key: there at once.
-      if (this.hints.get(shard)!.fence !== fence) continue;
-      if (until - clock.now() <= REQUEST.ownerRetryMs) break;
-      if (!newer) this.seek(shard);
-      await this.news(shard, REQUEST.ownerRetryMs);
+      if (!mayRetry()) break;
+      // A new owner is already known: retries there without a delay.
+      if (this.knownOwners.get(shard)!.fence !== fence) continue;
+      if (deadline - clock.now() <= REQUEST.ownerRetryMs) break;
+      if (!ownerHasNewerConfig) this.seek(shard);
+      await this.waitForOwnerChange(shard, REQUEST.ownerRetryMs);
     }
     const retryAfterMs = jitteredRetryMs(random, REQUEST.retryMs);
     throw new HarecrossError(
-      perhaps
-        ? { tag: 'outcome_unknown', step: m, peer: this.kernel.self, retryAfterMs }
-        : { tag: 'not_ready', step: m, peer: this.kernel.self, retryAfterMs },
+      maybeStored
+        ? { tag: 'outcome_unknown', step: method, peer: this.kernel.self, retryAfterMs }
+        : { tag: 'not_ready', step: method, peer: this.kernel.self, retryAfterMs },
     );
   }
 }
