--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -15,7 +15,7 @@
 } from '@harecross/kernel';
 import {
   isInPlannedRestart,
-  notReady,
+  notReadyError,
   type MembershipTable,
   type Operators,
   type ConsensusRegister,
@@ -23,7 +23,7 @@
 import { Rpcs, configFaults, familyOf, isUrgent, visitFault, type Method, type Visit } from '@harecross/schema';
 import type { FastifyError, FastifyReply } from 'fastify';
 import { firstValueFrom } from 'rxjs';
-import { frameLines, type Sink } from '../sessions/outgoing.js';
+import { serializeFrames, type Sink } from '../sessions/outgoing.js';
 import type { Route } from '../routing/route.js';
 import type { Sessions } from '../sessions/sessions.js';
 
@@ -143,7 +143,7 @@
       const fault = visitFault('Attach', body);
       if (fault) throw this.badRequest('Attach', fault);
       if (!this.sessions) throw this.badRequest('Attach', 'this node is a store and accepts no client connections');
-      if (!this.acceptsAttach()) throw notReady(this.kernel, 'Attach');
+      if (!this.acceptsAttach()) throw notReadyError(this.kernel, 'Attach');
       const request = body as Visit<'Attach'>;
       return { id: this.sessions.attach(request.consumer, request.pingS, sink) };
     } catch (e) {
@@ -167,12 +167,12 @@
     return withTimeout(
       this.kernel.host.clock,
       remainingMs,
-      firstValueFrom(this.register.readLeaseBegun$, { defaultValue: undefined }),
+      firstValueFrom(this.register.readLeaseStarted$, { defaultValue: undefined }),
     ).then(() => undefined);
   }
   /** Records that the client is alive; called for anything that arrives on its connection. */
   heard(id: string): void {
-    this.sessions?.sign(id);
+    this.sessions?.recordActivity(id);
   }
   /** Ends the session of a connection that was closed. */
   gone(id: string): void {
@@ -193,7 +193,7 @@
     const method = m as Method;
     const fault = visitFault(method, body);
     if (fault) return this.errorReply(m, this.badRequest(m, fault));
-    if (this.kernel.phase === 'stopped') return this.errorReply(m, notReady(this.kernel, m));
+    if (this.kernel.phase === 'stopped') return this.errorReply(m, notReadyError(this.kernel, m));
     this.kernel.incrementCounter(`visit.${m}`);
     const request = { m: method, body } as Request;
     const reply = this.requestQueue.offer(request, this.urgent(request));
@@ -296,10 +296,10 @@
   private async answer({ m, body }: Request): Promise<unknown> {
     switch (m) {
       case 'Probe':
-        return { sent: this.conns(m).heard(body.conn, m).sent };
+        return { sent: this.conns(m).recordActivityOrThrow(body.conn, m).sent };
       case 'Detach': {
         const sessions = this.conns(m);
-        sessions.heard(body.conn, m);
+        sessions.recordActivityOrThrow(body.conn, m);
         sessions.gone(body.conn);
         return {};
       }
@@ -329,7 +329,7 @@
       case 'ReadConfig':
         return this.operators.readConfig();
       case 'EmptyDisk':
-        return this.operators.setDisk(body.disk, 'emptying', m, body.changeId);
+        return this.operators.setDiskState(body.disk, 'emptying', m, body.changeId);
       case 'EmptyStatus':
         return this.operators.emptyStatus(body.disk);
       case 'PlanMoves':
@@ -337,7 +337,7 @@
       case 'Moves':
         return this.operators.moves();
       case 'CancelEmpty':
-        return this.operators.setDisk(body.disk, 'active', m, body.changeId);
+        return this.operators.setDiskState(body.disk, 'active', m, body.changeId);
       case 'Fleet':
         return this.fleet();
       case 'Node':
@@ -350,7 +350,7 @@
   }
 
   private requireReadLease(m: string): void {
-    if (!this.register.hasReadLease()) throw notReady(this.kernel, m);
+    if (!this.register.hasReadLease()) throw notReadyError(this.kernel, m);
   }
   private conns(m: string): Sessions {
     if (!this.sessions) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: this.kernel.self });
@@ -413,13 +413,13 @@
       holdings: [
         this.requestQueue.describe('edge'),
         ...(this.kernel.has('owner') ? this.kernel.use('owner').queues() : []),
-        ...(this.sessions?.queues() ?? []),
+        ...(this.sessions?.queueInfos() ?? []),
       ],
       counters: Object.fromEntries([...this.kernel.counters].sort(([a], [b]) => (a < b ? -1 : 1))),
       keys: this.kernel.has('owner') ? this.kernel.use('owner').ownedShards() : [],
-      copies: this.kernel.has('copies') ? this.kernel.use('copies').table() : [],
-      interest: this.kernel.has('owner') ? this.kernel.use('owner').interestTable() : [],
-      holds: this.sessions?.table() ?? [],
+      copies: this.kernel.has('copies') ? this.kernel.use('copies').describeReplicas() : [],
+      interest: this.kernel.has('owner') ? this.kernel.use('owner').describeInterests() : [],
+      holds: this.sessions?.listLeases() ?? [],
       conns: this.sessions?.size ?? 0,
     };
   }
@@ -470,7 +470,7 @@
     let closed = false;
     const raw = reply.raw;
     const sink: Sink = {
-      write: (frames) => closed || raw.write(frameLines(frames)),
+      write: (frames) => closed || raw.write(serializeFrames(frames)),
       close: () => {
         if (closed) return;
         closed = true;
--- a/packages/data/src/interest/interest-table.ts
+++ b/packages/data/src/interest/interest-table.ts
@@ -93,7 +93,7 @@
     private membership: MembershipTable,
   ) {}
 
-  table(): { relay: string; topics: number }[] {
+  countTopicsByRelay(): { relay: string; topics: number }[] {
     return [...this.interest].map(([relay, i]) => ({ relay, topics: i.topics.size }));
   }
   /** Frames held for the relay that has most of them. */
@@ -103,7 +103,7 @@
   }
 
   /** Ended interest is kept for a while so that a late older revision is still known to be old. */
-  trim(): void {
+  removeExpired(): void {
     const past = this.kernel.host.clock.now() - SESSION.leaseTtlMs;
     for (const [relay, r] of this.interest) {
       for (const [t, i] of r.topics) if (i.deadline < past) r.topics.delete(t);
--- a/packages/data/src/node/node.ts
+++ b/packages/data/src/node/node.ts
@@ -58,6 +58,6 @@
     if (kernel.phase === 'running') membership.updateOwnState({ condition: currentCondition() });
   };
   kernel.addSubscription(runPeriodically(host.clock, 200, host.random, async () => publishCondition()));
-  kernel.addSubscription(register.readLeaseBegun$.subscribe(publishCondition));
+  kernel.addSubscription(register.readLeaseStarted$.subscribe(publishCondition));
   return { kernel, edge: kernel.use('edge') };
 }
--- a/packages/data/src/ownership/shard-owner.ts
+++ b/packages/data/src/ownership/shard-owner.ts
@@ -105,8 +105,8 @@
     return [this.publishes.queueInfo(), this.interests.queueInfo()];
   }
 
-  interestTable(): { relay: string; topics: number }[] {
-    return this.interests.table();
+  describeInterests(): { relay: string; topics: number }[] {
+    return this.interests.countTopicsByRelay();
   }
 
   /** Whether we own shards whose replicas we can't reach, for so long that others should have them: their links may be whole. */
@@ -132,7 +132,7 @@
   }
 
   private trim(): void {
-    this.interests.trim();
+    this.interests.removeExpired();
     this.ownershipCheck.forgetGoneMembers();
     this.trimmer.trim();
   }
--- a/packages/data/src/routing/route.ts
+++ b/packages/data/src/routing/route.ts
@@ -12,11 +12,11 @@
   type ErrorDetails,
   type RepeatablePeerRpc,
 } from '@harecross/kernel';
-import { notReady, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
+import { notReadyError, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
 import { familyOf, urgencyOf } from '@harecross/schema';
 import { parseFence, senderKey, type Fence } from '@harecross/state';
 import { Subject } from 'rxjs';
-import { FORGOTTEN } from '../ownership/shard-state.js';
+import { FORGOTTEN_STEP } from '../ownership/shard-state.js';
 
 declare module '@harecross/kernel' {
   interface ServiceRegistry {
@@ -191,7 +191,7 @@
     const key = senderKey(message.topic, message.sender);
     const rejection = this.rejections.get(key);
     if (rejection && message.seq <= rejection.seq) this.rejections.delete(key);
-    else if (rejection && this.kernel.host.clock.now() < rejection.until) throw notReady(this.kernel, 'Publish');
+    else if (rejection && this.kernel.host.clock.now() < rejection.until) throw notReadyError(this.kernel, 'Publish');
     const { clock } = this.kernel.host;
     const deadline = clock.now() + timeoutMs;
     const senderPublishes = this.sent.get(key) ?? new Set();
@@ -225,7 +225,7 @@
         case 'overloaded':
         case 'outcome_unknown':
           // Too old for any node to know its outcome; later publishes need not wait for it.
-          if (error.step === FORGOTTEN) break;
+          if (error.step === FORGOTTEN_STEP) break;
           this.turnAway(message);
           // Answered in order, so that the caller retries in order.
           await withTimeout(
@@ -290,7 +290,7 @@
       const remainingMs = deadline - clock.now();
       if (remainingMs <= 0) break;
       const peer = this.owner(shard);
-      // The shard had no owner for a while: fails now instead of keeping the caller waiting deadline its deadline.
+      // The shard had no owner for a while: fails now instead of keeping the caller waiting until its deadline.
       if (noOwnerSince !== undefined && clock.now() - noOwnerSince > REQUEST.noOwnerMs) break;
       if (inFlight?.abandoned) break;
       if (!peer) {
--- a/packages/data/src/sessions/outgoing.ts
+++ b/packages/data/src/sessions/outgoing.ts
@@ -40,7 +40,7 @@
  * @example
  * raw.write(frameLines([{ t: 'GOAWAY', retryAfterMs: 0 }]));
  */
-export function frameLines(frames: Outgoing[]): string {
+export function serializeFrames(frames: Outgoing[]): string {
   let out = '';
   for (const frame of frames) {
     if (frame.t === 'DELIVER') out += `{"t":"DELIVER","sub":"${frame.sub}",${messageLine(frame.msg)}\n`;
--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -208,14 +208,14 @@
   }
 
   /** The session of an id; also the sign of life that renews its leases. Throws `unknown_conn`. */
-  heard(id: string, step: string): Session {
-    const session = this.sign(id);
+  recordActivityOrThrow(id: string, step: string): Session {
+    const session = this.recordActivity(id);
     if (!session) throw new HarecrossError({ tag: 'unknown_conn', step, peer: this.kernel.self });
     return session;
   }
 
   /** A sign of life of a session, if it is there. */
-  sign(id: string): Session | undefined {
+  recordActivity(id: string): Session | undefined {
     const session = this.byId.get(id);
     if (!session || session.state !== 'open') return undefined;
     const now = this.kernel.host.clock.now();
@@ -229,7 +229,7 @@
    * subscription with the same beginning: frames behind that may still be on their way.
    */
   async subscribe(id: string, topic: string, cursor: number | undefined): Promise<{ sub: string; next: number }> {
-    const session = this.heard(id, 'Subscribe');
+    const session = this.recordActivityOrThrow(id, 'Subscribe');
     const known = session.subscriptions.get(topic);
     if (known) {
       await known.opened;
@@ -316,7 +316,7 @@
 
   /** Ends a subscription; says whether there was one. */
   unsubscribe(id: string, topic: string): boolean {
-    const subscription = this.heard(id, 'Unsubscribe').subscriptions.get(topic);
+    const subscription = this.recordActivityOrThrow(id, 'Unsubscribe').subscriptions.get(topic);
     if (!subscription) return false;
     this.delivery.leave(subscription, 'unsubscribed');
     return true;
@@ -373,12 +373,12 @@
   }
 
   /** Bytes held for the session that has most of them, in each lane. */
-  queues(): QueueInfo[] {
+  queueInfos(): QueueInfo[] {
     return this.delivery.queues(this.byId.values());
   }
 
   /** The leases by topic, as an operator sees them. */
-  table(): ReturnType<LeaseTable['table']> {
+  listLeases(): ReturnType<LeaseTable['table']> {
     return this.leases.table();
   }
 }
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -1,5 +1,5 @@
 import '@harecross/control';
-import { frameLines, startNode, type Edge } from '@harecross/data';
+import { serializeFrames, startNode, type Edge } from '@harecross/data';
 import {
   SyncedDatabase,
   HarecrossError,
@@ -684,7 +684,7 @@
           let backlog = 0;
           const r = to.edge!.attach(body, {
             write: (frames) => {
-              const s = frameLines(frames);
+              const s = serializeFrames(frames);
               if (rate !== undefined) {
                 backlog += s.length;
                 last = Math.max(last, this.now) + (s.length / rate) * 1000;
