--- a/packages/trial/src/test/full-disk.test.ts
+++ b/packages/trial/src/test/full-disk.test.ts
@@ -144,5 +144,5 @@
   t.regex(relay.said(), /the disk cannot be used, going on as a relay without copies until it can/);
   unblock(blocked);
   t.is(await relay.ended, 3);
-  t.regex(relay.said(), /leaving on its disk being usable again/);
+  t.regex(relay.said(), /stopping: the disk is usable again/);
 });
--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -584,7 +584,7 @@
     seeds: [1, 2],
     rules: ['come_back'],
     patch: {
-      failed: (old) =>
+      errorReply: (old) =>
         function (this: any, m: string, e: any) {
           const r = old.call(this, m, e);
           for (const x of [r.body.error, r.body.rejected]) if (x?.retryAfterMs) x.retryAfterMs = 500;
