--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -24,7 +24,7 @@
 import type { FastifyError, FastifyReply } from 'fastify';
 import { firstValueFrom } from 'rxjs';
 import { serializeFrames, type Sink } from '../sessions/outgoing.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import type { Sessions } from '../sessions/sessions.js';
 
 declare module '@harecross/kernel' {
@@ -105,19 +105,19 @@
     private kernel: Kernel,
     private membership: MembershipTable,
     private register: ConsensusRegister,
-    private route: Route,
+    private route: ShardRouter,
     private operators: Operators,
   ) {
     this.requestQueue = new BoundedQueue(REQUEST.gatewayQueueLimit, REQUEST.gatewayQueueLimit, (request) =>
       this.dispatch(request),
     );
     if (kernel.has('sessions')) this.sessions = kernel.use('sessions');
-    kernel.on('Pass', (request: { m: string; body: unknown }) => this.visit(request.m, request.body));
+    kernel.on('Pass', (request: { m: string; body: unknown }) => this.handle(request.m, request.body));
   }
 
   /** Whether this node takes new client connections. */
   ready(): boolean {
-    return this.serving() && this.sessions !== undefined;
+    return this.isServing() && this.sessions !== undefined;
   }
 
   /** Whether an Attach is accepted: also while not `ready`, as the session can then be redirected, which is better than a refusal. */
@@ -129,7 +129,7 @@
   }
 
   /** Whether this node serves requests. True for a store too, although it takes no client connections. */
-  serving(): boolean {
+  isServing(): boolean {
     return (
       this.kernel.phase === 'running' &&
       this.register.hasReadLease() &&
@@ -154,7 +154,7 @@
    * Resolves once this node can accept an Attach, at the latest `PROCESS.startWaitMs` after its start: for a node that has just started,
    * a short wait is better for the client than a refusal. Undefined when there is nothing to wait for.
    */
-  starting(): Promise<void> | undefined {
+  whenServing(): Promise<void> | undefined {
     const remainingMs = this.kernel.startedAt + PROCESS.startWaitMs - this.kernel.host.clock.now();
     if (
       this.acceptsAttach() ||
@@ -171,11 +171,11 @@
     ).then(() => undefined);
   }
   /** Records that the client is alive; called for anything that arrives on its connection. */
-  heard(id: string): void {
+  recordActivity(id: string): void {
     this.sessions?.recordActivity(id);
   }
   /** Ends the session of a connection that was closed. */
-  gone(id: string): void {
+  disconnected(id: string): void {
     this.sessions?.gone(id);
   }
   /** Continues delivery once the connection's write buffer has drained. */
@@ -184,7 +184,7 @@
   }
 
   /** Handles any request but Attach. Never rejects: an error is a reply. */
-  async visit(m: string, body: unknown): Promise<Reply> {
+  async handle(m: string, body: unknown): Promise<Reply> {
     if (!Object.hasOwn(Rpcs, m) || m === 'Attach')
       return this.errorReply(
         m,
@@ -196,8 +196,8 @@
     if (this.kernel.phase === 'stopped') return this.errorReply(m, notReadyError(this.kernel, m));
     this.kernel.incrementCounter(`visit.${m}`);
     const request = { m: method, body } as Request;
-    const reply = this.requestQueue.offer(request, this.urgent(request));
-    if (!reply && m === 'Publish') this.route.turnAway(body as Visit<'Publish'>);
+    const reply = this.requestQueue.offer(request, this.isUrgentRequest(request));
+    if (!reply && m === 'Publish') this.route.recordRejection(body as Visit<'Publish'>);
     if (!reply)
       return this.errorReply(
         m,
@@ -211,7 +211,7 @@
     return reply;
   }
 
-  private urgent({ m, body }: Request): boolean {
+  private isUrgentRequest({ m, body }: Request): boolean {
     switch (m) {
       case 'Publish':
         return this.register.value !== undefined && isUrgent(this.register.value.config, body.topic);
@@ -296,20 +296,20 @@
   private async answer({ m, body }: Request): Promise<unknown> {
     switch (m) {
       case 'Probe':
-        return { sent: this.conns(m).recordActivityOrThrow(body.conn, m).sent };
+        return { sent: this.requireSessions(m).recordActivityOrThrow(body.conn, m).sent };
       case 'Detach': {
-        const sessions = this.conns(m);
+        const sessions = this.requireSessions(m);
         sessions.recordActivityOrThrow(body.conn, m);
         sessions.gone(body.conn);
         return {};
       }
       case 'Subscribe':
         this.requireReadLease(m);
-        return this.conns(m).subscribe(body.conn, body.topic, body.cursor);
+        return this.requireSessions(m).subscribe(body.conn, body.topic, body.cursor);
       case 'Unsubscribe':
-        return { left: this.conns(m).unsubscribe(body.conn, body.topic) };
+        return { left: this.requireSessions(m).unsubscribe(body.conn, body.topic) };
       case 'Publish': {
-        if (!this.register.hasReadLease()) this.route.turnAway(body);
+        if (!this.register.hasReadLease()) this.route.recordRejection(body);
         this.requireReadLease(m);
         const family = this.requireFamily(m, body.topic);
         const limit = family.limits?.bodyBytes ?? REQUEST.bodyBytes;
@@ -320,7 +320,7 @@
       case 'Listeners': {
         this.requireReadLease(m);
         const family = this.requireFamily(m, body.topic);
-        return this.route.atOwner(body.topic, 'Count', () => ({ topic: body.topic }), family.patienceMs);
+        return this.route.callOwner(body.topic, 'Count', () => ({ topic: body.topic }), family.patienceMs);
       }
       case 'SubmitConfig':
         return this.operators.submit(body);
@@ -339,9 +339,9 @@
       case 'CancelEmpty':
         return this.operators.setDiskState(body.disk, 'active', m, body.changeId);
       case 'Fleet':
-        return this.fleet();
+        return this.describeFleet();
       case 'Node':
-        return this.node();
+        return this.describeNode();
       case 'Attach':
         throw this.badRequest(m, 'Attach is a stream');
       default:
@@ -352,7 +352,7 @@
   private requireReadLease(m: string): void {
     if (!this.register.hasReadLease()) throw notReadyError(this.kernel, m);
   }
-  private conns(m: string): Sessions {
+  private requireSessions(m: string): Sessions {
     if (!this.sessions) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: this.kernel.self });
     return this.sessions;
   }
@@ -362,7 +362,7 @@
     return family;
   }
 
-  private fleet(): unknown {
+  private describeFleet(): unknown {
     const value = this.register.value;
     const now = this.kernel.host.clock.now();
     return {
@@ -401,7 +401,7 @@
     };
   }
 
-  private node(): unknown {
+  private describeNode(): unknown {
     return {
       peer: this.kernel.self,
       inst: this.kernel.instanceId,
@@ -458,14 +458,14 @@
     }),
   );
   app.get('/condition', (_req, reply) => {
-    if (edge.serving()) return reply.code(200).send({ condition: 'ready' });
+    if (edge.isServing()) return reply.code(200).send({ condition: 'ready' });
     let condition: string = kernel.phase;
     if (kernel.phase === 'running')
       condition = isInPlannedRestart(kernel.use('register').value, kernel.self) ? 'away' : 'joining';
     return reply.code(503).send({ condition });
   });
   app.post('/rpc/Attach', async (req, reply) => {
-    await edge.starting();
+    await edge.whenServing();
     let id = '';
     let closed = false;
     const raw = reply.raw;
@@ -491,16 +491,16 @@
     raw.on('drain', () => edge.drained(id));
     raw.on('close', () => {
       closed = true;
-      edge.gone(id);
+      edge.disconnected(id);
     });
     raw.on('error', () => {
       closed = true;
-      edge.gone(id);
+      edge.disconnected(id);
     });
     return reply;
   });
   app.post('/rpc/:method', async (req, reply) =>
-    send(reply, await edge.visit((req.params as { method: string }).method, req.body ?? {})),
+    send(reply, await edge.handle((req.params as { method: string }).method, req.body ?? {})),
   );
   await app.listen(parseAddress(address));
   return async () => {
--- a/packages/data/src/node/run.ts
+++ b/packages/data/src/node/run.ts
@@ -19,7 +19,7 @@
 const DISK_EXIT_CODE = 3;
 
 /** How a process runs a node: where its configuration comes from and where it listens. */
-export interface ProcessPlan {
+export interface ProcessOptions {
   /** The program's name in messages. */
   program: string;
   /** The configuration file, if there is one: reread on SIGHUP and when it changes. */
@@ -49,7 +49,7 @@
  * @example
  * await runProcess({ program: 'harecross-store', file, read, listen });
  */
-export async function runProcess(options: ProcessPlan): Promise<void> {
+export async function runProcess(options: ProcessOptions): Promise<void> {
   const { program, file } = options;
   let config: NodeConfig;
   try {
--- a/packages/data/src/routing/route.ts
+++ b/packages/data/src/routing/shard-router.ts
@@ -20,7 +20,7 @@
 
 declare module '@harecross/kernel' {
   interface ServiceRegistry {
-    route: Route;
+    route: ShardRouter;
   }
 }
 
@@ -37,14 +37,14 @@
  * await k.use('route').publish({ sender: 'desk', topic: 'pay/7', seq: 12, body: 'paid' }, 2_000); // { offset: 41 }
  * await k.use('route').callOwner('pay/7', 'Open', () => ({ topic: 'pay/7', confirm: true }), 2_000);
  */
-export class Route {
+export class ShardRouter {
   private knownOwners = new Map<number, { fence: Fence; peer: string }>();
   /** Shards whose replicas are asked for the owner in the next round. */
   private shardsToLocate = new Set<number>();
   private lastLocateAt = -Infinity;
   private locateScheduled = false;
   /** Publishes in flight, by sender and topic. */
-  private sent = new Map<string, Set<InFlightPublish>>();
+  private inFlight = new Map<string, Set<InFlightPublish>>();
   /**
    * The lowest rejected sequence number by sender and topic. Until `until`, higher numbers may arrive that the sender sent before it
    * knew of the rejection; they are rejected too.
@@ -54,7 +54,7 @@
   private lastProbeAt = new Map<string, number>();
   private retryBudget: RetryBudget;
   /** Emits a shard when this node learns of a new owner. */
-  readonly moved$ = new Subject<number>();
+  readonly ownerChanged$ = new Subject<number>();
 
   constructor(
     private kernel: Kernel,
@@ -70,27 +70,27 @@
       membership.factChanged$.subscribe((key) => {
         if (!key.startsWith('key/')) return;
         const record = membership.get(key) as ShardOwnerRecord;
-        this.hint(Number(key.slice(4)), record.fence, record.peer);
+        this.learnOwner(Number(key.slice(4)), record.fence, record.peer);
       }),
     );
   }
 
   /** Records a shard's owner unless one with the same or a higher fence is known. */
-  private hint(shard: number, fence: Fence, peer: string): void {
+  private learnOwner(shard: number, fence: Fence, peer: string): void {
     const known = this.knownOwners.get(shard);
     if (!peer || (known && known.fence >= fence)) return;
     this.knownOwners.set(shard, { fence, peer });
-    this.moved$.next(shard);
+    this.ownerChanged$.next(shard);
   }
 
   /** The known owner of a shard, if it is live. */
-  owner(shard: number): string | undefined {
+  ownerOf(shard: number): string | undefined {
     const known = this.knownOwners.get(shard);
     return known && this.membership.isLive(known.peer) ? known.peer : undefined;
   }
 
   /** Looks for a shard's owner in the background: one round for all shards requested within `REQUEST.ownerRetryMs`. */
-  seek(shard: number): void {
+  locateOwner(shard: number): void {
     this.shardsToLocate.add(shard);
     if (this.locateScheduled) return;
     this.locateScheduled = true;
@@ -98,12 +98,12 @@
     clock.after(Math.max(0, this.lastLocateAt + REQUEST.ownerRetryMs - clock.now()), () => {
       this.locateScheduled = false;
       this.lastLocateAt = clock.now();
-      this.ask();
+      this.askReplicas();
     });
   }
 
   /** Asks the replicas of each shard to be located for the highest fence that they promised; the fence names the owner. */
-  private ask(): void {
+  private askReplicas(): void {
     const byPeer = new Map<string, number[]>();
     for (const shard of this.shardsToLocate) {
       for (const disk of this.register.value?.shards.get(shard)?.copies ?? []) {
@@ -117,7 +117,7 @@
     this.shardsToLocate.clear();
     for (const [peer, shards] of byPeer) {
       this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.whoMs).then(
-        (fences) => fences.forEach((fence, i) => this.hint(shards[i]!, fence, parseFence(fence).peer)),
+        (fences) => fences.forEach((fence, i) => this.learnOwner(shards[i]!, fence, parseFence(fence).peer)),
         () => undefined, // the other replicas answer
       );
     }
@@ -132,7 +132,7 @@
         res();
       };
       const cancel = this.kernel.host.clock.after(ms, finish);
-      const sub = this.moved$.subscribe((s) => {
+      const sub = this.ownerChanged$.subscribe((s) => {
         if (s === shard) finish();
       });
     });
@@ -153,7 +153,7 @@
         // An answer that is already on its way still counts.
         clock.after(REQUEST.movedGraceMs, () => rej(new HarecrossError({ tag: 'timeout', step, peer })));
       };
-      const sub = this.moved$.subscribe((changed) => {
+      const sub = this.ownerChanged$.subscribe((changed) => {
         if (changed === shard && this.knownOwners.get(shard)?.peer !== peer) abandon();
       });
       sub.add(
@@ -194,8 +194,8 @@
     else if (rejection && this.kernel.host.clock.now() < rejection.until) throw notReadyError(this.kernel, 'Publish');
     const { clock } = this.kernel.host;
     const deadline = clock.now() + timeoutMs;
-    const senderPublishes = this.sent.get(key) ?? new Set();
-    this.sent.set(key, senderPublishes);
+    const senderPublishes = this.inFlight.get(key) ?? new Set();
+    this.inFlight.set(key, senderPublishes);
     let settle = (): void => {};
     const mine: InFlightPublish = {
       seq: message.seq,
@@ -206,7 +206,7 @@
     };
     senderPublishes.add(mine);
     try {
-      return await this.atOwner<{ offset: number }>(
+      return await this.callOwner<{ offset: number }>(
         message.topic,
         'Publish',
         () => {
@@ -226,7 +226,7 @@
         case 'outcome_unknown':
           // Too old for any node to know its outcome; later publishes need not wait for it.
           if (error.step === FORGOTTEN_STEP) break;
-          this.turnAway(message);
+          this.recordRejection(message);
           // Answered in order, so that the caller retries in order.
           await withTimeout(
             clock,
@@ -241,14 +241,14 @@
     } finally {
       senderPublishes.delete(mine);
       settle();
-      if (!senderPublishes.size && this.sent.get(key) === senderPublishes) this.sent.delete(key);
+      if (!senderPublishes.size && this.inFlight.get(key) === senderPublishes) this.inFlight.delete(key);
     }
   }
 
   /** Records a rejected publish that the caller will retry: later ones of the same sender and topic must not overtake it. */
-  turnAway(message: { sender: string; topic: string; seq: number }): void {
+  recordRejection(message: { sender: string; topic: string; seq: number }): void {
     const key = senderKey(message.topic, message.sender);
-    for (const other of this.sent.get(key) ?? []) if (other.seq > message.seq) other.abandoned = true;
+    for (const other of this.inFlight.get(key) ?? []) if (other.seq > message.seq) other.abandoned = true;
     const { clock } = this.kernel.host;
     const rejection = {
       seq: Math.min(message.seq, this.rejections.get(key)?.seq ?? Infinity),
@@ -265,7 +265,7 @@
    * `REQUEST.noOwnerMs`, the retry budget is used up or `timeoutMs` is over. Fails with `outcome_unknown` when some attempt may have
    * been stored.
    */
-  async atOwner<T>(
+  async callOwner<T>(
     topic: string,
     method: RepeatablePeerRpc,
     body: () => unknown,
@@ -289,13 +289,13 @@
     for (;;) {
       const remainingMs = deadline - clock.now();
       if (remainingMs <= 0) break;
-      const peer = this.owner(shard);
+      const peer = this.ownerOf(shard);
       // The shard had no owner for a while: fails now instead of keeping the caller waiting until its deadline.
       if (noOwnerSince !== undefined && clock.now() - noOwnerSince > REQUEST.noOwnerMs) break;
       if (inFlight?.abandoned) break;
       if (!peer) {
         noOwnerSince ??= clock.now();
-        this.seek(shard);
+        this.locateOwner(shard);
         await this.waitForOwnerChange(shard, Math.min(remainingMs, REQUEST.ownerRetryMs));
         continue;
       }
@@ -329,10 +329,10 @@
           break;
         case 'not_owner':
           noOwnerSince ??= clock.now();
-          if (error.tag === 'not_owner' && error.hint) this.hint(shard, error.hint, parseFence(error.hint).peer);
+          if (error.tag === 'not_owner' && error.hint) this.learnOwner(shard, error.hint, parseFence(error.hint).peer);
           break;
         case 'fenced':
-          if (error.tag === 'fenced') this.hint(shard, error.fence, parseFence(error.fence).peer);
+          if (error.tag === 'fenced') this.learnOwner(shard, error.fence, parseFence(error.fence).peer);
           noOwnerSince = undefined;
           maybeStored = true;
           break;
@@ -353,7 +353,7 @@
       // A new owner is already known: retries there without a delay.
       if (this.knownOwners.get(shard)!.fence !== fence) continue;
       if (deadline - clock.now() <= REQUEST.ownerRetryMs) break;
-      if (!ownerHasNewerConfig) this.seek(shard);
+      if (!ownerHasNewerConfig) this.locateOwner(shard);
       await this.waitForOwnerChange(shard, REQUEST.ownerRetryMs);
     }
     const retryAfterMs = jitteredRetryMs(random, REQUEST.retryMs);
@@ -368,5 +368,5 @@
 registerPlugin({
   name: 'route',
   needs: ['membership', 'register'],
-  setup: (k) => new Route(k, k.use('membership'), k.use('register')),
+  setup: (k) => new ShardRouter(k, k.use('membership'), k.use('register')),
 });
