--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -561,7 +561,7 @@
     seeds: [1, 2],
     rules: ['held'],
     patch: {
-      atOwner: (old) =>
+      callOwner: (old) =>
         async function (this: any, t: string, m: string, b: any, ms: number, sent: any) {
           const t0 = this.kernel.host.clock.now();
           try {
--- a/packages/trial/src/test/platform-access.test.ts
+++ b/packages/trial/src/test/platform-access.test.ts
@@ -71,20 +71,20 @@
     this.sinks.set(id, sink);
     return { id };
   }
-  starting(): Promise<void> | undefined {
+  whenServing(): Promise<void> | undefined {
     return this.soon;
   }
-  heard(): void {
+  recordActivity(): void {
     this.heardN++;
   }
-  gone(id: string): void {
+  disconnected(id: string): void {
     this.goneIds.push(id);
     this.sinks.delete(id);
   }
   drained(id: string): void {
     this.drainedIds.push(id);
   }
-  visit(method: string, body: unknown): Promise<Reply> {
+  handle(method: string, body: unknown): Promise<Reply> {
     return new Promise((res) => {
       this.mostOpen = Math.max(this.mostOpen, ++this.open);
       const v: Visited = {
--- a/packages/trial/src/test/platform-names.test.ts
+++ b/packages/trial/src/test/platform-names.test.ts
@@ -194,7 +194,7 @@
   ['@harecross/control', new Set()],
 ]);
 const LIBRARIES = /^(node:(net|http|fs)|typebox(\/compile)?|fastify|\.\/(access|boot|lines|main|management)\.js)$/;
-const OF_EDGE = new Set(['attach', 'starting', 'heard', 'gone', 'drained', 'visit', 'ready']);
+const OF_EDGE = new Set(['attach', 'whenServing', 'recordActivity', 'disconnected', 'drained', 'handle', 'ready']);
 const OF_KERNEL = new Set(['incrementCounter', 'addSubscription', 'host']);
 const OF_HOST = new Set(['clock', 'config']);
 /** What would decide by itself: chance, times of its own, state that lasts. */
