--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -373,7 +373,7 @@
   private async drain(): Promise<void> {
     const { clock } = this.kernel.host;
     this.relocation.begin(this.byId.values(), SESSION.drainSpreadMs);
-    // The platform keeps routing new clients here until its readiness polls have seen that this relay is stopping.
+    // New clients may still be routed here until health checks notice that this relay is stopping.
     const deadline = clock.now() + SESSION.drainMs;
     while (clock.now() < deadline) await sleep(clock, 50);
     for (const session of Array.from(this.byId.values())) {
