--- a/packages/kernel/src/constants.ts
+++ b/packages/kernel/src/constants.ts
@@ -1,391 +1,468 @@
 /**
- * Every constant of the system, in groups by area, with its unit and the reason for it.
- * Names end in the unit or the kind of bound: Ms, S, Bytes, Count, Limit, Size, Factor. No name stands in two groups.
+ * All constants of the system, grouped by area, each with its unit and the reason for its value. A name ends in its unit or kind of bound,
+ * such as Ms, S, Bytes, Count, Limit, Size or Factor, and occurs in one group only.
  */
 
-/** Sessions of clients at a relay, their interest leases and delivery (the paper's design; values are ours). */
+/**
+ * Client sessions at a relay, their interest leases and message delivery. The lease scheme follows a published design; the values were
+ * chosen for this system.
+ */
 export const SESSION = {
-  /** A hold ends this long after its last renewal. Three renewals fit, so two may be lost. */
+  /** A lease expires this long after its last renewal. Three renewals fit into it, so two may be lost. */
   leaseTtlMs: 60_000,
-  /** A relay renews a hold from traffic this often. A third of the TTL, as in the source. */
+  /** Interval at which a relay renews a lease while there is traffic. One third of the TTL, as in that design. */
   leaseRenewMs: 20_000,
-  /** The owner keeps fanning this long past expiresAt, so it never stops before the relay does. */
+  /** The owner keeps fanning out this long after `expiresAt`, so that it never stops before the relay does. */
   leaseSkewMs: 2_000,
-  /** A conn silent for this many pings is dropped: one lost probe and one late one are forgiven. */
+  /** A connection that is silent for this many ping intervals is closed: one lost probe and one late one are tolerated. */
   silencePingCount: 3,
-  /** Default ping_s; callers check in about every two seconds. */
+  /** Default of `pingS`; clients check in about every two seconds. */
   pingS: 2,
-  /** Counts leave out conns silent for longer than this, whatever their ping: the truth of the last 5 s. */
+  /**
+   * Listener counts leave out connections that were silent for longer than this, whatever their ping interval, so that a count covers the
+   * last 5 s.
+   */
   countFreshMs: 4_500,
-  /** Standard lane of a conn's buffer. */
+  /** Size of the standard queue of a connection. */
   laneBytes: 512 * 1024,
-  /** Frames above this size use the oversized lane. */
+  /** Frames larger than this use the oversized queue. */
   oversizedFromBytes: 64 * 1024,
-  /** Oversized lane of a conn's buffer; a few of the largest bodies. */
+  /** Size of the oversized queue of a connection: room for a few bodies of the largest size. */
   oversizedLaneBytes: 2 * 1024 * 1024,
-  /** Flush of a conn's buffer for routine families. */
+  /** Flush interval of a connection's queue for routine families. */
   flushMs: 250,
-  /** A family with an aim flushes after this share of it, if that is sooner. */
+  /** A family with a latency target flushes after this share of the target, if that is sooner. */
   flushShare: 0.1,
-  /** What a frame takes beside its body: topic, sender, numbers. */
+  /** Size of a frame beside its body: topic, sender, numbers. */
   frameHeadBytes: 128,
-  /** Flush when an urgent message waits: a warning must not sit a quarter second for company. */
+  /** Flush interval while an urgent message is queued: it must not wait the regular quarter of a second to be batched. */
   flushUrgentMs: 20,
-  /** Catch-up from history pauses above this much buffered, so that it never saturates a lane itself. */
+  /** Catch-up from history pauses while more than this is queued, so that it never fills a queue by itself. */
   catchUpBytes: 128 * 1024,
-  /** Relay asks owners for heads this often: finds a lost last frame within one period. */
+  /** Interval at which a relay asks owners for the head offsets of topics. A lost last frame is found within one interval. */
   headsMs: 1_000,
-  /** Entries asked of history at a time; a page stays far below a lane. */
+  /** Entries requested from history at a time; a page stays far below the size of a queue. */
   historyPageLimit: 64,
-  /** How long the owner waits for relays when it counts listeners; the asker's patience is about 2 s. */
+  /** How long the owner waits for relays when it counts listeners; the client that asked waits about 2 s. */
   countWaitMs: 700,
-  /** A key taken this lately: relays may not have told their interest, so all of them are asked. */
+  /**
+   * An owner that took its shard more recently than this may not know the interest of all relays yet, so it asks all of them for counts.
+   */
   countAllMs: 4_000,
-  /** Holds and conns a relay may have: beyond it, new conns are rejected at once. */
+  /** Leases and connections that a relay may have; beyond it, new connections are rejected at once. */
   connectionLimit: 4_000,
-  /** Subscriptions a conn may have. */
+  /** Subscriptions that a connection may have. */
   subscriptionsPerConnectionLimit: 256,
-  /** A consumer's home forgets a conn not re-registered for this long. */
+  /** The home of a consumer forgets a connection that was not registered again for this long. */
   homeForgetMs: 40_000,
-  /** Unable to serve for this long a relay sends its conns elsewhere: before the others call it dead and count them no more. */
+  /**
+   * A relay that has been without a read lease for this long sends its connections to other relays: before the others consider it dead and
+   * leave its connections out of their counts.
+   */
   leaseLostMs: 4_000,
-  /** Relay re-registers its conns at their homes this often. */
+  /** Interval at which a relay registers its connections with their homes again. */
   homeRenewMs: 15_000,
-  /** A planned restart sends its conns away over this long; a stop has less time. */
+  /**
+   * A planned restart spreads the closing of its connections over `plannedDrainSpreadMs`; a stop has less time and uses `drainSpreadMs`.
+   */
   plannedDrainSpreadMs: 3_000,
   drainSpreadMs: 1_000,
-  /** A stopping relay stays for late comers: the platform notices after two polls, a second apart. */
+  /**
+   * A stopping relay stays up this long for clients that still arrive: the platform notices the stop after two polls, which are one second
+   * apart.
+   */
   drainMs: 2_600,
 } as const;
 
-/** Shards: their copies, owners and history. */
+/** Shards: their replicas, owners and history. */
 export const SHARD = {
-  /** Shards of the topic space: several per disk at today's 8 disks, so that duty evens out. */
+  /** Shards of the topic space: several per disk with the present 8 disks, so that ownership is evenly distributed. */
   shardCount: 32,
-  /** Default copies of a shard; survives two lost disks. */
+  /** Default number of replicas of a shard; it survives the loss of two disks. */
   replicaCount: 5,
-  /** No disk has more copies than its share times this; measured in docs/measurements.md. */
+  /** No disk has more replicas than its share times this; measured in docs/measurements.md. */
   replicaSlack: 1.1,
-  /** No disk owns more keys than its share times this: evener than plain rendezvous, and few keys move. */
+  /** No disk owns more shards than its share times this: more even than plain rendezvous hashing, while few shards move. */
   ownerSlack: 1.25,
-  /** History kept = family memory times this ... */
+  /** The history is kept for the memory of the family times this ... */
   memorySlack: 1.5,
-  /** ... plus this, so that a promise of 25 s is never cut short by rounding or fail-over. */
+  /** ... plus this, so that a promised memory of 25 s is never cut short by rounding or fail-over. */
   memorySlackMs: 15_000,
-  /** Every accepted message stays in the history this long, whatever its family's memory, so that a repeat of its number has its
-   * first outcome. Callers repeat for 10 s; three times that, because clocks and the way of an answer come on top. */
+  /**
+   * Every accepted message stays in the history for at least this long, whatever the memory of its family, so that a resend with the same
+   * sequence number gets the first outcome. Clients resend for 10 s; this is three times that, because clock differences and the transit
+   * time of an answer add to it.
+   */
   repeatKeepMs: 30_000,
-  /** The last trimmed number of a sender and topic is known this long: what is above it and not in the history was never
-   * accepted, what is below it is not known any more. Dedupe rows outlive any memory by a wide margin. */
+  /**
+   * The last trimmed sequence number of a sender and topic is kept for this long. A number above it that is not in the history was never
+   * accepted; the outcome of a number below it is no longer known. Deduplication records outlive the memory of any family by a wide margin.
+   */
   dedupeKeepMs: 30 * 60_000,
-  /** Owner checks its keys this often. */
+  /** Interval at which an owner checks its shards. */
   ownershipCheckMs: 250,
-  /** Owner pings its copies this often when there is no traffic. */
+  /** Interval at which an owner pings its replicas when there is no traffic. */
   heartbeatMs: 400,
-  /** Without a majority's answer for this long an owner holds its duty in doubt and rejects visits. */
+  /** An owner that has had no answer from a majority for this long regards its ownership as in doubt and rejects requests. */
   ownershipDoubtMs: 1_600,
-  /** A take that failed is tried again after this long. */
+  /** Delay before a failed attempt to take a shard is repeated. */
   electionRetryMs: 600,
-  /** After its start a node leaves keys to others who may be coming up too for this long: a fleet comes back within it. */
+  /**
+   * For this long after its start a node leaves shards to other nodes that may be starting as well: a whole fleet comes back within this
+   * time.
+   */
   startupGraceMs: 300,
-  /** A key is asked from an owner that serves once it was matched to another for this long: machines come and go in less. */
+  /**
+   * A node asks a serving owner for a shard only after the shard has been assigned to the node for this long: machines come and go within a
+   * shorter time.
+   */
   steadyAssignmentMs: 4_000,
-  /** A visit waits this long at a node that is just taking its key; a take is two rounds to a majority. */
+  /** A request waits this long at a node that is in the process of taking the shard; that takes two rounds to a majority. */
   electionWaitMs: 400,
-  /** A publish that must follow another waits this long for it at the owner; the relay brings both again if need be. */
+  /** A publish that must follow another one waits this long for it at the owner; the relay sends both again if necessary. */
   predecessorWaitMs: 100,
-  /** An owner that leaves tries this long to have its keys taken; all of a stop has `stopMs`. */
+  /** An owner that leaves tries for this long to hand over its shards; the whole stop has `stopMs`. */
   handOverMs: 1_500,
-  /** After the hand-over, callers that still come are told where to go for this long. */
+  /** After the hand-over, an owner redirects the callers that still arrive for this long. */
   redirectMs: 100,
-  /** Who was allowed to take a key and did not within this long asked in vain. */
+  /** A replica that was allowed to take a shard and has not taken it within this time has failed to do so. */
   yieldMs: 1_500,
-  /** Who asked for a key in vain may ask again after this long. */
+  /** A replica that failed to take a shard it had asked for may ask for it again after this long. */
   yieldRefusalMs: 30_000,
-  /** An owner in doubt this long calls itself ill, so that others take its keys ... */
+  /** An owner that has had no answer from a majority for this long reports itself as unhealthy, so that others take its shards ... */
   isolatedOwnerMs: 1_000,
-  /** ... and stays so this long: links that broke seldom mend in seconds. */
+  /** ... and remains unhealthy for this long: broken links seldom recover within seconds. */
   unhealthyMs: 20_000,
-  /** Time limit of one Append; a slow disk may take a while, and the others make the majority. */
+  /** Time limit of one Append; a slow disk may take that long, and the other replicas form the majority meanwhile. */
   appendMs: 1_500,
   /** Entries in one Append. */
   appendEntryLimit: 256,
-  /** Publishes waiting at one owner before it rejects; urgent ones have the whole, routine ones half. */
+  /** Publishes waiting at one owner before it rejects more; urgent ones may use the whole queue, routine ones half of it. */
   ownerQueueLimit: 2_000,
-  /** Frames waiting at an owner for one relay; more are left to history, which the relay reads. */
+  /** Frames queued at an owner for one relay; the relay reads what is beyond that from history. */
   fanOutQueueLimit: 1_000,
-  /** An owner trims its history this often ... */
+  /** Interval at which an owner trims its history ... */
   trimMs: 2_000,
-  /** ... and a copy follows this often: each time it writes more pages than for the appends since. */
+  /** ... and at which a replica does the same: each trim writes more pages than the appends since the last one. */
   trimReplicaMs: 10_000,
-  /** Copies follow in snapshots when behind the base; a snapshot call may take this long. */
+  /** Time limit of a snapshot call; a replica that is behind the base of the log is brought up to date by snapshots. */
   snapshotMs: 5_000,
 } as const;
 
-/** Requests of clients: their way to an owner, and bounds of what a node takes at once. */
+/** Client requests: how they reach an owner, and how much a node takes on at once. */
 export const REQUEST = {
-  /** Visits in work at one edge; beyond it they are rejected with a time to come back. */
+  /** Requests in progress at one gateway; beyond it they are rejected with a time to retry after. */
   gatewayQueueLimit: 3_000,
-  /** Retry hint base; a random share of as much again spreads callers out. */
+  /** Base of the retry hint; a random part of up to the same length is added to spread the retries out. */
   retryMs: 400,
-  /** One try of a relay at an owner. */
+  /** Time limit of one attempt of a relay at an owner. */
   ownerTryMs: 900,
-  /** A visit at an owner that lost its key is waited for this long: its answer may be on the way. */
+  /** How long to wait further for a request at an owner that has lost the shard: the answer may already be in transit. */
   movedGraceMs: 20,
-  /** Pause between two tries at owners while a key changes hands, unless there is news of it. */
+  /** Pause between two attempts at owners while a shard changes owners, unless a new owner becomes known earlier. */
   ownerRetryMs: 40,
-  /** Time limit for asking a copy whom it promised its key. */
+  /** Time limit for asking a replica which fence it has promised. */
   whoMs: 300,
-  /** An owner that takes this long for a visit is looked at by the membership: ordinary ones take a tenth of it. */
+  /** When an owner takes longer than this for a request, the membership probes it; ordinary requests take a tenth of this. */
   slowVisitMs: 150,
-  /** ... and again after this long at most. */
+  /** ... and again only after this long. */
   slowAgainMs: 1_000,
-  /** A publish whose key has no owner in sight is given up after this long, well below any patience. */
+  /** A publish whose shard has no known owner is given up after this long, well before any client's time limit. */
   noOwnerMs: 700,
-  /** What a sender had on the way when an earlier publish of it was turned away arrives within this long: a round trip to callers. */
+  /** Publishes of a sender that were in flight when an earlier one was rejected arrive within this long: one round trip to the clients. */
   onTheWayMs: 100,
-  /** Publishes of a sender that are given up together are answered in order, but none waits longer than this for those before it. */
+  /** Publishes of a sender that are given up together are answered in order, but none waits longer than this for the earlier ones. */
   inOrderMs: 250,
-  /** Tries at owners after a visit's first, of one node: this many a second ... */
+  /** Retry budget of a node for requests to owners: this many retries a second ... */
   retriesPerS: 40,
-  /** ... and this share of the first tries ... */
+  /** ... plus this share of the number of first attempts ... */
   retriesShare: 0.2,
-  /** ... of which so many may be saved: a key that changes hands is asked for a few times by each visit under way. */
+  /** ... of which this many may accumulate: each request in progress tries a few times while a shard changes owners. */
   retryBurstLimit: 400,
-  /** A link that gave no answer is tried directly this often; meanwhile visits of the data plane go round it. */
+  /**
+   * A link to a peer that does not answer is probed directly at this interval; meanwhile requests of the data plane are relayed through
+   * other nodes.
+   */
   linkTryMs: 700,
-  /** A line of a client: topic, cursor and name are far shorter. */
+  /** A request line of a client: topic, cursor and name are far shorter. */
   accessLineBytes: 16 * 1024,
-  /** The largest body any family may allow; larger ones are refused unread ... */
+  /** The largest body that any family may allow; larger ones are refused without being stored ... */
   edgeBodyBytes: 1024 * 1024,
-  /** ... and thrown away up to this size; beyond it the connection is closed. */
+  /** ... and read and discarded up to this size; beyond it the connection is closed. */
   accessSkipBytes: 16 * 1024 * 1024,
-  /** Answers and frames a client has not read yet, beyond both lanes of its buffer: it does not read. */
+  /**
+   * Answers and frames that a client has not read yet, beyond both queues of its connection: a client that exceeds this has stopped
+   * reading.
+   */
   accessUnreadBytes: 4 * 1024 * 1024,
-  /** Requests of one connection in work before we read no more of them. */
+  /** Requests of one connection in progress before no more of them are read. */
   accessRunningLimit: 128,
-  /** Bodies that come in pieces, of all connections together; a body beyond it is not taken. */
+  /** Memory for bodies that arrive in pieces, for all connections together; a body that does not fit is refused. */
   accessBodiesBytes: 32 * 1024 * 1024,
-  /** Connections that have not attached, and at most half of all: beyond it the oldest of them is closed. */
+  /** Connections that have not attached, and at most half of all connections: beyond it the oldest of them is closed. */
   accessUnattachedLimit: 1_000,
-  /** A connection that has not attached within this time is closed; looked for this often. */
+  /** A connection that has not attached within this time is closed; connections are checked every `accessSweepMs`. */
   accessOpenMs: 10_000,
   accessSweepMs: 1_000,
   /** Default limit of a body. */
   bodyBytes: 64 * 1024,
 } as const;
 
-/** Membership: gossip, partial views, probes of silent members. */
+/** Membership: gossip, partial views, and probes of silent members. */
 export const MEMBERSHIP = {
-  /** One gossip exchange with this many peers per period. */
+  /** Peers that a node exchanges gossip with in each period. */
   gossipPeerCount: 2,
   gossipMs: 500,
-  /** While news keeps coming a node compares only this often. */
+  /** While updates keep arriving a node compares its table with a peer's only this often. */
   gossipAnywayMs: 2_000,
-  /** After its start a node compares this often, for this long at most, or until so many peers had nothing new for it. */
+  /**
+   * After its start a node compares its table with a peer's at this interval, until `joinMs` has passed or `joinQuietCount` peers had
+   * nothing new for it.
+   */
   joinEveryMs: 100,
   joinMs: 3_000,
   joinQuietCount: 6,
-  /** In a large fleet less often, so that some 250 a second of all that start together reach a peer whom all know. */
+  /**
+   * Interval per member for the same in a large fleet, where it is longer than `joinEveryMs`: when all nodes start together, a peer that
+   * all know gets some 250 comparisons a second.
+   */
   joinPerMemberMs: 4,
-  /** News goes to this many peers at each step; log2(200) steps reach a large fleet. */
+  /** Peers that an update is sent to at each step; log2(200) steps reach a large fleet. */
   disseminationFanOut: 4,
-  /** News is sent at most this often for each member there is: 4 calls in 30 ms in a fleet of 15, in 190 ms in one of 94. */
+  /** Minimum interval between updates, per member: 4 calls in 30 ms in a fleet of 15, in 190 ms in one of 94. */
   disseminationGapPerMemberMs: 2,
-  /** A node says its weight at most this often for each member: all together 50 times a second. */
+  /** Minimum interval at which a node publishes its weight, per member: 50 publications a second for the whole fleet. */
   weightGapPerMemberMs: 20,
   /** Entries of a partial view. */
   partialViewSize: 12,
-  /** Entries swapped in one shuffle. */
+  /** Entries exchanged in one shuffle. */
   shuffleSize: 5,
   shuffleMs: 1_000,
-  /** One member not heard of for this long is asked directly every period, in shuffled turn. */
+  /** A member that was not heard of for this long is probed directly, one each period, in shuffled order. */
   probeAfterMs: 800,
   probeEveryMs: 250,
   /** Time limit of a ping. */
   probeMs: 500,
-  /** A member that did not answer our own probe after this long is asked through others beside it ... */
+  /** A member that did not answer a direct probe within this time is also probed through other members ... */
   probeDirectMs: 120,
-  /** ... and suspected when none of them had an answer after this long; a lost packet is sent again after about 200 ms. */
+  /** ... and suspected when none of them has had an answer after this long; a lost packet is retransmitted after about 200 ms. */
   probeIndirectMs: 300,
-  /** Pings are mostly answered sooner than this; while they take longer, the limits above are longer by as much, up to so many times. */
+  /**
+   * Usual upper bound of the answer time of a ping. While pings take longer, the two limits above grow in proportion, up to
+   * `probeTimeoutFactorLimit` times.
+   */
   pingUsualMs: 40,
   probeTimeoutFactorLimit: 5,
-  /** A probe that took this much longer than it may says that our own loop stood still, and nothing of the member. */
+  /** A probe that exceeds its limit by this much shows that the local event loop was stalled, and says nothing about the member. */
   probeLateMs: 100,
-  /** Members asked to try in our place before we suspect one: they may have a better link to it. */
+  /** Members asked to probe on this node's behalf before a member is suspected: they may have a better link to it. */
   probeIntermediaryCount: 3,
-  /** A suspected member is dead after this long. */
+  /** A suspected member is considered dead after this long. */
   deadMs: 8_000,
-  /** A dead member's record is forgotten after this long. */
+  /** The record of a dead member is removed after this long. */
   forgetMs: 120_000,
-  /** That a record was forgotten is remembered this long: several times what any node takes to forget it too, also one that joined late. */
+  /**
+   * How long the tombstone of a removed record is kept: several times what any node takes to remove the record too, including a node that
+   * joined late.
+   */
   tombstoneMs: 600_000,
-  /** Members known are kept on disk, where that changed, this often; and so many of them: a start needs one that is there. */
+  /**
+   * Known members are saved to disk at this interval if they have changed, up to `rememberedPeerLimit` of them: a start needs only one that
+   * is reachable.
+   */
   rememberPeersEveryMs: 5_000,
   rememberedPeerLimit: 64,
   /** Time limit of small control calls. */
   callMs: 800,
-  /** A gap in our own loop this long means we were frozen: duties are in doubt until confirmed. */
+  /** A gap in the local event loop of this length means that the process was frozen: its ownership is in doubt until confirmed. */
   loopFrozenMs: 1_200,
-  /** What came while a process stood still is read within this long after it goes on. */
+  /** Everything that arrived while a process was frozen is read within this time after it resumes. */
   loopResumedMs: 300,
   loopTickMs: 200,
 } as const;
 
-/** The consensus register: read lease, changes, operators' orders, bootstrap. */
+/** The consensus register: read lease, changes, operators' submissions, and bootstrap. */
 export const REGISTER = {
-  /** Every node confirms its version at a majority this often ... */
+  /** Interval at which every node confirms its version with a majority ... */
   confirmMs: 600,
-  /** ... in a large fleet less often: 100 confirmations a second of all nodes. */
+  /** ... longer in a large fleet: 100 confirmations a second for all nodes together. */
   confirmPerMemberMs: 10,
-  /** Before the first confirmation after a start a node tries this often, this many at once: traffic waits for it. */
+  /**
+   * Until its first confirmation after a start a node tries at this interval, with up to `firstConfirmConcurrency` attempts at once:
+   * requests wait for it.
+   */
   firstConfirmMs: 60,
   firstConfirmConcurrency: 4,
-  /** In a large fleet less often, for the same reason as joinPerMemberMs. */
+  /** Interval per member for the same in a large fleet, for the reason given at `joinPerMemberMs`. */
   firstConfirmPerMemberMs: 4,
-  /** ... for this long; then one try in so many. */
+  /** These attempts end this long after the start; from then on only one of every `firstConfirmLateDivisor` is made. */
   firstConfirmEagerMs: 3_000,
   firstConfirmLateDivisor: 8,
-  /** A change is in force within this time after it was acknowledged, where the process's config says nothing else. */
+  /** A change is in force within this time after it was acknowledged, unless the config of the process sets another time. */
   applyMs: 3_000,
-  /** Seats beyond a majority are asked when those asked first did not answer after this long; a sync of a slow disk is not waited for. */
+  /**
+   * Voters beyond a majority are asked when the first ones have not answered after this long, so that the sync of a slow disk is not waited
+   * for.
+   */
   confirmMajorityOnlyMs: 120,
-  /** In a large fleet later: a voter that is busy with the others' questions must not get more of them for that. */
+  /**
+   * Delay per member for the same in a large fleet: a voter that is busy with the requests of other nodes must not get more of them because
+   * of it.
+   */
   confirmMajorityOnlyPerMemberMs: 6,
-  /** ... and serves only while the last confirmation began at most this share of it ago. */
+  /** A node serves only while its last confirmation began at most this share of `applyMs` ago. */
   readLeaseShare: 0.8,
-  /** Seats of the register (disks that vote). Odd; two may fail at 5, three at 7. */
+  /** Voters of the register (disks that vote). Odd; two may fail with 5, three with 7. */
   voterCount: 7,
-  /** A newer value is fetched from one peer, and from others only after this long: several ways there and back, and a lost packet. */
+  /** A newer value is fetched from one peer, and from further peers only after this long: several round trips and one lost packet. */
   valueFetchExclusiveMs: 80,
-  /** In a large fleet later: all fetch at the same time. */
+  /** Delay per member for the same in a large fleet, where all nodes fetch at the same time. */
   valueFetchExclusivePerMemberMs: 8,
-  /** Time limit of a fetch for each member, where that is longer than that of other calls. */
+  /** Time limit of a fetch per member, where that is longer than the limit of other calls. */
   fetchPerMemberMs: 35,
-  /** Fetches of the value at once, of one node. */
+  /** Concurrent fetches of the value by one node. */
   valueFetchConcurrency: 4,
   /**
-   * From this size on long things are fetched from nodes with disks, others' hung changes are left to the voters, and a node tries its
-   * first confirmation once at a time: in smaller fleets only a few nodes do such things at once.
+   * From this number of members on, large data is fetched from nodes with disks, changes that were left unfinished by other nodes are left
+   * to the voters, and a node makes one attempt at a time at its first confirmation. In smaller fleets only a few nodes do this at once.
    */
   largeFleetSize: 32,
-  /** A visit from a peer that knows a newer value waits for it; what could not be fetched is fetched again after this long. */
+  /** A request from a peer that knows a newer value waits for it; a failed fetch is repeated after this long. */
   laggingRetryMs: 40,
-  /** Change attempts give up after this long, and say so. */
+  /** An attempt at a change is given up after this long, and reported as such. */
   changeMs: 6_000,
   /**
-   * An order is worked on for this long after it was last sent, whether its sender waits or not. Senders repeat an order that got no
-   * clear answer within a second or two, at any node; longer than this, and an order of a node that was cut off would come into
-   * force when nobody expects it any more.
+   * A submission is worked on for this long after it was last sent, whether its sender waits or not. Senders resend one that got no clear
+   * answer within a second or two, to any node. With a longer time, a submission at a node that was cut off could come into force when
+   * nobody expects it any more.
    */
   submitMs: 4_000,
-  /** An operator's call is answered within this long where no majority answers: callers go elsewhere after one second of silence. */
+  /**
+   * An operator's call is answered within this long even when no majority answers: callers try another node after one second without an
+   * answer.
+   */
   operatorAnswerMs: 600,
   /**
-   * A voter accepts a value this long after its promise, and no later: a round takes a few calls, and a value that lay in a buffer
-   * while a machine stood still or was cut off must not be chosen when it wakes.
+   * A voter accepts a value only within this time after its promise: a round takes a few calls, and a value that stayed in a buffer while a
+   * machine was frozen or cut off must not be chosen when the machine resumes.
    */
   promiseLifeMs: 3_000,
-  /** A voter that hears of a repair refuses the ballots of other proposers for this long: some rounds, with a wait between them. */
+  /** A voter that learns of a repair refuses the ballots of other proposers for this long: a few rounds with a pause between them. */
   repairReservationMs: 300,
-  /** Different submissions that one node works on; resent ones share one, and few operators are at work at a time. */
+  /** Different submissions that one node works on; resends share one, and few operators are active at a time. */
   submissionLimit: 32,
   /** Callers that wait for one submission at one node: a few operators, each of whom resends it every second while it is worked on. */
   submissionWaiterLimit: 256,
-  /** Changes by change id under way at one node. Each holds a configuration for changeMs at most. */
+  /** Changes with a change id in progress at one node. Each keeps a configuration in memory for `changeTimeoutMs` at most. */
   concurrentChangeLimit: 32,
-  /** One try at that; then the highest revision that was sent meanwhile is taken up instead. */
+  /** Time limit of one attempt at a submission; after it the highest revision that has been sent meanwhile is attempted instead. */
   submitAttemptMs: 2_000,
-  /** What is in force is asked of a majority again after about this long, before an old revision is answered. */
+  /** Interval, randomized, at which a majority is asked what is in force before an old revision is answered. */
   submitAskMs: 200,
   /**
-   * Revisions remembered with what came into force under them: an order sent again gets its first outcome until this many others came
-   * into force. Hours at the changes of a busy day, against resends that come within seconds; about 20 bytes each in the value.
+   * Revisions kept with the outcome that each had: a resend gets its first outcome until this many later revisions have come into force.
+   * That is hours of changes on a busy day, while resends come within seconds; about 20 bytes each in the value.
    */
   revisionOutcomeLimit: 512,
-  /** Change ids remembered with their outcome. */
+  /** Change ids kept with their outcome. */
   changeIdLimit: 4_096,
-  /** Founders look around this long for other disks before they found. */
+  /** Seeds look for other disks for this long before they bootstrap the fleet ... */
   bootstrapAfterMs: 1_200,
   /**
-   * ... and for as many as a shard needs replicas up to this long; later ones join one step at a time. Where the config says what is to
-   * be borne, the fleet is not founded before it is, and after this long that is reported.
+   * ... and up to this long until there are as many as a shard needs replicas; later disks join one step at a time. Where the config sets a
+   * fault tolerance, the fleet is not bootstrapped before the disks provide it, and a shortfall is reported after this long.
    */
   bootstrapAnywayMs: 4_000,
   bootstrapEveryMs: 500,
-  /** While the disks that are there can't bear what is asked for, that is said this often. */
+  /** Interval at which it is reported that the disks present cannot provide the configured fault tolerance. */
   bootstrapReportMs: 10_000,
 } as const;
 
-/** Which disks vote and hold copies: joining, replacement, planned moves. */
+/** Which disks vote and hold replicas: joins, replacements, planned moves. */
 export const PLACEMENT = {
+  /** The controller reviews the placement at this interval ... */
   controllerMs: 500,
-  /** ... and this long after news of a member or of an owner: what comes together is looked at together. */
+  /** ... and after this delay following an update of a member or of an owner, so that updates that arrive together are handled together. */
   controllerWakeMs: 30,
-  /** ... and this long after news of an owner: the shards of a machine change together. */
+  /** ... and after this delay following an update of an owner: all shards of a machine change together. */
   controllerOwnerChangeMs: 150,
-  /** Steps of the keeper that follow from one another at once; then it looks again after its period. */
+  /** Consecutive steps that the controller makes without a pause; after them it waits for its next period. */
   controllerStepLimit: 8,
-  /** A disk this many times sooner than those made for copies is worth having copies on. */
+  /** A disk is also used for replicas if it is at least this many times faster than the typical disk intended for them. */
   quickDiskFactor: 4,
-  /** A disk seen live this long is let into the disk set: a process that ends right after its start is not. */
+  /**
+   * A disk joins the disk set after its process has been live for this long, which leaves out a process that ends right after its start.
+   */
   joinAfterMs: 250,
-  /** A disk dead this long is replaced. Longer than a restart, shorter than a second failure is likely. */
+  /** A disk that has been dead for this long is replaced. Longer than a restart, shorter than the time until a second failure is likely. */
   replaceAfterMs: 45_000,
-  /** A disk dead this long gives its place to one that holds nothing, if there is one: longer than a process takes to start anew. A
-   * machine that was replaced is known by that, and the next loss may come a few seconds after. */
+  /**
+   * A dead disk is replaced by an unused disk after this long, if there is one: longer than a process takes to restart. An unused disk
+   * indicates that a machine was replaced, and the next loss may follow a few seconds later.
+   */
   spareAfterMs: 3_000,
-  /** ... and this long, if that one came to the same domain after the other fell silent: it was sent in its place. */
+  /**
+   * ... and after this long, if the unused disk appeared in the same failure domain after the other one fell silent: it was installed as
+   * its replacement.
+   */
   successorAfterMs: 1_000,
-  /** A stopping process looks this often whether others have what its disk had ... */
+  /** Interval at which a stopping process checks whether other disks have what its disk holds ... */
   departureCheckMs: 20,
-  /** ... and leaves this much of the time for its stop to what comes after. */
+  /** ... and the part of its stop time that is reserved for the steps after that. */
   departureReserveMs: 600,
-  /** The record of a lost or emptied disk that holds nothing is forgotten when its machine was not seen for this long: operators ask
-   * for the outcome of an emptying within minutes. */
+  /**
+   * The record of a lost or emptied disk that holds nothing is removed after its machine was not seen for this long: operators ask for the
+   * outcome of emptying a disk within minutes.
+   */
   forgetDiskMs: 600_000,
-  /** So many of them wait at most, the oldest goes first: machines of a whole site may be replaced within that time. */
+  /** Such records that may be kept at once; the oldest is removed first. All machines of a site may be replaced within that time. */
   forgettableRecordLimit: 64,
-  /** Shards in motion at once; keeps repair from taking traffic's share. */
+  /** Shards that move at once; the limit keeps repair from taking capacity from traffic. */
   movingShardLimit: 8,
 } as const;
 
 /** A process: start, stop, its disk, and the transport between peers. */
 export const PROCESS = {
-  /** Hashes remembered: those of some thousand topics and of the copies of all shards; about a megabyte. */
+  /** Entries of the hash cache: those of some thousand topics and of the replicas of all shards; about a megabyte. */
   hashCacheSize: 16_384,
-  /** A node this young lets an Attach wait until it serves: turned away, a consumer would stay away for longer than that. */
+  /**
+   * During this time after its start a node lets an Attach wait until it serves: a consumer that is turned away would stay away for longer.
+   */
   startWaitMs: 1_500,
-  /** SIGTERM to exit; the hard kill comes at 6 s. */
+  /** Time from SIGTERM to exit; SIGKILL comes at 6 s. */
   stopMs: 4_500,
-  /** Commits gather this long into one synced transaction: a turn of the loop. While a sync is under way they gather anyway. */
+  /**
+   * Delay before gathered commits are written as one synced transaction: 0 is one turn of the event loop. While a sync is in progress,
+   * commits are gathered in any case.
+   */
   commitMs: 0,
-  /** A log this long is written back; looked at every so many commits. A start reads it whole. */
+  /** A write-ahead log of this size is checkpointed; its size is checked every `walCheckCommits` commits. A start reads the whole log. */
   walBytes: 4 * 1024 * 1024,
   walCheckCommits: 32,
-  /** A relay whose disk could not be opened looks this often whether it can be. */
+  /** A relay whose disk could not be opened checks at this interval whether it can be opened. */
   diskRetryMs: 2_000,
-  /** Settings files are compared this often, for changes without a signal. */
+  /** Interval at which settings files are compared, to find changes without a signal. */
   rereadMs: 1_000,
-  /** A closed conn's last words have this long to get out before its socket is destroyed. */
+  /** The last frames of a closed connection have this long to be sent before its socket is destroyed. */
   closeGraceMs: 5_000,
-  /** Time limit for connecting to a peer; site links answer far sooner. */
+  /** Time limit for connecting to a peer; links within a site answer far sooner. */
   connectMs: 1_000,
-  /** A connection that owes answers and is quiet for this long is pinged, and given up after as long again: 1.4 to 2.1 s in all. */
+  /**
+   * A connection that has unanswered calls and is quiet for this long is pinged, and closed after the same time again: 1.4 to 2.1 s in all.
+   */
   peerQuietMs: 700,
-  /** Largest peer frame: a shard's whole snapshot. */
+  /** Largest frame between peers: the whole snapshot of a shard. */
   peerFrameBytes: 64 * 1024 * 1024,
-  /** Bytes waiting for one peer, each way; room for one snapshot beside what else there is. */
+  /** Bytes queued for one peer, in each direction; room for one snapshot beside the other traffic. */
   peerWaitingBytes: 80 * 1024 * 1024,
-  /** Calls under way to one peer, and from one. */
+  /** Calls in progress to one peer, and from one peer. */
   peerCallLimit: 8_192,
-  /** Connections that peers may have to us: one each, and a few more while one is replaced. */
+  /** Connections from peers: one for each, and a few more while one is being replaced. */
   peerConnectionLimit: 2_048,
-  /** A connection to a peer that nothing was said on for this long is closed. */
+  /** A connection to a peer without traffic for this long is closed. */
   peerIdleMs: 30_000,
-  /** Keep-alive of connections from peers: one whose machine lost power is let go of some 15 s later. */
+  /** Keep-alive interval of connections from peers: one whose machine has lost power is closed some 15 s later. */
   peerKeepAliveMs: 5_000,
-  /** At a stop, last words have this long to get out. */
+  /** At a stop, the last frames to peers have this long to be sent. */
   peerCloseMs: 300,
 } as const;
--- a/packages/kernel/src/disk.ts
+++ b/packages/kernel/src/disk.ts
@@ -4,87 +4,96 @@
 
 export type Sql = Database.Database;
 
-/** Says what is wrong with the matter in an open database, if anything. */
+/** Describes the first fault in the content of an open database; undefined if there is none. */
 export type IntegrityCheck = (sql: Sql) => string | undefined;
 const integrityChecks: IntegrityCheck[] = [];
 
 /**
- * Plug-ins that keep matter on disk call this when their module loads: an opened database is asked of each before it is
- * used.
+ * Registers a check of the content of a database. Plug-ins that keep data on disk call this when their module loads; every check runs
+ * when a database is opened, before it is used.
  * @example
- * checkDisk((sql) => (allSumsRight(sql) ? undefined : 'entry 7 of shard 3 was altered'));
+ * registerIntegrityCheck((sql) => (checksumsMatch(sql) ? undefined : 'entry 7 of shard 3 was altered'));
  */
-export function registerIntegrityCheck(c: IntegrityCheck): void {
-  integrityChecks.push(c);
+export function registerIntegrityCheck(check: IntegrityCheck): void {
+  integrityChecks.push(check);
 }
 
 /**
- * The first thing wrong with the matter in a database.
+ * The first fault that the registered checks find in a database.
  * @example
- * const why = wrongOnDisk(sql); // undefined when all is well
+ * const reason = findCorruption(sql); // undefined when the content is intact
  */
 export function findCorruption(sql: Sql): string | undefined {
-  for (const c of integrityChecks) {
-    const why = c(sql);
-    if (why !== undefined) return why;
+  for (const check of integrityChecks) {
+    const reason = check(sql);
+    if (reason !== undefined) return reason;
   }
   return undefined;
 }
 
-/** How a database's commits come to last, where the commit itself does not wait for the disk. */
+/** Makes the commits of a database durable, where a commit itself does not wait for the disk. */
 export interface DiskSync {
-  /** Resolves once all that was committed before it was called lasts. */
+  /** Resolves once everything that was committed before the call is durable. */
   sync(): Promise<void>;
-  /** After a commit: housekeeping that the next one has to wait for, if there is any. */
-  tidy(): Promise<void> | undefined;
+  /** Runs after a commit. Returns a promise if there is maintenance that the next commit has to wait for. */
+  maintain(): Promise<void> | undefined;
   close(sql: Sql): void;
 }
 
 /**
- * One database per node. Work given to `commit` is gathered and run in one transaction; the promise resolves once that
- * transaction lasts. Nothing is answered before. One transaction at a time is on its way to the disk, and what comes
- * meanwhile is the next one: so commits are synced one after another, and a slow disk gets larger ones.
+ * The database of a node, with group commit. Operations given to `commit` are gathered and run in one transaction, and each promise
+ * resolves once that transaction is durable; nothing is answered earlier. Only one transaction is being synced at a time, and operations
+ * that arrive meanwhile form the next one. Thus commits are synced one after another, and a slow disk gets larger ones.
  * @example
  * const n = await db.commit((sql) => sql.prepare('insert into t values (1)').run().changes);
  */
 export class SyncedDatabase {
-  private wait: { fn: (sql: Sql) => unknown; res: (x: unknown) => void; rej: (e: unknown) => void }[] = [];
-  private state: 'idle' | 'gathering' | 'syncing' | 'tidying' | 'dead' = 'idle';
-  private settles: (() => void)[] = [];
-  private changes: () => number;
+  /** Operations that wait for the next transaction. */
+  private wait: {
+    run: (sql: Sql) => unknown;
+    resolve: (result: unknown) => void;
+    reject: (error: unknown) => void;
+  }[] = [];
+  private state: 'idle' | 'gathering' | 'syncing' | 'maintaining' | 'closed' = 'idle';
+  private syncWaiters: (() => void)[] = [];
+  private changeCount: () => number;
+  /** Transactions committed so far. */
   commits = 0;
-  /** How long the disk took when it was opened (ms), if that was measured. */
+  /** How long a test write to the disk took when it was opened (ms), if it was measured. */
   openMs?: number;
-  works = 0;
+  /** Operations committed so far. */
+  operations = 0;
 
   constructor(
     readonly sql: Sql,
     private clock: Clock,
     private gatherMs: () => number,
-    private onFault: (e: Error) => void,
-    /** Whose disk it is, for faults. */
+    private onFault: (error: Error) => void,
+    /** Address of the node, for error details. */
     private self: string,
-    /** Left out where a commit returns only when it lasts. */
+    /** Omitted where a commit itself is durable when it returns. */
     private disk?: DiskSync,
   ) {
-    const q = sql.prepare('select total_changes()').pluck();
-    this.changes = () => q.get() as number;
+    const statement = sql.prepare('select total_changes()').pluck();
+    this.changeCount = () => statement.get() as number;
   }
 
-  commit<T>(fn: (sql: Sql) => T): Promise<T> {
-    return new Promise((res, rej) => {
-      this.wait.push({ fn, res: (x) => res(x as T), rej });
+  /** Runs `run` in the next transaction; resolves with its result once the transaction is durable. */
+  commit<T>(run: (sql: Sql) => T): Promise<T> {
+    return new Promise((resolve, reject) => {
+      this.wait.push({ run, resolve: (result) => resolve(result as T), reject });
       this.gather();
     });
   }
 
   /**
-   * Resolves when all that is changed by now lasts: for who answers from memory what may be on its way to the disk.
+   * Resolves when all changes made so far are durable. For callers that answer from memory with data that is possibly still being
+   * synced.
    * @example
-   * await db.settled(); // at once, unless a sync is under way
+   * await db.whenSynced(); // resolves at once unless a sync is in progress
    */
   async settled(): Promise<void> {
-    if (this.state === 'syncing') await new Promise<void>((res) => this.settles.push(res));
+    if (this.state === 'syncing') await new Promise<void>((resolve) => this.syncWaiters.push(resolve));
   }
 
   private gather(): void {
@@ -95,89 +104,89 @@
     });
   }
 
-  /** Runs what was gathered. */
+  /** Runs the gathered operations in one transaction and has it synced. */
   private flush(): void {
-    const all = this.wait;
+    const batch = this.wait;
     this.wait = [];
-    const out: unknown[] = [];
-    const before = this.changes();
+    const results: unknown[] = [];
+    const changesBefore = this.changeCount();
     try {
       this.sql.transaction(() => {
-        for (const w of all) out.push(w.fn(this.sql));
+        for (const operation of batch) results.push(operation.run(this.sql));
       })();
-    } catch (e) {
-      this.fail(e as Error, all);
+    } catch (error) {
+      this.fail(error as Error, batch);
       return;
     }
-    const last = (): void => {
+    const complete = (): void => {
       this.state = 'idle';
       this.commits++;
-      this.works += all.length;
-      all.forEach((w, i) => w.res(out[i]));
-      for (const res of this.settles.splice(0)) res();
+      this.operations += batch.length;
+      batch.forEach((operation, i) => operation.resolve(results[i]));
+      for (const resolve of this.syncWaiters.splice(0)) resolve();
     };
-    if (!this.disk || this.changes() === before) {
-      last();
-      this.goOn();
+    if (!this.disk || this.changeCount() === changesBefore) {
+      complete();
+      this.gatherIfPending();
       return;
     }
     this.state = 'syncing';
     this.disk.sync().then(
       () => {
         if (this.state !== 'syncing') return;
-        last();
-        this.tidy();
+        complete();
+        this.maintain();
       },
-      (e) => {
-        if (this.state === 'syncing') this.fail(e as Error, all);
+      (error) => {
+        if (this.state === 'syncing') this.fail(error as Error, batch);
       },
     );
   }
 
-  private goOn(): void {
+  private gatherIfPending(): void {
     if (this.wait.length) this.gather();
   }
 
-  private tidy(): void {
-    const p = this.disk?.tidy();
-    if (!p) {
-      this.goOn();
+  private maintain(): void {
+    const maintenance = this.disk?.maintain();
+    if (!maintenance) {
+      this.gatherIfPending();
       return;
     }
-    this.state = 'tidying';
-    p.then(
+    this.state = 'maintaining';
+    maintenance.then(
       () => {
-        if (this.state === 'tidying') {
+        if (this.state === 'maintaining') {
           this.state = 'idle';
-          this.goOn();
+          this.gatherIfPending();
         }
       },
-      (e) => {
-        if (this.state === 'tidying') this.fail(e as Error, this.wait.splice(0));
+      (error) => {
+        if (this.state === 'maintaining') this.fail(error as Error, this.wait.splice(0));
       },
     );
   }
 
-  /** What the work changed in memory may now differ from the disk: stop, and start again from the disk. */
-  private fail(e: Error, all: { rej: (e: unknown) => void }[]): void {
-    this.state = 'dead';
-    this.onFault(e);
-    for (const w of all)
-      w.rej(new HarecrossError({ tag: 'disk_ill', step: 'commit', peer: this.self, detail: e.message }));
+  /** Closes after a fault. The state in memory may now differ from the disk, so the process must restart from the disk. */
+  private fail(error: Error, batch: { reject: (error: unknown) => void }[]): void {
+    this.state = 'closed';
+    this.onFault(error);
+    for (const operation of batch)
+      operation.reject(new HarecrossError({ tag: 'disk_ill', step: 'commit', peer: this.self, detail: error.message }));
   }
 
-  /** Drops what was not yet synced, as a loss of power would. */
+  /** Discards what has not been synced, as a power loss would. */
   drop(): void {
-    this.state = 'dead';
+    this.state = 'closed';
     this.wait = [];
   }
 
-  /** Runs what still waits, and closes the database, which syncs it. */
+  /** Runs the pending operations and closes the database, which syncs them. */
   close(): void {
     const { disk } = this;
     this.disk = undefined;
-    if (this.state !== 'dead' && this.wait.length) this.flush();
-    this.state = 'dead';
+    if (this.state !== 'closed' && this.wait.length) this.flush();
+    this.state = 'closed';
     if (disk) disk.close(this.sql);
     else this.sql.close();
   }
--- a/packages/kernel/src/fault.ts
+++ b/packages/kernel/src/fault.ts
@@ -1,4 +1,4 @@
-/** Errors as a tagged union. Each carries the step at which it arose and the peer it arose with. */
+/** Details of an error, as a tagged union. Each carries the step that failed and the peer involved. */
 export type ErrorDetails =
   | { tag: 'unreachable'; step: string; peer: string; detail: string }
   | { tag: 'timeout'; step: string; peer: string }
@@ -17,7 +17,7 @@
   | { tag: 'too_large'; step: string; peer: string; limit: number }
   | { tag: 'stale_seq'; step: string; peer: string; last: number }
   | { tag: 'outcome_unknown'; step: string; peer: string; retryAfterMs: number }
-  /** `revision`: the one in force, where the order had one. */
+  /** `revision`: the revision in force, if the submission had one. */
   | { tag: 'conflict'; step: string; peer: string; version: number; revision?: number }
   | { tag: 'invalid_config'; step: string; peer: string; faults: { path: string; fault: string }[] }
   | { tag: 'no_majority'; step: string; peer: string; detail: string }
@@ -26,31 +26,31 @@
   | { tag: 'internal'; step: string; peer: string; detail: string };
 
 /**
- * The one Error class; the matter is in `fault`.
+ * The error class of the system; `details` tells the kinds of error apart.
  * @example
- * throw new Failure({ tag: 'timeout', step: 'append', peer: '127.0.0.1:7101' });
+ * throw new HarecrossError({ tag: 'timeout', step: 'append', peer: '127.0.0.1:7101' });
  */
 export class HarecrossError extends Error {
   constructor(readonly details: ErrorDetails) {
     super(`${details.tag} at ${details.step} (${details.peer})${'detail' in details ? `: ${details.detail}` : ''}`);
-    this.name = 'Failure';
+    this.name = 'HarecrossError';
   }
 }
 
 /**
- * The fault in anything thrown; foreign errors become `internal`.
+ * The details of anything thrown; errors of other classes become `internal`.
  * @example
- * try { await call() } catch (e) { switch (faultOf(e, 'call', peer).tag) { case 'timeout': retry() } }
+ * try { await call() } catch (error) { switch (toErrorDetails(error, 'call', peer).tag) { case 'timeout': retry() } }
  */
-export function toErrorDetails(e: unknown, step: string, peer: string): ErrorDetails {
-  if (e instanceof HarecrossError) return e.details;
-  return { tag: 'internal', step, peer, detail: e instanceof Error ? e.message : String(e) };
+export function toErrorDetails(error: unknown, step: string, peer: string): ErrorDetails {
+  if (error instanceof HarecrossError) return error.details;
+  return { tag: 'internal', step, peer, detail: error instanceof Error ? error.message : String(error) };
 }
 
 /**
- * For the default branch of exhaustive switches.
+ * For the default branch of exhaustive switches: does not compile if a case is missing, and throws if it is reached.
  * @example
- * switch (x.tag) { case 'a': return 1; default: return never(x) }
+ * switch (x.tag) { case 'a': return 1; default: return assertNever(x) }
  */
 export function assertNever(x: never): never {
   throw new Error(`unreachable: ${JSON.stringify(x)}`);
--- a/packages/kernel/src/host.ts
+++ b/packages/kernel/src/host.ts
@@ -1,41 +1,41 @@
 import type { SyncedDatabase } from './disk.js';
 
-/** What a node gets from its surroundings. The real one and the simulator's stand behind the same face. */
+/** Clock of a node. Like the other parts of a `Host`, it has a real implementation and one in the simulator. */
 export interface Clock {
-  /** Milliseconds that never go back while running; may differ from other machines' by any amount. */
+  /** Monotonic time in ms; may differ from the clocks of other machines by any amount. */
   now(): number;
-  /** Ms since 1970 as the machine has it now; may be corrected while running. For what people plan by the clock. */
+  /** The machine's wall-clock time in ms since 1970, which may be adjusted while the process runs. For times that operators schedule. */
   wall(): number;
-  /** Runs fn after ms; the result cancels. */
+  /** Runs `fn` after `ms`; the returned function cancels it. */
   after(ms: number, fn: () => void): () => void;
 }
 
 export interface RandomSource {
-  /** In [0, 1). */
+  /** A random number in [0, 1). */
   next(): number;
 }
 
-/** What the net tells of itself beside answers. */
+/** Callbacks for events of the network other than answers. */
 export interface NetEvents {
-  /** A connection to this peer broke that was whole: its process may have ended. */
+  /** An established connection to this peer broke: the peer's process may have ended. */
   broken(peer: string): void;
   count(name: string): void;
 }
 
 /**
- * Splits an address; the caller has checked it.
+ * Splits an `ip:port` address, which the caller has validated.
  * @example
- * addr('127.0.0.1:7101'); // { host: '127.0.0.1', port: 7101 }
+ * parseAddress('127.0.0.1:7101'); // { host: '127.0.0.1', port: 7101 }
  */
-export function parseAddress(a: string): { host: string; port: number } {
-  const i = a.lastIndexOf(':');
-  return { host: a.slice(0, i), port: Number(a.slice(i + 1)) };
+export function parseAddress(address: string): { host: string; port: number } {
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
 export interface Net {
-  /** Serves peer frames at our address. A handler that rejects ends the connection: the frame was not a peer's. */
-  serve(handle: (frame: string) => Promise<string>, news?: NetEvents): Promise<void>;
-  /** One visit to a peer. Fails with `unreachable` only if the peer surely never saw it. */
+  /** Serves frames of peers at the node's address. If the handler rejects, the connection is closed: the frame did not come from a peer. */
+  serve(handle: (frame: string) => Promise<string>, events?: NetEvents): Promise<void>;
+  /** Sends one request to a peer. Fails with `unreachable` only if the request certainly did not reach the peer. */
   call(peer: string, frame: string, timeoutMs: number): Promise<string>;
   close(): Promise<void>;
 }
@@ -47,45 +47,46 @@
 
 export type Role = 'relay' | 'store' | 'control';
 
-/** What a node's disk may be used for: a seat of the register, copies of shards. */
+/** What a node's disk may be used for: `seat` is a voter of the register, `copies` are replicas of shards. */
 export type DiskUse = 'seat' | 'copies';
 
-/** A process's own config (its place), checked by `readNodeConfig`. */
+/** The config of one process, validated by `readNodeConfig`. */
 export interface NodeConfig {
   role: Role;
   domain: string;
-  /** Where peers reach us, ip:port. Also our name. */
+  /** Address for RPCs between nodes, ip:port. Also identifies the node. */
   peer: string;
-  /** Where consumers and operators reach us, ip:port. */
+  /** Address for consumers and operators, ip:port. */
   client: string;
   seeds: string[];
-  /** Folder for everything lasting; a node without one keeps no copies. */
+  /** Folder for all persistent data; a node without one keeps no replicas. */
   data?: string;
-  /** The machine's name, by which operators call it; its peer address where left out. */
+  /** Name of the machine for operators; defaults to its peer address. */
   name?: string;
-  /** What the disk is for, in order; copies, then a seat where left out, but a control node's is for a seat only. */
+  /** Uses of the disk, in order of preference. Defaults to `copies`, then `seat`; on a control node to `seat` only. */
   diskUses?: DiskUse[];
   /**
-   * Machines with a disk that may be lost at once while nothing is lost: sets the replicas of a shard where the
-   * configuration doesn't, and the voters.
+   * Machines with a disk that may fail at once without loss of data. Determines the number of voters, and the number of replicas of a
+   * shard where the configuration does not set it.
    */
   losses?: number;
-  /** Failure domains that may be lost at once instead, with all machines in them. */
+  /** Failure domains that may alternatively fail at once, with all machines in them. */
   domainLosses?: number;
-  /** Regions that may be lost at once instead, with all machines in them. */
+  /** Regions that may alternatively fail at once, with all machines in them. */
   regionLosses?: number;
-  /** The region of each failure domain of the deployment; needed where domains or regions may be lost. */
+  /** The region of each failure domain of the deployment; required with `domainLosses` or `regionLosses`. */
   domains?: Record<string, string>;
-  /** A change of configuration is in force within this time (ms) after it was acknowledged, or the node silent. */
+  /** Within this time (ms) after a change of configuration was acknowledged, it is in force at the node or the node does not serve. */
   applyMs?: number;
-  /** Whether this is the very first start of the whole fleet; false forbids founding. Unknown where left out. */
+  /** Whether this is the first start of the whole fleet; `false` forbids bootstrapping one. Unknown if omitted. */
   firstStart?: boolean;
-  /** Consumers that say nothing check in at least this often (s). */
+  /** Consumers without other traffic ping at least this often (s). */
   pingS?: number;
-  /** From SIGTERM to the end (ms); the hard kill must come later. */
+  /** Time from SIGTERM to the exit of the process (ms); SIGKILL must come later. */
   stopMs?: number;
 }
 
+/** The environment of a node: clock, randomness, network, log, config and disk. */
 export interface Host {
   clock: Clock;
   random: RandomSource;
@@ -93,38 +94,38 @@
   log: Log;
   config: NodeConfig;
   db?: SyncedDatabase;
-  /** Ends the process; for faults it must not serve with. */
+  /** Ends the process; for faults with which it must not serve requests. */
   terminate(reason: string): void;
 }
 
 /**
- * A random whole number below n.
+ * A random integer in [0, n).
  * @example
- * const i = below(random, 3); // 0, 1 or 2
+ * const i = randomInt(random, 3); // 0, 1 or 2
  */
 export function randomInt(random: RandomSource, n: number): number {
   return Math.floor(random.next() * n);
 }
 
 /**
- * Up to n different items in random order.
+ * Up to n distinct items in random order.
  * @example
- * sample(random, ['a', 'b', 'c'], 2); // ['c', 'a']
+ * randomSample(random, ['a', 'b', 'c'], 2); // ['c', 'a']
  */
-export function randomSample<T>(random: RandomSource, xs: readonly T[], n: number): T[] {
-  const a = [...xs];
-  const k = Math.min(n, a.length);
-  for (let i = 0; i < k; i++) {
-    const j = i + randomInt(random, a.length - i);
-    [a[i], a[j]] = [a[j]!, a[i]!];
+export function randomSample<T>(random: RandomSource, items: readonly T[], n: number): T[] {
+  const shuffled = [...items];
+  const count = Math.min(n, shuffled.length);
+  for (let i = 0; i < count; i++) {
+    const j = i + randomInt(random, shuffled.length - i);
+    [shuffled[i], shuffled[j]] = [shuffled[j]!, shuffled[i]!];
   }
-  return a.slice(0, k);
+  return shuffled.slice(0, count);
 }
 
 /**
- * A time to come back, spread over [ms, 2 ms).
+ * A retry delay with jitter, uniformly distributed over [ms, 2 * ms).
  * @example
- * retryAfter(random, 400); // 613
+ * jitteredRetryMs(random, 400); // 613
  */
 export function jitteredRetryMs(random: RandomSource, ms: number): number {
   return Math.round(ms * (1 + random.next()));
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -1,4 +1,4 @@
-/** The kernel of a node: its services, its phase, its counters, and the calls between nodes. One loop, one thread. */
+/** The kernel of a node: its services, lifecycle phase, counters, and RPCs between nodes. One event loop, one thread. */
 import { Subject, type Subscription } from 'rxjs';
 import { MEMBERSHIP } from './constants.js';
 import { toErrorDetails } from './fault.js';
@@ -6,20 +6,20 @@
 import type { Host } from './host.js';
 import { IndirectCalls } from './indirect-calls.js';
 import type { PeerRpc } from './peer-rpcs.js';
-import { pluginNamed, type ServiceRegistry } from './plugins.js';
+import { getPlugin, type ServiceRegistry } from './plugins.js';
 import { RpcEndpoint, type Handler } from './rpc-endpoint.js';
 
-/** What a process does: it starts, serves, drains after a stop signal, and has stopped. */
+/** Lifecycle of a process: it starts, serves, drains after a stop signal, and has stopped. */
 export type Phase = 'starting' | 'running' | 'draining' | 'stopped';
 
-/** Digits of an instance id's time: ids compare as strings. */
+/** Digits of the time in an instance id, zero-padded because ids are compared as strings. */
 const INSTANCE_DIGITS = 15;
-/** The random part of an instance id is a number below this. */
+/** Upper bound (exclusive) of the random part of an instance id. */
 const INSTANCE_RANDOM_RANGE = 1e9;
 const INSTANCE_RANDOM_RADIX = 36;
 
 /**
- * The kernel of a node.
+ * The kernel of a node: loads its plug-ins and connects their services with the network, the disk and the clock of the host.
  * @example
  * const kernel = new Kernel(host);
  * await kernel.boot(['membership', 'register']);
@@ -28,33 +28,33 @@
 export class Kernel {
   readonly counters = new Map<string, number>();
   readonly phase$ = new Subject<Phase>();
-  /** Fires when our own loop stood still for long, with how long (ms): ownership is in doubt until confirmed. */
+  /** Emits the length (ms) of a stall of the local event loop once it is over: ownership is in doubt until confirmed. */
   readonly loopResumed$ = new Subject<number>();
-  /** Highest revision of the agreed value that we have in force; goes with every frame. */
+  /** Highest revision of the register's value in force at this node; sent with every frame. */
   rev = 0;
-  /** Called with every revision seen on a peer's frame that is above ours. */
+  /** Called when a peer's frame carries a newer revision than this node has. */
   onNewerRevision: (revision: number, peer: string) => Promise<void> = async () => {};
-  /** Called with every frame of a peer; its instance is known only on its own requests. */
+  /** Called for every frame of a peer. The instance id is known only for the peer's own requests. */
   onSignOfLife: (peer: string, instanceId?: string) => void = () => {};
-  /** Called when a peer surely did not get a request; speeds up suspicion. */
+  /** Called when a request certainly did not reach a peer, so that the peer is suspected sooner. */
   onUnreachable: (peer: string) => void = () => {};
-  /** Called when a whole connection to a peer broke; its process may have ended. */
+  /** Called when an established connection to a peer broke; the peer's process may have ended. */
   onConnectionLost: (peer: string) => void = () => {};
-  /** Live members that may carry a call to a peer in our place. */
+  /** Live members that may relay a call to a peer on behalf of this node. */
   intermediariesTo: (peer: string) => string[] = () => [];
   phase: Phase = 'starting';
-  /** Our address for calls between nodes. */
+  /** Address of this node for RPCs between nodes. */
   readonly self: string;
-  /** Id of this process; later processes at the same address have higher ones. */
+  /** Id of this process. Later processes at the same address have greater ids. */
   instanceId: string;
-  /** When this process began, by our clock. */
+  /** When this process started, by its own clock. */
   readonly startedAt: number;
   private readonly services = new Map<string, unknown>();
   private readonly subscriptions: Subscription[] = [];
   private readonly stopHooks: (() => void | Promise<void>)[] = [];
   private readonly rpc: RpcEndpoint;
   private readonly indirectCalls: IndirectCalls;
-  /** When our loop last came round, and when it last came round after it had stood still. */
+  /** When the event loop last ran the watchdog, and when it last did so after a stall. */
   private loopTickedAt = -Infinity;
   private loopResumedAt = -Infinity;
 
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Others know an earlier process at our address under a later instance id: our machine's clock went back. We take
-   * an id above it, or they would go on believing the dead one.
+   * Takes an instance id above the given one of an earlier process at the same address. The earlier id is greater when the machine's
+   * clock was set back, and without a new id the other nodes would continue to trust the dead process.
    */
   supersedeInstance(instanceId: string): void {
     if (instanceId < this.instanceId) return;
@@ -91,7 +91,7 @@
     this.incrementCounter('instance.outlived');
   }
 
-  /** Sets up the services, serves the calls of other nodes, and runs. */
+  /** Sets up the services, starts to serve the RPCs of other nodes, and enters the phase `running`. */
   async boot(names: (keyof ServiceRegistry)[]): Promise<void> {
     for (const name of names) await this.load(name);
     await this.host.net.serve((frame) => this.rpc.handleFrame(frame), {
@@ -99,11 +99,11 @@
       count: (name) => this.incrementCounter(name),
     });
     this.loopTickedAt = this.host.clock.now();
-    this.addSubscription(periodicTicks(this.host.clock, MEMBERSHIP.loopTickMs).subscribe(() => this.loopTicked()));
+    this.addSubscription(periodicTicks(this.host.clock, MEMBERSHIP.loopTickMs).subscribe(() => this.checkLoopStall()));
     this.setPhase('running');
   }
 
-  private loopTicked(): void {
+  private checkLoopStall(): void {
     const now = this.host.clock.now();
     const gapMs = now - this.loopTickedAt;
     this.loopTickedAt = now;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Whether this process stands still no more only since a moment ago: what it reads now may have waited in a buffer for as long as
-   * that took, and who sent it may have gone elsewhere. Asks the steady clock, as the loop itself may not have come round yet.
+   * Whether this process has just resumed after a stall. Whatever it reads now may have been buffered for the length of the stall, and
+   * its sender may have turned to another node. Compares with the clock, because the watchdog may not have run since the stall.
    */
   resumedRecently(): boolean {
     const now = this.host.clock.now();
@@ -124,12 +124,12 @@
 
   private async load(name: string): Promise<void> {
     if (this.services.has(name)) return;
-    const plugin = pluginNamed(name);
-    for (const needed of plugin.needs) await this.load(needed);
+    const plugin = getPlugin(name);
+    for (const dependency of plugin.needs) await this.load(dependency);
     this.services.set(name, await plugin.setup(this));
   }
 
-  /** A service of this node. Throws where it was not set up. */
+  /** Returns a service of this node. Throws if its plug-in is not loaded. */
   use<K extends keyof ServiceRegistry>(name: K): ServiceRegistry[K] {
     const service = this.services.get(name);
     if (service === undefined) throw new Error(`plug-in ${String(name)} is not loaded`);
@@ -140,7 +140,7 @@
     return this.services.has(name);
   }
 
-  /** The one function that changes the phase. */
+  /** The only function that changes the phase. Has no effect once the phase is `stopped`. */
   setPhase(phase: Phase): void {
     if (this.phase === phase || this.phase === 'stopped') return;
     this.host.log.info(`phase ${this.phase} -> ${phase}`);
@@ -148,24 +148,24 @@
     this.phase$.next(phase);
   }
 
-  /** Has a subscription ended at the stop. */
+  /** Registers a subscription that ends when the kernel stops. */
   addSubscription(subscription: Subscription): void {
     this.subscriptions.push(subscription);
   }
 
-  /** Run at stop, last added first. */
+  /** Registers a hook to run at the stop, in reverse order of registration. */
   onStop(hook: () => void | Promise<void>): void {
     this.stopHooks.push(hook);
   }
 
-  /** Runs the stop hooks, and lets go of the net and the disk. */
+  /** Runs the stop hooks, then closes the network and the database. A hook that fails is logged and does not stop the others. */
   async stop(): Promise<void> {
     this.setPhase('draining');
     for (const hook of [...this.stopHooks].reverse()) {
       try {
         await hook();
       } catch (error) {
-        this.host.log.warn('stop step failed', { fault: toErrorDetails(error, 'stop', this.self) });
+        this.host.log.warn('stop hook failed', { fault: toErrorDetails(error, 'stop', this.self) });
       }
     }
     this.stopLoops();
@@ -173,7 +173,7 @@
     this.host.db?.close();
   }
 
-  /** Ends all loops at once, without goodbye. */
+  /** Ends all periodic work at once, without running the stop hooks or telling other nodes. */
   stopLoops(): void {
     for (const subscription of this.subscriptions) subscription.unsubscribe();
     this.setPhase('stopped');
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Serves an RPC between nodes. With `needsCurrentValue`, a request from a peer that knows a newer value waits until we have it too.
-   * Throws for one that the table of RPCs does not have, or that is served already.
+   * Registers the handler of an RPC between nodes. With `needsCurrentValue`, a request from a peer that knows a newer value of the
+   * register waits until this node has it too. Throws for an RPC that is not in the table of RPCs or that already has a handler.
    */
   on<Body>(method: PeerRpc, handler: Handler<Body>, needsCurrentValue = false): void {
     this.rpc.register(method, handler as Handler, needsCurrentValue);
@@ -196,13 +196,13 @@
     return this.rpc.methods();
   }
 
-  /** Calls a peer. A call to ourselves takes the same way without the net. */
+  /** Calls a peer. A call to this node itself takes the same path without the network. */
   call<T = unknown>(peer: string, method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T> {
     return this.rpc.call<T>(peer, method, body, timeoutMs);
   }
 
   /**
-   * The same request to several other peers, made into text once.
+   * Sends the same request to several other peers and serializes it only once.
    * @example
    * await Promise.allSettled(kernel.callEach(peers, 'News', { items }));
    */
@@ -210,7 +210,7 @@
     return this.rpc.callEach<T>(peers, method, body, timeoutMs);
   }
 
-  /** Calls a peer, through another member while our own link to it is broken. */
+  /** Calls a peer, through another member while the direct link to it is broken. */
   callAnyPath<T = unknown>(
     peer: string,
     method: PeerRpc,
@@ -220,17 +220,17 @@
     return this.indirectCalls.call<T>(peer, method, body, timeoutMs);
   }
 
-  /** A peer to which our own link was just found broken: calls under way there get no answer. */
+  /** Emits a peer when the direct link to it is found broken: calls in progress there will get no answer. */
   get linkBroken$(): Subject<string> {
     return this.indirectCalls.linkBroken$;
   }
 
-  /** Whether our own link to a peer is not known to be broken. */
+  /** Whether the direct link to a peer is not known to be broken. */
   isLinkHealthy(peer: string): boolean {
     return this.indirectCalls.isLinkHealthy(peer);
   }
 
-  /** Calls our own link to a peer broken, until a direct ping is answered or the peer is no longer there. */
+  /** Marks the direct link to a peer as broken until a direct ping is answered or the peer is gone. */
   markLinkBroken(peer: string): void {
     this.indirectCalls.markLinkBroken(peer);
   }
--- a/packages/kernel/src/node-config.ts
+++ b/packages/kernel/src/node-config.ts
@@ -6,7 +6,7 @@
 
 const Address = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
 
-/** Schema of a process's config file. */
+/** Schema of the config file of a process. */
 export const NodeConfigSchema = Type.Object(
   {
     role: Type.Optional(Type.Union([Type.Literal('relay'), Type.Literal('store'), Type.Literal('control')])),
@@ -30,9 +30,9 @@
   },
   { additionalProperties: false },
 );
-const check = Compile(NodeConfigSchema);
+const validator = Compile(NodeConfigSchema);
 
-/** What the validator tells of one place, as far as it is used here. */
+/** The part of a validation error that is used here. */
 interface SchemaError {
   instancePath: string;
   message: string;
@@ -40,78 +40,78 @@
 }
 
 /**
- * Why a value is not a NodeConfig, one clear line; undefined when it is one.
+ * Describes in one line why a value is not a valid NodeConfig; undefined if it is valid.
  * @example
- * faultInConfig({ domain: 'kaolack' }); // 'peer: required'
+ * findConfigError({ domain: 'kaolack' }); // 'peer: missing'
  */
-export function faultInConfig(x: unknown): string | undefined {
-  if (!check.Check(x)) {
-    const es = check.Errors(x) as SchemaError[];
-    const e = es[0];
-    const miss = e?.params?.requiredProperties?.[0];
-    const extra = e?.params?.additionalProperties?.[0];
-    if (miss) return `${miss}: missing`;
-    if (extra) return `${extra}: unknown key`;
-    const at = e?.instancePath.replace(/^\//, '').replaceAll('/', '.') || 'config';
-    return `${at}: ${e?.message === 'schema is false' ? 'unknown key' : (e?.message ?? 'invalid')}`;
+export function faultInConfig(value: unknown): string | undefined {
+  if (!validator.Check(value)) {
+    const errors = validator.Errors(value) as SchemaError[];
+    const error = errors[0];
+    const missingKey = error?.params?.requiredProperties?.[0];
+    const unknownKey = error?.params?.additionalProperties?.[0];
+    if (missingKey) return `${missingKey}: missing`;
+    if (unknownKey) return `${unknownKey}: unknown key`;
+    const path = error?.instancePath.replace(/^\//, '').replaceAll('/', '.') || 'config';
+    return `${path}: ${error?.message === 'schema is false' ? 'unknown key' : (error?.message ?? 'invalid')}`;
   }
-  const c = x as NodeConfig;
-  for (const [k, a] of [['peer', c.peer], ['client', c.client], ...c.seeds.map((s, i) => [`seeds.${i}`, s])] as [
-    string,
-    string,
-  ][]) {
-    const [ip, port] = a.split(':') as [string, string];
-    if (ip.split('.').some((n) => Number(n) > 255)) return `${k}: '${a}' is not an IP address and port`;
-    if (Number(port) < 1 || Number(port) > 65535) return `${k}: port ${port} is out of range 1..65535`;
+  const config = value as NodeConfig;
+  for (const [key, address] of [
+    ['peer', config.peer],
+    ['client', config.client],
+    ...config.seeds.map((seed, i) => [`seeds.${i}`, seed]),
+  ] as [string, string][]) {
+    const [ip, port] = address.split(':') as [string, string];
+    if (ip.split('.').some((octet) => Number(octet) > 255)) return `${key}: '${address}' is not an IP address and port`;
+    if (Number(port) < 1 || Number(port) > 65535) return `${key}: port ${port} is out of range 1..65535`;
   }
-  if (c.peer === c.client) return 'peer and client: must be two different addresses';
-  return faultInTolerance(c);
+  if (config.peer === config.client) return 'peer and client: must be two different addresses';
+  return faultInTolerance(config);
 }
 
 /**
- * Reads a config file and lays flags over it. Throws an Error with one clear line.
+ * Reads a config file and overrides its values with the given flags. Throws an Error with a one-line message if the result is invalid.
  * @example
- * const c = readNodeConfig('store', 'store-1.json', { domain: 'fatick' });
+ * const config = readNodeConfig('store', 'store-1.json', { domain: 'fatick' });
  */
 export function readNodeConfig(role: Role, file: string | undefined, flags: Partial<NodeConfig>): NodeConfig {
-  let base: Record<string, unknown> = {};
+  let fromFile: Record<string, unknown> = {};
   if (file) {
     try {
-      base = JSON.parse(readFileSync(file, 'utf8'));
-    } catch (e) {
-      throw new Error(`${file}: ${e instanceof Error ? e.message : String(e)}`);
+      fromFile = JSON.parse(readFileSync(file, 'utf8'));
+    } catch (error) {
+      throw new Error(`${file}: ${error instanceof Error ? error.message : String(error)}`);
     }
-    if (typeof base !== 'object' || base === null || Array.isArray(base))
+    if (typeof fromFile !== 'object' || fromFile === null || Array.isArray(fromFile))
       throw new Error(`${file}: must hold a JSON object`);
   }
-  const x: Record<string, unknown> = { ...base };
-  for (const [k, v] of Object.entries(flags)) if (v !== undefined) x[k] = v;
-  return checkedNodeConfig(role, x, file);
+  const merged: Record<string, unknown> = { ...fromFile };
+  for (const [key, value] of Object.entries(flags)) if (value !== undefined) merged[key] = value;
+  return checkedNodeConfig(role, merged, file);
 }
 
 /**
- * A value as the config of a node of this role; throws an Error with one clear line. `from` names where the value came
- * from.
+ * Validates a value as the config of a node of this role. Throws an Error with a one-line message, which starts with `source` if given.
  * @example
- * const c = checkedNodeConfig('relay', { domain: 'fatick', peer, client, seeds }, 'relay-11.json');
+ * const config = validateNodeConfig('relay', { domain: 'fatick', peer, client, seeds }, 'relay-11.json');
  */
-export function checkedNodeConfig(role: Role, x: Record<string, unknown>, from?: string): NodeConfig {
-  const f = faultInConfig(x);
-  if (f) throw new Error(from ? `${from}: ${f}` : f);
-  if (x.role !== undefined && x.role !== role)
-    throw new Error(`role: '${x.role as string}' in the config, but this program is '${role}'`);
-  if (role !== 'relay' && !x.data) throw new Error(`data: a ${role} needs a data folder`);
-  if ((x.seeds as string[]).includes(x.peer as string) && !x.data) {
+export function checkedNodeConfig(role: Role, value: Record<string, unknown>, source?: string): NodeConfig {
+  const error = faultInConfig(value);
+  if (error) throw new Error(source ? `${source}: ${error}` : error);
+  if (value.role !== undefined && value.role !== role)
+    throw new Error(`role: '${value.role as string}' in the config, but this program is '${role}'`);
+  if (role !== 'relay' && !value.data) throw new Error(`data: a ${role} needs a data folder`);
+  if ((value.seeds as string[]).includes(value.peer as string) && !value.data) {
     throw new Error('data: this machine is a seed, and seeds need a data folder to found the fleet');
   }
-  return { ...(x as unknown as NodeConfig), role };
+  return { ...(value as unknown as NodeConfig), role };
 }
 
 /**
- * What a node's disk is for, what it is for first standing first.
+ * The uses of a node's disk, in order of preference.
  * @example
  * diskUsesOf({ role: 'control', ... }); // ['seat']
  */
-export function diskUsesOf(c: NodeConfig): DiskUse[] {
-  return c.diskUses ?? (c.role === 'control' ? ['seat'] : ['copies', 'seat']);
+export function diskUsesOf(config: NodeConfig): DiskUse[] {
+  return config.diskUses ?? (config.role === 'control' ? ['seat'] : ['copies', 'seat']);
 }
--- a/packages/kernel/src/plugins.ts
+++ b/packages/kernel/src/plugins.ts
@@ -1,13 +1,13 @@
-/** Plug-ins: the services of a node, each set up once, after those that it needs. */
+/** Plug-ins: each sets up one service of a node, once, after the services it depends on. */
 import type { Kernel } from './kernel.js';
 
-/** The services of a node by name. Plug-ins add theirs by declaration merging, so that `Kernel.use` is typed. */
+/** The services of a node by name. Plug-ins add theirs by declaration merging, which gives `Kernel.use` its types. */
 export interface ServiceRegistry {}
 
 /** Sets up one service of a node. */
 export interface Plugin<K extends keyof ServiceRegistry = keyof ServiceRegistry> {
   name: K;
-  /** Services that are set up before. */
+  /** Services that must be set up before this one. */
   needs: (keyof ServiceRegistry)[];
   setup(kernel: Kernel): ServiceRegistry[K] | Promise<ServiceRegistry[K]>;
 }
@@ -15,7 +15,7 @@
 const registeredPlugins = new Map<string, Plugin<never>>();
 
 /**
- * Plug-ins call this when their module loads; a program picks by name which of them it runs.
+ * Registers a plug-in; called when its module loads. A program selects by name which plug-ins it runs.
  * @example
  * registerPlugin({ name: 'membership', needs: [], setup: (kernel) => new MembershipTable(kernel) });
  */
@@ -23,9 +23,9 @@
   registeredPlugins.set(plugin.name, plugin as unknown as Plugin<never>);
 }
 
-/** The plug-in of this name. Throws where none is registered. */
-export function pluginNamed(name: string): Plugin<never> {
+/** Returns the plug-in of this name. Throws if none is registered. */
+export function getPlugin(name: string): Plugin<never> {
   const plugin = registeredPlugins.get(name);
-  if (!plugin) throw new Error(`no plug-in ${name}`);
+  if (!plugin) throw new Error(`plug-in ${name} is not registered`);
   return plugin;
 }
--- a/packages/kernel/src/real.ts
+++ b/packages/kernel/src/real.ts
@@ -8,74 +8,76 @@
 import type { Clock, Host, Log, NodeConfig } from './host.js';
 import { peerNet } from './peer-net.js';
 
-/** The machine's own clock: a wall-clock start, then monotonic. */
+/** The machine's clock: starts from wall-clock time and is monotonic from then on. */
 export const realClock: Clock = {
   now: () => performance.timeOrigin + performance.now(),
   wall: () => Date.now(),
   after: (ms, fn) => {
-    // At the end of this turn of the loop, when all that it brought is read.
+    // Runs at the end of this turn of the event loop, once all input of the turn has been read.
     if (ms <= 0) {
-      const i = setImmediate(fn);
-      return () => clearImmediate(i);
+      const immediate = setImmediate(fn);
+      return () => clearImmediate(immediate);
     }
-    const t = setTimeout(fn, ms);
-    return () => clearTimeout(t);
+    const timer = setTimeout(fn, ms);
+    return () => clearTimeout(timer);
   },
 };
 
 /**
- * Counters first: a line only for a change of state.
+ * Writes log lines to standard output. Only changes of state are logged; what happens often is counted instead.
  * @example
- * consolaLog('127.0.0.1:7101').info('owner of shard 3', { fence });
+ * createLog('127.0.0.1:7101').info('owner of shard 3', { fence });
  */
-export function consolaLog(name: string): Log {
-  // Level and form are ours to say: left alone, consola changes both where CI or test variables are set.
-  const c = createConsola({
+export function createLog(name: string): Log {
+  // Level and format are set explicitly, because consola's defaults for both depend on CI and test environment variables.
+  const logger = createConsola({
     level: 3,
     reporters: [
       {
-        log: (o) => {
-          process.stdout.write(`${o.date.toISOString()} ${o.type} ${o.tag} ${o.args.join(' ')}\n`);
+        log: (entry) => {
+          process.stdout.write(`${entry.date.toISOString()} ${entry.type} ${entry.tag} ${entry.args.join(' ')}\n`);
         },
       },
     ],
   }).withTag(name);
   return {
-    info: (line, data) => (data ? c.info(line, JSON.stringify(data)) : c.info(line)),
-    warn: (line, data) => (data ? c.warn(line, JSON.stringify(data)) : c.warn(line)),
+    info: (line, data) => (data ? logger.info(line, JSON.stringify(data)) : logger.info(line)),
+    warn: (line, data) => (data ? logger.warn(line, JSON.stringify(data)) : logger.warn(line)),
   };
 }
 
-/** Whether a database file opens, reads well throughout and takes a write. */
-function tryOpen(file: string): { tag: 'well'; sql: Sql; ms: number } | { tag: 'damaged' | 'unwritable'; why: string } {
+/** Opens a database file, checks its integrity and measures a synced test write (`ms`). */
+function tryOpen(
+  file: string,
+): { tag: 'usable'; sql: Sql; ms: number } | { tag: 'damaged' | 'unwritable'; why: string } {
   let sql: Sql | undefined;
   try {
-    // What the write-ahead log lost in its middle the database would leave out without a word.
-    const lost = findWalCorruption(file);
-    if (lost !== undefined) return { tag: 'damaged', why: lost };
+    // SQLite silently ignores everything in the write-ahead log behind a corrupt frame.
+    const walCorruption = findWalCorruption(file);
+    if (walCorruption !== undefined) return { tag: 'damaged', why: walCorruption };
     sql = new Database(file);
-    // Nobody else opens it: no shared memory file, no mapping, less work at each commit. Must come before the journal
-    // mode.
+    // No other process opens the database, so it needs no shared memory file and no mapping, and a commit is cheaper. Must be set before
+    // the journal mode.
     sql.pragma('locking_mode = EXCLUSIVE');
     sql.pragma('journal_mode = WAL');
     sql.pragma('synchronous = FULL');
-    const said = String(sql.pragma('quick_check(1)', { simple: true })).replaceAll('\n', ' ');
-    if (said !== 'ok') {
+    const checkResult = String(sql.pragma('quick_check(1)', { simple: true })).replaceAll('\n', ' ');
+    if (checkResult !== 'ok') {
       sql.close();
-      return { tag: 'damaged', why: said };
+      return { tag: 'damaged', why: checkResult };
     }
-    const altered = findCorruption(sql);
-    if (altered !== undefined) {
+    const corruption = findCorruption(sql);
+    if (corruption !== undefined) {
       sql.close();
-      return { tag: 'damaged', why: altered };
+      return { tag: 'damaged', why: corruption };
     }
-    // A page that must be written and synced, and is given back.
+    // Test write: the pages have to be written and synced, and are freed again.
     sql.exec('create table if not exists probe (x blob)');
-    const t0 = performance.now();
+    const startedAt = performance.now();
     sql.exec('insert into probe values (zeroblob(65536)); delete from probe;');
-    return { tag: 'well', sql, ms: performance.now() - t0 };
-  } catch (e) {
-    const { code = '', message } = e as Error & { code?: string };
+    return { tag: 'usable', sql, ms: performance.now() - startedAt };
+  } catch (error) {
+    const { code = '', message } = error as Error & { code?: string };
     sql?.close();
     return {
       tag: code === 'SQLITE_NOTADB' || code.startsWith('SQLITE_CORRUPT') ? 'damaged' : 'unwritable',
@@ -84,80 +86,86 @@
   }
 }
 
-/** Resolves when what was written to an open file lasts; another thread waits for the disk. */
+/** Resolves when what was written to an open file is durable. The event loop is not blocked meanwhile. */
 export type SyncFile = (fd: number, file: string) => Promise<void>;
 const syncFile: SyncFile = (fd) =>
-  new Promise((res, rej) => {
-    fdatasync(fd, (e) => (e ? rej(e) : res()));
+  new Promise((resolve, reject) => {
+    fdatasync(fd, (error) => (error ? reject(error) : resolve()));
   });
 
 /**
- * The syncs of a database with a write-ahead log, done by us and off the loop instead of by the database. A commit only
- * writes the log, and lasts once the log is synced. A long log is written back into the database, that is synced, and
- * only then the log is emptied, and that is synced before anything new goes into it: else a loss of power could leave
- * old frames at its beginning.
+ * Syncs a database with a write-ahead log off the event loop, in place of SQLite's own syncs. A commit only writes to the log and is
+ * durable once the log is synced. A long log is checkpointed into the database file, which is synced before the log is truncated. The
+ * truncated log is synced before anything new is written to it: otherwise a power loss could leave old frames at its beginning.
  */
-function ownSyncs(sql: Sql, file: string, sync: SyncFile): DiskSync {
+function asyncDiskSync(sql: Sql, file: string, sync: SyncFile): DiskSync {
   const wal = `${file}-wal`;
-  const [data, log] = [openSync(file, 'r+'), openSync(wal, 'r+')];
+  const [dataFd, walFd] = [openSync(file, 'r+'), openSync(wal, 'r+')];
   let commits = 0;
   sql.pragma('synchronous = OFF');
   sql.pragma('wal_autocheckpoint = 0');
-  const writeBack = async (): Promise<void> => {
-    const [r] = sql.pragma('wal_checkpoint(PASSIVE)') as { busy: number; log: number; checkpointed: number }[];
-    if (!r || r.busy || r.log !== r.checkpointed)
-      throw new Error(`the log could not be written back: ${JSON.stringify(r)}`);
-    await sync(data, file);
+  const checkpoint = async (): Promise<void> => {
+    const [result] = sql.pragma('wal_checkpoint(PASSIVE)') as { busy: number; log: number; checkpointed: number }[];
+    if (!result || result.busy || result.log !== result.checkpointed)
+      throw new Error(`checkpoint of the write-ahead log failed: ${JSON.stringify(result)}`);
+    await sync(dataFd, file);
     sql.pragma('wal_checkpoint(TRUNCATE)');
-    if (fstatSync(log).size) throw new Error('the log could not be emptied');
-    await sync(log, wal);
+    if (fstatSync(walFd).size) throw new Error('the write-ahead log could not be truncated');
+    await sync(walFd, wal);
   };
   return {
-    sync: () => sync(log, wal),
-    tidy: () =>
-      ++commits % PROCESS.walCheckCommits || fstatSync(log).size < PROCESS.walBytes ? undefined : writeBack(),
+    sync: () => sync(walFd, wal),
+    maintain: () =>
+      ++commits % PROCESS.walCheckCommits || fstatSync(walFd).size < PROCESS.walBytes ? undefined : checkpoint(),
     close: (db) => {
       db.pragma('synchronous = FULL');
       db.close();
-      // Not before: closing a file lets go of all locks that the process has on it.
-      closeSync(data);
-      closeSync(log);
+      // Only after the database is closed: closing a file releases all locks that the process holds on it.
+      closeSync(dataFd);
+      closeSync(walFd);
     },
   };
 }
 
 /**
- * Opens the node's database, synced at every commit. A damaged one is moved aside, kept, and replaced by an empty
- * one: an empty disk is a new disk to the fleet, which repairs it from the other copies. Throws when it can't write.
+ * Opens the node's database, which is synced at every commit. A damaged database is renamed, kept, and replaced by an empty one: the fleet
+ * treats an empty disk as a new one and repairs it from the other replicas. Throws if the database cannot be written.
  * @example
- * const db = openDb('/var/lib/harecross', clock, log, (e) => process.exit(3), '10.1.0.4:7100');
+ * const db = openDatabase('/var/lib/harecross', clock, log, (error) => process.exit(3), '10.1.0.4:7100');
  */
 export function openDb(
   folder: string,
   clock: Clock,
   log: Log,
-  onFault: (e: Error) => void,
+  onFault: (error: Error) => void,
   self: string,
   sync: SyncFile = syncFile,
 ): SyncedDatabase {
   mkdirSync(folder, { recursive: true });
   const file = join(folder, 'state.db');
-  let r = tryOpen(file);
-  if (r.tag === 'damaged') {
-    const aside = `${file}.damaged-${Math.floor(clock.now())}`;
-    log.warn(`${file} is damaged (${r.why}); kept as ${aside}, begun anew`);
-    renameSync(file, aside);
-    for (const x of ['-wal', '-shm']) rmSync(file + x, { force: true });
-    r = tryOpen(file);
+  let opened = tryOpen(file);
+  if (opened.tag === 'damaged') {
+    const keptAs = `${file}.damaged-${Math.floor(clock.now())}`;
+    log.warn(`${file} is damaged (${opened.why}); kept as ${keptAs}, starting with an empty database`);
+    renameSync(file, keptAs);
+    for (const suffix of ['-wal', '-shm']) rmSync(file + suffix, { force: true });
+    opened = tryOpen(file);
   }
-  if (r.tag !== 'well') throw new Error(`${file}: ${r.why}`);
-  const db = new SyncedDatabase(r.sql, clock, () => PROCESS.commitMs, onFault, self, ownSyncs(r.sql, file, sync));
-  db.openMs = r.ms;
+  if (opened.tag !== 'usable') throw new Error(`${file}: ${opened.why}`);
+  const db = new SyncedDatabase(
+    opened.sql,
+    clock,
+    () => PROCESS.commitMs,
+    onFault,
+    self,
+    asyncDiskSync(opened.sql, file, sync),
+  );
+  db.openMs = opened.ms;
   return db;
 }
 
 /**
- * Whether the database in a folder can be opened and written to now.
+ * Whether the database in a folder can be used now: opened and written, or replaced by an empty one if it is damaged.
  * @example
  * if (isDiskUsable('/var/lib/harecross')) restart();
  */
@@ -168,18 +176,18 @@
     return false;
   }
   const opened = tryOpen(join(folder, 'state.db'));
-  if (opened.tag === 'well') opened.sql.close();
+  if (opened.tag === 'usable') opened.sql.close();
   return opened.tag !== 'unwritable';
 }
 
 /**
- * The real surroundings of a node.
+ * The environment of a node in production.
  * @example
- * const k = new Kernel(realHost(config));
+ * const kernel = new Kernel(realHost(config));
  */
 export function realHost(config: NodeConfig): Host {
-  const log = consolaLog(config.peer);
-  const die = (reason: string): void => {
+  const log = createLog(config.peer);
+  const terminate = (reason: string): void => {
     log.warn(`stopping: ${reason}`);
     process.exit(3);
   };
@@ -189,16 +197,17 @@
     net: peerNet(config.peer),
     log,
     config,
-    terminate: die,
+    terminate,
   };
   if (config.data) {
     try {
-      host.db = openDb(config.data, realClock, log, (e) => die(`disk fault: ${e.message}`), config.peer);
-    } catch (e) {
-      // What is on the disk counts as there while the process runs: only a relay has anything to do without it, and only until it is back.
-      if (config.role !== 'relay') throw e;
+      host.db = openDb(config.data, realClock, log, (error) => terminate(`disk fault: ${error.message}`), config.peer);
+    } catch (error) {
+      // The fleet relies on what a disk holds while its process runs, so a process does not run without its disk. The exception is a relay,
+      // which can serve without it, and does so until the disk is usable again.
+      if (config.role !== 'relay') throw error;
       log.warn(
-        `the disk cannot be used, going on as a relay without copies until it can: ${e instanceof Error ? e.message : String(e)}`,
+        `the disk cannot be used; running as a relay without replicas until it can: ${error instanceof Error ? error.message : String(error)}`,
       );
     }
   }
--- a/packages/kernel/src/wal.ts
+++ b/packages/kernel/src/wal.ts
@@ -1,70 +1,90 @@
 import { closeSync, existsSync, openSync, readFileSync, readSync } from 'node:fs';
 
-const HEADER = 32;
-const FRAME = 24;
-/** First word of a log, where its checksums are big-endian; one less where they are not. */
+const WAL_HEADER_BYTES = 32;
+const FRAME_HEADER_BYTES = 24;
+/** First word of a log with big-endian checksums; one less in a log with little-endian checksums. */
 const MAGIC = 0x377f0683;
 
-/** The running checksum of SQLite's published WAL format, over big- or little-endian words. */
-function sum(b: Buffer, from: number, to: number, big: boolean, s: [number, number]): [number, number] {
-  let [x, y] = s;
+/** The running checksum of SQLite's documented WAL format, over big- or little-endian words. */
+function updateChecksum(
+  bytes: Buffer,
+  from: number,
+  to: number,
+  bigEndian: boolean,
+  checksum: [number, number],
+): [number, number] {
+  let [x, y] = checksum;
   for (let i = from; i < to; i += 8) {
-    x = (x + (big ? b.readUInt32BE(i) : b.readUInt32LE(i)) + y) >>> 0;
-    y = (y + (big ? b.readUInt32BE(i + 4) : b.readUInt32LE(i + 4)) + x) >>> 0;
+    x = (x + (bigEndian ? bytes.readUInt32BE(i) : bytes.readUInt32LE(i)) + y) >>> 0;
+    y = (y + (bigEndian ? bytes.readUInt32BE(i + 4) : bytes.readUInt32LE(i + 4)) + x) >>> 0;
   }
   return [x, y];
 }
 
-/** Bytes of a page of the database, from its own head. */
-function pageOf(file: string): number {
-  const h = Buffer.alloc(18);
+/** The page size from the header of a database file; 0 if the file is too short. */
+function readPageSize(file: string): number {
+  const header = Buffer.alloc(18);
   const fd = openSync(file, 'r');
   try {
-    if (readSync(fd, h, 0, 18, 0) < 18) return 0;
+    if (readSync(fd, header, 0, 18, 0) < 18) return 0;
   } finally {
     closeSync(fd);
   }
-  const n = h.readUInt16BE(16);
-  return n === 1 ? 65_536 : n;
+  const size = header.readUInt16BE(16);
+  return size === 1 ? 65_536 : size;
 }
 
 /**
- * Why a database's write-ahead log can't be trusted; undefined when it can. The database reads the log up to the first
- * frame whose checksum is wrong and leaves out the rest, as it should after a torn write. But commits are synced one
- * after another: two whole commits behind a wrong frame (or a wrong head) were never torn, and leaving them out would
- * take back what was answered. A wrong frame in the very last commit can't be told from a torn one.
+ * Describes a corruption of a database's write-ahead log; undefined if none is found. SQLite reads the log up to the first frame with a
+ * wrong checksum and ignores the rest, which is right after a torn write. But commits are synced one after another, so if two commits end
+ * at or after a frame (or header) with a wrong checksum, the cause is not a torn write, and ignoring those commits would revoke answers
+ * already given. A corrupt frame in the last commit cannot be distinguished from a torn one.
  * @example
- * wrongInWal('/var/lib/harecross/state.db'); // 'frame 7 of the log is altered, 3 commits are behind it'
+ * findWalCorruption('/var/lib/harecross/state.db'); // 'frame 7 of the write-ahead log is corrupt, and 3 commits end at or after it'
  */
 export function findWalCorruption(file: string): string | undefined {
   const wal = `${file}-wal`;
   if (!existsSync(wal)) return undefined;
-  const b = readFileSync(wal);
-  if (b.length < HEADER) return undefined;
-  const big = (b.readUInt32BE(0) & 1) === 1;
-  let s = sum(b, 0, 24, big, [0, 0]);
-  const headOk = (b.readUInt32BE(0) | 1) === MAGIC && b.readUInt32BE(24) === s[0] && b.readUInt32BE(28) === s[1];
-  // A head that can't be read: frames as long as the database's pages, of the same round as the first.
-  const page = headOk ? b.readUInt32BE(8) : pageOf(file);
-  if (page < 512 || page > 65_536) return 'the head of the log is altered';
-  const salts = headOk ? b.subarray(16, 24) : b.subarray(HEADER + 8, HEADER + 16);
-  let bad = headOk ? -1 : 0;
-  let behind = 0;
-  for (let at = HEADER, i = 1; at + FRAME + page <= b.length; at += FRAME + page, i++) {
-    // Frames of an earlier round of the log have other salts.
-    if (!b.subarray(at + 8, at + 16).equals(salts)) {
-      if (bad < 0) break;
+  const log = readFileSync(wal);
+  if (log.length < WAL_HEADER_BYTES) return undefined;
+  const bigEndian = (log.readUInt32BE(0) & 1) === 1;
+  let checksum = updateChecksum(log, 0, 24, bigEndian, [0, 0]);
+  const headerOk =
+    (log.readUInt32BE(0) | 1) === MAGIC && log.readUInt32BE(24) === checksum[0] && log.readUInt32BE(28) === checksum[1];
+  // With a corrupt header, the page size of the database and the salts of the first frame are assumed.
+  const pageSize = headerOk ? log.readUInt32BE(8) : readPageSize(file);
+  if (pageSize < 512 || pageSize > 65_536) return 'the header of the write-ahead log is corrupt';
+  const salts = headerOk ? log.subarray(16, 24) : log.subarray(WAL_HEADER_BYTES + 8, WAL_HEADER_BYTES + 16);
+  /** Number of the first corrupt frame: 0 stands for the header, -1 for none. */
+  let corruptFrame = headerOk ? -1 : 0;
+  /** Commits that end at or after that frame. */
+  let commitsBehind = 0;
+  for (
+    let offset = WAL_HEADER_BYTES, i = 1;
+    offset + FRAME_HEADER_BYTES + pageSize <= log.length;
+    offset += FRAME_HEADER_BYTES + pageSize, i++
+  ) {
+    // Frames left from before the last restart of the log have other salts.
+    if (!log.subarray(offset + 8, offset + 16).equals(salts)) {
+      if (corruptFrame < 0) break;
       continue;
     }
-    if (bad < 0) {
-      s = sum(b, at, at + 8, big, s);
-      s = sum(b, at + FRAME, at + FRAME + page, big, s);
-      if (b.readUInt32BE(at + 16) !== s[0] || b.readUInt32BE(at + 20) !== s[1]) bad = i;
+    if (corruptFrame < 0) {
+      checksum = updateChecksum(log, offset, offset + 8, bigEndian, checksum);
+      checksum = updateChecksum(
+        log,
+        offset + FRAME_HEADER_BYTES,
+        offset + FRAME_HEADER_BYTES + pageSize,
+        bigEndian,
+        checksum,
+      );
+      if (log.readUInt32BE(offset + 16) !== checksum[0] || log.readUInt32BE(offset + 20) !== checksum[1])
+        corruptFrame = i;
     }
-    if (bad >= 0 && b.readUInt32BE(at + 4) !== 0) behind++;
+    if (corruptFrame >= 0 && log.readUInt32BE(offset + 4) !== 0) commitsBehind++;
   }
-  if (bad < 0 || behind < 2) return undefined;
-  return bad === 0
-    ? `the head of the log is altered, ${behind} commits are behind it`
-    : `frame ${bad} of the log is altered, ${behind} commits are behind it`;
+  if (corruptFrame < 0 || commitsBehind < 2) return undefined;
+  return corruptFrame === 0
+    ? `the header of the write-ahead log is corrupt, and ${commitsBehind} commits end at or after it`
+    : `frame ${corruptFrame} of the write-ahead log is corrupt, and ${commitsBehind} commits end at or after it`;
 }
