--- a/packages/control/src/placement/durability.ts
+++ b/packages/control/src/placement/durability.ts
@@ -9,8 +9,8 @@
   type NodeConfig,
 } from '@harecross/kernel';
 import { isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
-import { copyDisks, quickOf } from './placement.js';
-import { roomFor } from './spread.js';
+import { replicaDisks, fastDiskIds } from './placement.js';
+import { maxPlaceableMembers } from './spread.js';
 
 /** Fewest voters of a fleet: one may be lost. */
 const LEAST_VOTERS = 3;
@@ -44,13 +44,13 @@
   if (!tolerance) return undefined;
   const forReplicas = usableFor(disks, 'copies');
   return (
-    shortfallFor('replicas', copies, copyDisks(forReplicas, quickOf(forReplicas)), tolerance) ??
+    shortfallFor('replicas', copies, replicaDisks(forReplicas, fastDiskIds(forReplicas)), tolerance) ??
     shortfallFor('voters', votersWanted ?? REGISTER.voterCount, usableFor(disks, 'seat'), tolerance)
   );
 }
 
 function shortfallFor(what: string, size: number, disks: DiskRecord[], tolerance: FaultTolerance): string | undefined {
-  const room = roomFor(size, disks, tolerance);
+  const room = maxPlaceableMembers(size, disks, tolerance);
   if (room >= size) return undefined;
   const { machines, domains, regions } = tolerance;
   const asked = `the loss of ${machines} machines, or ${domains} failure domains, or ${regions} regions`;
--- a/packages/data/src/ownership/ownership-check.ts
+++ b/packages/data/src/ownership/ownership-check.ts
@@ -47,7 +47,7 @@
     kernel.addSubscription(membership.memberStateChanged$.subscribe((member) => this.memberChanged(member.peer)));
     // A new generation is taken when it is heard of: until then the replicas that came with it bear no loss.
     kernel.addSubscription(register.value$.subscribe(() => this.schedule()));
-    const leaseBegun = register.readLeaseBegun$.subscribe(() => {
+    const leaseBegun = register.readLeaseStarted$.subscribe(() => {
       this.servingSince = Math.min(this.servingSince, clock.now());
     });
     kernel.addSubscription(leaseBegun);
--- a/packages/data/src/replication/replica-store.ts
+++ b/packages/data/src/replication/replica-store.ts
@@ -146,12 +146,12 @@
     return c;
   }
 
-  table(): { shard: number; last: number; kept: number; gen: number; number: number; by: string }[] {
+  describeReplicas(): { shard: number; last: number; kept: number; gen: number; number: number; by: string }[] {
     return [...this.all.values()]
       .filter((c) => c.promised !== NO_FENCE)
       .map((c) => {
         const f = parseFence(c.promised);
-        return { shard: c.shard, last: lastIdx(c), kept: c.entries.length, gen: f.gen, number: f.n, by: f.peer };
+        return { shard: c.shard, last: lastIdx(c), kept: c.entries.length, gen: f.gen, number: f.number, by: f.peer };
       });
   }
 
@@ -312,7 +312,7 @@
   /** Lets go of copies that are no longer placed here. */
   async release(shards: number[]): Promise<void> {
     await this.state.db.commit(() => {
-      for (const s of shards) this.state.releaseReplica(this.get(s));
+      for (const s of shards) this.state.clearReplica(this.get(s));
     });
   }
 }
--- a/packages/data/src/sessions/delivery.ts
+++ b/packages/data/src/sessions/delivery.ts
@@ -9,7 +9,7 @@
 import type { LeaseTable, TopicLease } from '../interest/lease-table.js';
 import type { ControlFrame, Message, Outgoing } from './outgoing.js';
 import type { HistoryAnswer } from '../ownership/topic-history.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import type { LeaveReason, QueuedFrame, Session, Subscription } from './session.js';
 
 /** Pages of history read in one catch-up run; the next comparison of heads with the owner starts another run. */
@@ -29,7 +29,7 @@
   constructor(
     private kernel: Kernel,
     private register: ConsensusRegister,
-    private route: Route,
+    private route: ShardRouter,
     private leases: LeaseTable,
     /** Called for a session whose client reads more slowly than its messages arrive; closes it. */
     private saturated: (session: Session) => void,
@@ -126,7 +126,7 @@
       const from = Math.min(...behind.map((s) => s.next));
       let answer: HistoryAnswer;
       try {
-        answer = await this.route.atOwner<HistoryAnswer>(
+        answer = await this.route.callOwner<HistoryAnswer>(
           topic,
           'History',
           () => ({ topic, from }),
--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -19,7 +19,7 @@
 import { LeaseTable, type TopicLease } from '../interest/lease-table.js';
 import type { Sink } from './outgoing.js';
 import { Relocation } from './relocation.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import { SessionHomes } from './session-homes.js';
 import { Session, type CloseReason, type Subscription } from './session.js';
 
@@ -64,7 +64,7 @@
     private kernel: Kernel,
     private membership: MembershipTable,
     private register: ConsensusRegister,
-    private route: Route,
+    private route: ShardRouter,
   ) {
     this.lastReadLeaseAt = kernel.host.clock.now();
     this.leases = new LeaseTable(kernel, route, () => this.nextId(), {
@@ -129,7 +129,7 @@
         for (const session of this.byId.values()) session.lastActivityAt += ms;
       }),
     );
-    kernel.addSubscription(this.route.moved$.subscribe((shard) => this.leases.ownerChanged(shard)));
+    kernel.addSubscription(this.route.ownerChanged$.subscribe((shard) => this.leases.ownerChanged(shard)));
     kernel.addSubscription(register.value$.subscribe(() => this.endSubscriptionsToRemovedTopics()));
     kernel.addSubscription(
       register.value$
@@ -303,7 +303,7 @@
    */
   private async requestTopicBounds(topic: string, cursor: number | undefined, patienceMs: number): Promise<OpenAnswer> {
     const callOwner = (confirm: boolean): Promise<OpenAnswer> =>
-      this.route.atOwner<OpenAnswer>(topic, 'Open', () => ({ topic, confirm }), patienceMs);
+      this.route.callOwner<OpenAnswer>(topic, 'Open', () => ({ topic, confirm }), patienceMs);
     const answer = await callOwner(cursor === undefined);
     if (cursor === undefined || cursor <= answer.head) return answer;
     const confirmed = await callOwner(true);
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -42,7 +42,7 @@
     t.is(isRepeatable(m), PEER_RPCS[m].repeat !== 'never', m);
     if (isRepeatable(m)) continue;
     let bodies = 0;
-    const sent = route.atOwner('feed/1', m as unknown as RepeatablePeerRpc, () => ++bodies, 1_000);
+    const sent = route.callOwner('feed/1', m as unknown as RepeatablePeerRpc, () => ++bodies, 1_000);
     await t.throwsAsync(sent, { message: `${m} must not be sent again` });
     t.is(bodies, 0);
   }
--- a/packages/trial/src/test/fault-tolerance.test.ts
+++ b/packages/trial/src/test/fault-tolerance.test.ts
@@ -7,7 +7,7 @@
   type FaultTolerance,
   type NodeConfig,
 } from '@harecross/kernel';
-import { matchCopies, roomFor, type DiskRecord } from '@harecross/control';
+import { assignReplicas, maxPlaceableMembers, type DiskRecord } from '@harecross/control';
 import { Sim, type SimNode } from '../sim.js';
 import test from 'ava';
 import fc from 'fast-check';
@@ -123,7 +123,7 @@
       const disks = set.map((disk) => value.disks.get(disk)!);
       t.true(set.length >= value.copies, name);
       t.is(
-        roomFor(set.length, disks, value.tolerance),
+        maxPlaceableMembers(set.length, disks, value.tolerance),
         set.length,
         `${name}: ${disks.map((disk) => disk.domain).join()}`,
       );
@@ -281,7 +281,7 @@
           })),
         );
         const byId = new Map(disks.map((disk) => [disk.id, disk]));
-        for (const copies of matchCopies(disks, size, 8, bears).values()) {
+        for (const copies of assignReplicas(disks, size, 8, bears).values()) {
           const set = copies.map((id) => byId.get(id)!);
           const outlives = (isLost: (disk: DiskRecord) => boolean): boolean =>
             set.filter((disk) => !isLost(disk)).length * 2 > set.length;
