--- a/packages/trial/src/test/disk.test.ts
+++ b/packages/trial/src/test/disk.test.ts
@@ -380,7 +380,7 @@
       flip(wal, Math.floor(statSync(wal).size * share));
       const o = open(dir);
       t.is(o.disk, undefined, `at ${share}`);
-      t.regex(told.join(), /log is altered, \d+ commits are behind it/);
+      t.regex(told.join(), /log is corrupt, and \d+ commits end at or after it/);
       o.db.close();
       rmSync(dir, { recursive: true });
     }
--- a/packages/trial/src/test/fault-tolerance.test.ts
+++ b/packages/trial/src/test/fault-tolerance.test.ts
@@ -239,19 +239,19 @@
   t.regex(told({ domainLosses: 1, domains: { b: 'r', c: 'r', d: 'r' } })!, /^domain: 'a' is not among domains/);
   t.regex(
     told({ domainLosses: 1, domains: { a: 'r', b: 'r' } })!,
-    /^domainLosses: the loss of 1 failure domain is borne with 3 of them or more, and there are 2/,
+    /^domainLosses: tolerating the loss of 1 failure domain requires at least 3 of them, but there are 2/,
   );
   t.regex(
     told({ domainLosses: 2, domains: { a: 'r', b: 'r', c: 'r', d: 'r' } })!,
-    /^domainLosses: the loss of 2 failure domains is borne with 5/,
+    /^domainLosses: tolerating the loss of 2 failure domains requires at least 5/,
   );
   t.regex(
     told({ regionLosses: 1, domains: THREE_ZONES })!,
-    /^regionLosses: the loss of 1 region is borne with 3 of them or more, and there are 1/,
+    /^regionLosses: tolerating the loss of 1 region requires at least 3 of them, but there are 1/,
   );
   t.regex(
     told({ domainLosses: 2, regionLosses: 1, domains: { a: 'r', b: 'r', c: 'r', d: 's', e: 'u' } })!,
-    /^domainLosses and regionLosses: no spread/,
+    /^domainLosses and regionLosses: no placement/,
   );
 });
 
--- a/packages/trial/src/test/full-disk.test.ts
+++ b/packages/trial/src/test/full-disk.test.ts
@@ -141,7 +141,7 @@
   t.regex(control.said(), /tested: cannot start: ENOTDIR/);
   const relay = await runWith('relay', data);
   t.true(await eventually(() => relay.said().includes('relay up'), 20_000), relay.said());
-  t.regex(relay.said(), /the disk cannot be used, going on as a relay without copies until it can/);
+  t.regex(relay.said(), /the disk cannot be used; running as a relay without replicas until it can/);
   unblock(blocked);
   t.is(await relay.ended, 3);
   t.regex(relay.said(), /stopping: the disk is usable again/);
