--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -282,7 +282,7 @@
         peer,
         'Pass',
         { m, body },
-        family ? family.patienceMs + MEMBERSHIP.callMs : MEMBERSHIP.callMs,
+        family ? family.patienceMs + MEMBERSHIP.callTimeoutMs : MEMBERSHIP.callTimeoutMs,
       );
     } catch (e) {
       const error = toErrorDetails(e, m, peer);
--- a/packages/data/src/interest/lease-table.ts
+++ b/packages/data/src/interest/lease-table.ts
@@ -126,7 +126,7 @@
     const now = this.kernel.host.clock.now();
     let listeners = 0;
     for (const { expiresAt, session } of this.topics.get(topic)?.subscriptions ?? [])
-      if (expiresAt > now && now - session.lastActivityAt <= SESSION.countFreshMs) listeners++;
+      if (expiresAt > now && now - session.lastActivityAt <= SESSION.listenerActiveMs) listeners++;
     return listeners;
   }
 
--- a/packages/data/src/node/run.ts
+++ b/packages/data/src/node/run.ts
@@ -113,7 +113,7 @@
   onReload = () => reread('signal');
   if (reloadPending) onReload();
   if (file) {
-    watchFile(file, { interval: PROCESS.rereadMs }, (now, before) => {
+    watchFile(file, { interval: PROCESS.settingsPollMs }, (now, before) => {
       if (now.mtimeMs !== before.mtimeMs || now.size !== before.size || now.ino !== before.ino) reread('file changed');
     });
   }
--- a/packages/data/src/routing/shard-router.ts
+++ b/packages/data/src/routing/shard-router.ts
@@ -116,7 +116,7 @@
     }
     this.shardsToLocate.clear();
     for (const [peer, shards] of byPeer) {
-      this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.whoMs).then(
+      this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.fenceQueryMs).then(
         (fences) => fences.forEach((fence, i) => this.learnOwner(shards[i]!, fence, parseFence(fence).peer)),
         () => undefined, // the other replicas answer
       );
@@ -161,7 +161,7 @@
           if (brokenPeer === peer) abandon();
         }),
       );
-      const cancelSlowTimer = clock.after(REQUEST.slowVisitMs, () => this.probeSlowOwner(peer));
+      const cancelSlowTimer = clock.after(REQUEST.slowRequestMs, () => this.probeSlowOwner(peer));
       call.then(res, rej).finally(() => {
         cancelSlowTimer();
         sub.unsubscribe();
@@ -172,8 +172,8 @@
   /** Probes an owner that is slow to answer: if it has failed, other nodes should take over its shards soon. */
   private probeSlowOwner(peer: string): void {
     const now = this.kernel.host.clock.now();
-    if (peer === this.kernel.self || now - (this.lastProbeAt.get(peer) ?? -Infinity) < REQUEST.slowAgainMs) return;
-    for (const [p, at] of this.lastProbeAt) if (now - at >= REQUEST.slowAgainMs) this.lastProbeAt.delete(p);
+    if (peer === this.kernel.self || now - (this.lastProbeAt.get(peer) ?? -Infinity) < REQUEST.slowOwnerProbeMs) return;
+    for (const [p, at] of this.lastProbeAt) if (now - at >= REQUEST.slowOwnerProbeMs) this.lastProbeAt.delete(p);
     this.lastProbeAt.set(peer, now);
     this.kernel.incrementCounter('route.slow');
     this.membership.probeNow(peer);
@@ -230,7 +230,7 @@
           // Answered in order, so that the caller retries in order.
           await withTimeout(
             clock,
-            Math.max(0, Math.min(REQUEST.inOrderMs, deadline - clock.now())),
+            Math.max(0, Math.min(REQUEST.inOrderAnswerMs, deadline - clock.now())),
             Promise.all([...senderPublishes].filter((other) => other.seq < message.seq).map((other) => other.settled)),
           );
           break;
@@ -252,10 +252,10 @@
     const { clock } = this.kernel.host;
     const rejection = {
       seq: Math.min(message.seq, this.rejections.get(key)?.seq ?? Infinity),
-      until: clock.now() + REQUEST.onTheWayMs,
+      until: clock.now() + REQUEST.inFlightPublishMs,
     };
     this.rejections.set(key, rejection);
-    clock.after(REQUEST.onTheWayMs, () => {
+    clock.after(REQUEST.inFlightPublishMs, () => {
       if (this.rejections.get(key) === rejection) this.rejections.delete(key);
     });
   }
@@ -306,7 +306,7 @@
           shard,
           peer,
           method,
-          this.kernel.callAnyPath<T>(peer, method, body(), Math.min(REQUEST.ownerTryMs, remainingMs)),
+          this.kernel.callAnyPath<T>(peer, method, body(), Math.min(REQUEST.ownerAttemptMs, remainingMs)),
         );
       } catch (e) {
         error = toErrorDetails(e, method, peer);
--- a/packages/data/src/sessions/delivery.ts
+++ b/packages/data/src/sessions/delivery.ts
@@ -76,7 +76,7 @@
         seq: entry.seq,
         offset: entry.off,
         body: entry.body,
-        bytes: Buffer.byteLength(entry.body) + SESSION.frameHeadBytes,
+        bytes: Buffer.byteLength(entry.body) + SESSION.frameOverheadBytes,
       };
       this.enqueue(session, {
         frame: { t: 'DELIVER', sub: subscription.id, msg: message },
@@ -130,7 +130,7 @@
           topic,
           'History',
           () => ({ topic, from }),
-          REQUEST.ownerTryMs * 2,
+          REQUEST.ownerAttemptMs * 2,
         );
       } catch {
         this.kernel.incrementCounter('pull.fail');
@@ -157,15 +157,20 @@
 
   /** Queues a control frame, which is flushed as soon as an urgent message. */
   send(session: Session, frame: ControlFrame): void {
-    this.enqueue(session, { frame, bytes: SESSION.frameHeadBytes, oversized: false, flushMs: SESSION.flushUrgentMs });
+    this.enqueue(session, {
+      frame,
+      bytes: SESSION.frameOverheadBytes,
+      oversized: false,
+      flushMs: SESSION.flushUrgentMs,
+    });
   }
 
   private enqueue(session: Session, queued: QueuedFrame): void {
     if (session.state === 'closed') return;
     queued.oversized = queued.bytes > SESSION.oversizedFromBytes;
     const exceedsLimit = queued.oversized
-      ? session.oversizedBytes + queued.bytes > SESSION.oversizedLaneBytes
-      : session.standardBytes + queued.bytes > SESSION.laneBytes;
+      ? session.oversizedBytes + queued.bytes > SESSION.oversizedQueueBytes
+      : session.standardBytes + queued.bytes > SESSION.standardQueueBytes;
     if (exceedsLimit) {
       // A saturated session is closed: its client attaches again with its cursor instead of getting a stream with gaps.
       this.saturated(session);
@@ -269,13 +274,13 @@
         name: 'conn',
         length: Math.max(0, ...all.map((s) => s.standardBytes)),
         most: this.peakStandardBytes,
-        bound: SESSION.laneBytes,
+        bound: SESSION.standardQueueBytes,
       },
       {
         name: 'conn.oversized',
         length: Math.max(0, ...all.map((s) => s.oversizedBytes)),
         most: this.peakOversizedBytes,
-        bound: SESSION.oversizedLaneBytes,
+        bound: SESSION.oversizedQueueBytes,
       },
     ];
   }
--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -332,7 +332,7 @@
   private async runPeriodicChecks(): Promise<void> {
     const now = this.kernel.host.clock.now();
     if (this.register.hasReadLease()) this.lastReadLeaseAt = now;
-    else if (now - this.lastReadLeaseAt > SESSION.leaseLostMs) this.closeAllAfterReadLeaseLoss();
+    else if (now - this.lastReadLeaseAt > SESSION.readLeaseLostMs) this.closeAllAfterReadLeaseLoss();
     this.homes.notifyChangedHomes(this.byId.values());
     for (const session of Array.from(this.byId.values())) this.endExpired(session, now);
     await this.leases.reportToOwners();
@@ -350,7 +350,7 @@
 
   /** Closes a session that has been silent for too long, and ends its leases that are past their deadline. */
   private endExpired(session: Session, now: number): void {
-    if (now - session.lastActivityAt > SESSION.silencePingCount * session.pingMs) {
+    if (now - session.lastActivityAt > SESSION.missedPingCount * session.pingMs) {
       this.close(session, 'silent');
       return;
     }
--- a/packages/kernel/src/constants.ts
+++ b/packages/kernel/src/constants.ts
@@ -15,26 +15,26 @@
   /** The owner keeps fanning out this long after `expiresAt`, so that it never stops before the relay does. */
   leaseSkewMs: 2_000,
   /** A connection that is silent for this many ping intervals is closed: one lost probe and one late one are tolerated. */
-  silencePingCount: 3,
+  missedPingCount: 3,
   /** Default of `pingS`; clients check in about every two seconds. */
   pingS: 2,
   /**
    * Listener counts leave out connections that were silent for longer than this, whatever their ping interval, so that a count covers the
    * last 5 s.
    */
-  countFreshMs: 4_500,
+  listenerActiveMs: 4_500,
   /** Size of the standard queue of a connection. */
-  laneBytes: 512 * 1024,
+  standardQueueBytes: 512 * 1024,
   /** Frames larger than this use the oversized queue. */
   oversizedFromBytes: 64 * 1024,
   /** Size of the oversized queue of a connection: room for a few bodies of the largest size. */
-  oversizedLaneBytes: 2 * 1024 * 1024,
+  oversizedQueueBytes: 2 * 1024 * 1024,
   /** Flush interval of a connection's queue for routine families. */
   flushMs: 250,
   /** A family with a latency target flushes after this share of the target, if that is sooner. */
   flushShare: 0.1,
   /** Size of a frame beside its body: topic, sender, numbers. */
-  frameHeadBytes: 128,
+  frameOverheadBytes: 128,
   /** Flush interval while an urgent message is queued: it must not wait the regular quarter of a second to be batched. */
   flushUrgentMs: 20,
   /** Catch-up from history pauses while more than this is queued, so that it never fills a queue by itself. */
@@ -44,22 +44,22 @@
   /** Entries requested from history at a time; a page stays far below the size of a queue. */
   historyPageLimit: 64,
   /** How long the owner waits for relays when it counts listeners; the client that asked waits about 2 s. */
-  countWaitMs: 700,
+  countTimeoutMs: 700,
   /**
    * An owner that took its shard more recently than this may not know the interest of all relays yet, so it asks all of them for counts.
    */
-  countAllMs: 4_000,
+  countAllRelaysMs: 4_000,
   /** Leases and connections that a relay may have; beyond it, new connections are rejected at once. */
   connectionLimit: 4_000,
   /** Subscriptions that a connection may have. */
   subscriptionsPerConnectionLimit: 256,
   /** The home of a consumer forgets a connection that was not registered again for this long. */
-  homeForgetMs: 40_000,
+  homeEntryTtlMs: 40_000,
   /**
    * A relay that has been without a read lease for this long sends its connections to other relays: before the others consider it dead and
    * leave its connections out of their counts.
    */
-  leaseLostMs: 4_000,
+  readLeaseLostMs: 4_000,
   /** Interval at which a relay registers its connections with their homes again. */
   homeRenewMs: 15_000,
   /**
@@ -93,7 +93,7 @@
    * sequence number gets the first outcome. Clients resend for 10 s; this is three times that, because clock differences and the transit
    * time of an answer add to it.
    */
-  repeatKeepMs: 30_000,
+  resendHistoryMs: 30_000,
   /**
    * The last trimmed sequence number of a sender and topic is kept for this long. A number above it that is not in the history was never
    * accepted; the outcome of a number below it is no longer known. Deduplication records outlive the memory of any family by a wide margin.
@@ -126,7 +126,7 @@
   /** After the hand-over, an owner redirects the callers that still arrive for this long. */
   redirectMs: 100,
   /** A replica that was allowed to take a shard and has not taken it within this time has failed to do so. */
-  yieldMs: 1_500,
+  yieldTimeoutMs: 1_500,
   /** A replica that failed to take a shard it had asked for may ask for it again after this long. */
   yieldRefusalMs: 30_000,
   /** An owner that has had no answer from a majority for this long reports itself as unhealthy, so that others take its shards ... */
@@ -134,7 +134,7 @@
   /** ... and remains unhealthy for this long: broken links seldom recover within seconds. */
   unhealthyMs: 20_000,
   /** Time limit of one Append; a slow disk may take that long, and the other replicas form the majority meanwhile. */
-  appendMs: 1_500,
+  appendTimeoutMs: 1_500,
   /** Entries in one Append. */
   appendEntryLimit: 256,
   /** Publishes waiting at one owner before it rejects more; urgent ones may use the whole queue, routine ones half of it. */
@@ -146,7 +146,7 @@
   /** ... and at which a replica does the same: each trim writes more pages than the appends since the last one. */
   trimReplicaMs: 10_000,
   /** Time limit of a snapshot call; a replica that is behind the base of the log is brought up to date by snapshots. */
-  snapshotMs: 5_000,
+  snapshotTimeoutMs: 5_000,
 } as const;
 
 /** Client requests: how they reach an owner, and how much a node takes on at once. */
@@ -156,23 +156,23 @@
   /** Base of the retry hint; a random part of up to the same length is added to spread the retries out. */
   retryMs: 400,
   /** Time limit of one attempt of a relay at an owner. */
-  ownerTryMs: 900,
+  ownerAttemptMs: 900,
   /** How long to wait further for a request at an owner that has lost the shard: the answer may already be in transit. */
   movedGraceMs: 20,
   /** Pause between two attempts at owners while a shard changes owners, unless a new owner becomes known earlier. */
   ownerRetryMs: 40,
   /** Time limit for asking a replica which fence it has promised. */
-  whoMs: 300,
+  fenceQueryMs: 300,
   /** When an owner takes longer than this for a request, the membership probes it; ordinary requests take a tenth of this. */
-  slowVisitMs: 150,
+  slowRequestMs: 150,
   /** ... and again only after this long. */
-  slowAgainMs: 1_000,
+  slowOwnerProbeMs: 1_000,
   /** A publish whose shard has no known owner is given up after this long, well before any client's time limit. */
   noOwnerMs: 700,
   /** Publishes of a sender that were in flight when an earlier one was rejected arrive within this long: one round trip to the clients. */
-  onTheWayMs: 100,
+  inFlightPublishMs: 100,
   /** Publishes of a sender that are given up together are answered in order, but none waits longer than this for the earlier ones. */
-  inOrderMs: 250,
+  inOrderAnswerMs: 250,
   /** Retry budget of a node for requests to owners: this many retries a second ... */
   retriesPerS: 40,
   /** ... plus this share of the number of first attempts ... */
@@ -183,26 +183,26 @@
    * A link to a peer that does not answer is probed directly at this interval; meanwhile requests of the data plane are relayed through
    * other nodes.
    */
-  linkTryMs: 700,
+  linkProbeMs: 700,
   /** A request line of a client: topic, cursor and name are far shorter. */
   accessLineBytes: 16 * 1024,
   /** The largest body that any family may allow; larger ones are refused without being stored ... */
-  edgeBodyBytes: 1024 * 1024,
+  maxBodyBytes: 1024 * 1024,
   /** ... and read and discarded up to this size; beyond it the connection is closed. */
-  accessSkipBytes: 16 * 1024 * 1024,
+  accessDiscardBytes: 16 * 1024 * 1024,
   /**
    * Answers and frames that a client has not read yet, beyond both queues of its connection: a client that exceeds this has stopped
    * reading.
    */
   accessUnreadBytes: 4 * 1024 * 1024,
   /** Requests of one connection in progress before no more of them are read. */
-  accessRunningLimit: 128,
+  accessInFlightLimit: 128,
   /** Memory for bodies that arrive in pieces, for all connections together; a body that does not fit is refused. */
   accessBodiesBytes: 32 * 1024 * 1024,
   /** Connections that have not attached, and at most half of all connections: beyond it the oldest of them is closed. */
   accessUnattachedLimit: 1_000,
   /** A connection that has not attached within this time is closed; connections are checked every `accessSweepMs`. */
-  accessOpenMs: 10_000,
+  accessAttachMs: 10_000,
   accessSweepMs: 1_000,
   /** Default limit of a body. */
   bodyBytes: 64 * 1024,
@@ -214,7 +214,7 @@
   gossipPeerCount: 2,
   gossipMs: 500,
   /** While updates keep arriving a node compares its table with a peer's only this often. */
-  gossipAnywayMs: 2_000,
+  gossipWhileBusyMs: 2_000,
   /**
    * After its start a node compares its table with a peer's at this interval, until `joinMs` has passed or `joinQuietCount` peers had
    * nothing new for it.
@@ -258,9 +258,9 @@
   /** Members asked to probe on this node's behalf before a member is suspected: they may have a better link to it. */
   probeIntermediaryCount: 3,
   /** A suspected member is considered dead after this long. */
-  deadMs: 8_000,
+  suspicionTimeoutMs: 8_000,
   /** The record of a dead member is removed after this long. */
-  forgetMs: 120_000,
+  deadRecordTtlMs: 120_000,
   /**
    * How long the tombstone of a removed record is kept: several times what any node takes to remove the record too, including a node that
    * joined late.
@@ -273,7 +273,7 @@
   rememberPeersEveryMs: 5_000,
   rememberedPeerLimit: 64,
   /** Time limit of small control calls. */
-  callMs: 800,
+  callTimeoutMs: 800,
   /** A gap in the local event loop of this length means that the process was frozen: its ownership is in doubt until confirmed. */
   loopFrozenMs: 1_200,
   /** Everything that arrived while a process was frozen is read within this time after it resumes. */
@@ -330,7 +330,7 @@
   /** A request from a peer that knows a newer value waits for it; a failed fetch is repeated after this long. */
   laggingRetryMs: 40,
   /** An attempt at a change is given up after this long, and reported as such. */
-  changeMs: 6_000,
+  changeTimeoutMs: 6_000,
   /**
    * A submission is worked on for this long after it was last sent, whether its sender waits or not. Senders resend one that got no clear
    * answer within a second or two, to any node. With a longer time, a submission at a node that was cut off could come into force when
@@ -346,7 +346,7 @@
    * A voter accepts a value only within this time after its promise: a round takes a few calls, and a value that stayed in a buffer while a
    * machine was frozen or cut off must not be chosen when the machine resumes.
    */
-  promiseLifeMs: 3_000,
+  promiseTtlMs: 3_000,
   /** A voter that learns of a repair refuses the ballots of other proposers for this long: a few rounds with a pause between them. */
   repairReservationMs: 300,
   /** Different submissions that one node works on; resends share one, and few operators are active at a time. */
@@ -358,7 +358,7 @@
   /** Time limit of one attempt at a submission; after it the highest revision that has been sent meanwhile is attempted instead. */
   submitAttemptMs: 2_000,
   /** Interval, randomized, at which a majority is asked what is in force before an old revision is answered. */
-  submitAskMs: 200,
+  submitPollMs: 200,
   /**
    * Revisions kept with the outcome that each had: a resend gets its first outcome until this many later revisions have come into force.
    * That is hours of changes on a busy day, while resends come within seconds; about 20 bytes each in the value.
@@ -372,7 +372,7 @@
    * ... and up to this long until there are as many as a shard needs replicas; later disks join one step at a time. Where the config sets a
    * fault tolerance, the fleet is not bootstrapped before the disks provide it, and a shortfall is reported after this long.
    */
-  bootstrapAnywayMs: 4_000,
+  bootstrapReplicaWaitMs: 4_000,
   bootstrapEveryMs: 500,
   /** Interval at which it is reported that the disks present cannot provide the configured fault tolerance. */
   bootstrapReportMs: 10_000,
@@ -389,7 +389,7 @@
   /** Consecutive steps that the controller makes without a pause; after them it waits for its next period. */
   controllerStepLimit: 8,
   /** A disk is also used for replicas if it is at least this many times faster than the typical disk intended for them. */
-  quickDiskFactor: 4,
+  fastDiskFactor: 4,
   /**
    * A disk joins the disk set after its process has been live for this long, which leaves out a process that ends right after its start.
    */
@@ -435,14 +435,14 @@
    * Delay before gathered commits are written as one synced transaction: 0 is one turn of the event loop. While a sync is in progress,
    * commits are gathered in any case.
    */
-  commitMs: 0,
+  commitGatherMs: 0,
   /** A write-ahead log of this size is checkpointed; its size is checked every `walCheckCommits` commits. A start reads the whole log. */
-  walBytes: 4 * 1024 * 1024,
+  walCheckpointBytes: 4 * 1024 * 1024,
   walCheckCommits: 32,
   /** A relay whose disk could not be opened checks at this interval whether it can be opened. */
   diskRetryMs: 2_000,
   /** Interval at which settings files are compared, to find changes without a signal. */
-  rereadMs: 1_000,
+  settingsPollMs: 1_000,
   /** The last frames of a closed connection have this long to be sent before its socket is destroyed. */
   closeGraceMs: 5_000,
   /** Time limit for connecting to a peer; links within a site answer far sooner. */
--- a/packages/kernel/src/disk.ts
+++ b/packages/kernel/src/disk.ts
@@ -92,7 +92,7 @@
    * @example
    * await db.whenSynced(); // resolves at once unless a sync is in progress
    */
-  async settled(): Promise<void> {
+  async whenSynced(): Promise<void> {
     if (this.state === 'syncing') await new Promise<void>((resolve) => this.syncWaiters.push(resolve));
   }
 
@@ -176,7 +176,7 @@
   }
 
   /** Discards what has not been synced, as a power loss would. */
-  drop(): void {
+  discardUnsynced(): void {
     this.state = 'closed';
     this.wait = [];
   }
--- a/packages/kernel/src/host.ts
+++ b/packages/kernel/src/host.ts
@@ -18,7 +18,7 @@
 /** Callbacks for events of the network other than answers. */
 export interface NetEvents {
   /** An established connection to this peer broke: the peer's process may have ended. */
-  broken(peer: string): void;
+  connectionLost(peer: string): void;
   count(name: string): void;
 }
 
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -35,7 +35,7 @@
   /** Called when a peer's frame carries a newer revision than this node has. */
   onNewerRevision: (revision: number, peer: string) => Promise<void> = async () => {};
   /** Called for every frame of a peer. The instance id is known only for the peer's own requests. */
-  onSignOfLife: (peer: string, instanceId?: string) => void = () => {};
+  onPeerActivity: (peer: string, instanceId?: string) => void = () => {};
   /** Called when a request certainly did not reach a peer, so that the peer is suspected sooner. */
   onUnreachable: (peer: string) => void = () => {};
   /** Called when an established connection to a peer broke; the peer's process may have ended. */
@@ -95,7 +95,7 @@
   async boot(names: (keyof ServiceRegistry)[]): Promise<void> {
     for (const name of names) await this.load(name);
     await this.host.net.serve((frame) => this.rpc.handleFrame(frame), {
-      broken: (peer) => this.onConnectionLost(peer),
+      connectionLost: (peer) => this.onConnectionLost(peer),
       count: (name) => this.incrementCounter(name),
     });
     this.loopTickedAt = this.host.clock.now();
@@ -197,7 +197,12 @@
   }
 
   /** Calls a peer. A call to this node itself takes the same path without the network. */
-  call<T = unknown>(peer: string, method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T> {
+  call<T = unknown>(
+    peer: string,
+    method: PeerRpc,
+    body: unknown,
+    timeoutMs: number = MEMBERSHIP.callTimeoutMs,
+  ): Promise<T> {
     return this.rpc.call<T>(peer, method, body, timeoutMs);
   }
 
@@ -206,7 +211,12 @@
    * @example
    * await Promise.allSettled(kernel.callEach(peers, 'News', { items }));
    */
-  callEach<T>(peers: string[], method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T>[] {
+  callEach<T>(
+    peers: string[],
+    method: PeerRpc,
+    body: unknown,
+    timeoutMs: number = MEMBERSHIP.callTimeoutMs,
+  ): Promise<T>[] {
     return this.rpc.callEach<T>(peers, method, body, timeoutMs);
   }
 
@@ -215,7 +225,7 @@
     peer: string,
     method: PeerRpc,
     body: unknown,
-    timeoutMs: number = MEMBERSHIP.callMs,
+    timeoutMs: number = MEMBERSHIP.callTimeoutMs,
   ): Promise<T> {
     return this.indirectCalls.call<T>(peer, method, body, timeoutMs);
   }
--- a/packages/kernel/src/node-config.ts
+++ b/packages/kernel/src/node-config.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import Type from 'typebox';
 import { Compile } from 'typebox/compile';
-import { faultInTolerance } from './fault-tolerance.js';
+import { findToleranceError } from './fault-tolerance.js';
 import type { DiskUse, NodeConfig, Role } from './host.js';
 
 const Address = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
@@ -44,7 +44,7 @@
  * @example
  * findConfigError({ domain: 'kaolack' }); // 'peer: missing'
  */
-export function faultInConfig(value: unknown): string | undefined {
+export function findConfigError(value: unknown): string | undefined {
   if (!validator.Check(value)) {
     const errors = validator.Errors(value) as SchemaError[];
     const error = errors[0];
@@ -66,7 +66,7 @@
     if (Number(port) < 1 || Number(port) > 65535) return `${key}: port ${port} is out of range 1..65535`;
   }
   if (config.peer === config.client) return 'peer and client: must be two different addresses';
-  return faultInTolerance(config);
+  return findToleranceError(config);
 }
 
 /**
@@ -87,7 +87,7 @@
   }
   const merged: Record<string, unknown> = { ...fromFile };
   for (const [key, value] of Object.entries(flags)) if (value !== undefined) merged[key] = value;
-  return checkedNodeConfig(role, merged, file);
+  return validateNodeConfig(role, merged, file);
 }
 
 /**
@@ -95,8 +95,8 @@
  * @example
  * const config = validateNodeConfig('relay', { domain: 'fatick', peer, client, seeds }, 'relay-11.json');
  */
-export function checkedNodeConfig(role: Role, value: Record<string, unknown>, source?: string): NodeConfig {
-  const error = faultInConfig(value);
+export function validateNodeConfig(role: Role, value: Record<string, unknown>, source?: string): NodeConfig {
+  const error = findConfigError(value);
   if (error) throw new Error(source ? `${source}: ${error}` : error);
   if (value.role !== undefined && value.role !== role)
     throw new Error(`role: '${value.role as string}' in the config, but this program is '${role}'`);
--- a/packages/kernel/src/peer-link.ts
+++ b/packages/kernel/src/peer-link.ts
@@ -295,7 +295,7 @@
       }
       case 'open':
         this.news()?.count('peer.link.lost');
-        this.news()?.broken(peer);
+        this.news()?.connectionLost(peer);
         if (this.unsent.length && this.state === 'closed') this.open();
         break;
     }
--- a/packages/kernel/src/real.ts
+++ b/packages/kernel/src/real-host.ts
@@ -116,7 +116,7 @@
   return {
     sync: () => sync(walFd, wal),
     maintain: () =>
-      ++commits % PROCESS.walCheckCommits || fstatSync(walFd).size < PROCESS.walBytes ? undefined : checkpoint(),
+      ++commits % PROCESS.walCheckCommits || fstatSync(walFd).size < PROCESS.walCheckpointBytes ? undefined : checkpoint(),
     close: (db) => {
       db.pragma('synchronous = FULL');
       db.close();
@@ -133,7 +133,7 @@
  * @example
  * const db = openDatabase('/var/lib/harecross', clock, log, (error) => process.exit(3), '10.1.0.4:7100');
  */
-export function openDb(
+export function openDatabase(
   folder: string,
   clock: Clock,
   log: Log,
@@ -155,7 +155,7 @@
   const db = new SyncedDatabase(
     opened.sql,
     clock,
-    () => PROCESS.commitMs,
+    () => PROCESS.commitGatherMs,
     onFault,
     self,
     asyncDiskSync(opened.sql, file, sync),
@@ -201,7 +201,7 @@
   };
   if (config.data) {
     try {
-      host.db = openDb(config.data, realClock, log, (error) => terminate(`disk fault: ${error.message}`), config.peer);
+      host.db = openDatabase(config.data, realClock, log, (error) => terminate(`disk fault: ${error.message}`), config.peer);
     } catch (error) {
       // The fleet relies on what a disk holds while its process runs, so a process does not run without its disk. The exception is a relay,
       // which can serve without it, and does so until the disk is usable again.
--- a/packages/kernel/src/rpc-endpoint.ts
+++ b/packages/kernel/src/rpc-endpoint.ts
@@ -30,7 +30,7 @@
   readonly isStopped: boolean;
   incrementCounter(name: string): void;
   onNewerRevision(revision: number, peer: string): Promise<void>;
-  onSignOfLife(peer: string, instanceId?: string): void;
+  onPeerActivity(peer: string, instanceId?: string): void;
   onUnreachable(peer: string): void;
 }
 
@@ -103,7 +103,7 @@
     );
     const answer = decodeAnswer(frame);
     if (!answer) throw new HarecrossError({ tag: 'cut', step: method, peer, detail: 'not an answer' });
-    node.onSignOfLife(peer);
+    node.onPeerActivity(peer);
     if (answer.revision > node.rev) void node.onNewerRevision(answer.revision, peer);
     if ('error' in answer) throw new HarecrossError(answer.error);
     return answer.ok as T;
@@ -128,7 +128,7 @@
     node.incrementCounter('peer.in');
     const request = decodeRequest(frame);
     const offset = this.offsets.learn(`${request.sender} ${request.instanceId}`, now - request.sentAt, now);
-    node.onSignOfLife(request.sender, request.instanceId);
+    node.onPeerActivity(request.sender, request.instanceId);
     const sender: RequestContext = {
       peer: request.sender,
       inst: request.instanceId,
@@ -177,7 +177,7 @@
   /** Waits, for half of a call, until we have what a peer has; says whether we do. */
   private async awaitRevision(revision: number, peer: string): Promise<boolean> {
     const { clock } = this.node.host;
-    const until = clock.now() + MEMBERSHIP.callMs / 2;
+    const until = clock.now() + MEMBERSHIP.callTimeoutMs / 2;
     for (;;) {
       await withTimeout(clock, until - clock.now(), this.node.onNewerRevision(revision, peer));
       if (this.node.rev >= revision) return true;
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -440,7 +440,7 @@
     if (!n.up) return;
     n.up = false;
     n.life++;
-    n.db?.drop();
+    n.db?.discardUnsynced();
     n.kernel?.stopLoops();
     n.disk?.endProcess();
     n.handle = undefined;
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -165,7 +165,7 @@
   const { shard, fence } = from.kernel!.use('owner').ownedShards()[0]!;
   const [to, third] = s.stores.filter((n) => n !== from) as [SimNode, SimNode];
   const ask = (n: SimNode, body: object): Promise<boolean> =>
-    settled(s.sim, from.kernel!.call<boolean>(n.config.peer, 'TakeKey', body, MEMBERSHIP.callMs));
+    settled(s.sim, from.kernel!.call<boolean>(n.config.peer, 'TakeKey', body, MEMBERSHIP.callTimeoutMs));
   t.true(await ask(to, { shard, fence }));
   const taken = fenceOf(to, shard);
   t.true(await ask(to, { shard, fence }), 'it has the shard');
--- a/packages/trial/src/test/platform-management.test.ts
+++ b/packages/trial/src/test/platform-management.test.ts
@@ -316,7 +316,7 @@
   }
   t.is((await s.http('POST', a.management + REPLACE, whole, 'text/html')).status, 415);
   const large = shown(50, (c) => {
-    c.pad = 'x'.repeat(REQUEST.accessSkipBytes);
+    c.pad = 'x'.repeat(REQUEST.accessDiscardBytes);
   });
   t.is((await s.http('POST', a.management + REPLACE, large)).status, 413);
   t.is((await s.http('GET', a.management + REPLACE)).status, 404);
