--- a/packages/kernel/src/peer-rpcs.ts
+++ b/packages/kernel/src/peer-rpcs.ts
@@ -73,7 +73,7 @@
   // --- owner of a shard ---
   Publish: idempotent(
     'topic, sender, sequence',
-    '30 s after it was accepted (SHARD.repeatKeepMs); then the answer is `outcome_unknown`, for as long as the last trimmed number is known',
+    '30 s after it was accepted (SHARD.resendHistoryMs); then the answer is `outcome_unknown`, for as long as the last trimmed number is known',
     'the first outcome is found in the history by its number, at every later owner too',
   ),
   Interest: idempotent(
@@ -105,7 +105,7 @@
   CountHolds: read('counts listeners at one relay'),
   Home: idempotent(
     'consumer, connection id',
-    'SESSION.homeForgetMs after it was last said',
+    'SESSION.homeEntryTtlMs after it was last said',
     'connection ids name relay, instance and number; the one attached last stays',
   ),
   Replace: idempotent('connection id', ALWAYS, 'ends one connection; ids are never used again'),
--- a/packages/kernel/src/real-host.ts
+++ b/packages/kernel/src/real-host.ts
@@ -116,7 +116,9 @@
   return {
     sync: () => sync(walFd, wal),
     maintain: () =>
-      ++commits % PROCESS.walCheckCommits || fstatSync(walFd).size < PROCESS.walCheckpointBytes ? undefined : checkpoint(),
+      ++commits % PROCESS.walCheckCommits || fstatSync(walFd).size < PROCESS.walCheckpointBytes
+        ? undefined
+        : checkpoint(),
     close: (db) => {
       db.pragma('synchronous = FULL');
       db.close();
@@ -201,7 +203,13 @@
   };
   if (config.data) {
     try {
-      host.db = openDatabase(config.data, realClock, log, (error) => terminate(`disk fault: ${error.message}`), config.peer);
+      host.db = openDatabase(
+        config.data,
+        realClock,
+        log,
+        (error) => terminate(`disk fault: ${error.message}`),
+        config.peer,
+      );
     } catch (error) {
       // The fleet relies on what a disk holds while its process runs, so a process does not run without its disk. The exception is a relay,
       // which can serve without it, and does so until the disk is usable again.
--- a/packages/trial/src/test/growth.test.ts
+++ b/packages/trial/src/test/growth.test.ts
@@ -13,8 +13,8 @@
  * of the life shows whether sizes stay. The order of the times among one another is kept.
  */
 const SHORTENED = {
-  deadMs: 4_000,
-  forgetMs: 8_000,
+  suspicionTimeoutMs: 4_000,
+  deadRecordTtlMs: 8_000,
   tombstoneMs: 20_000,
   forgetDiskMs: 20_000,
   forgettableRecordLimit: 8,
--- a/packages/trial/src/test/platform-names.test.ts
+++ b/packages/trial/src/test/platform-names.test.ts
@@ -184,7 +184,7 @@
       'periodicTicks',
       'ErrorDetails',
       'Kernel',
-      'checkedNodeConfig',
+      'validateNodeConfig',
       'NodeConfig',
       'Role',
     ]),
