--- a/packages/kernel/src/flow.ts
+++ b/packages/kernel/src/flow.ts
@@ -2,107 +2,107 @@
 import type { Clock, RandomSource } from './host.js';
 
 /**
- * Ticks by an injected clock, with up to a tenth of random shift so that nodes do not tick in step.
+ * Emits every `ms` milliseconds of an injected clock. With `random`, each interval varies within a range of a tenth of `ms`, so that
+ * nodes do not tick in step.
  * @example
- * every(clock, 500, random).pipe(exhaustMap(() => gossip())).subscribe();
+ * periodicTicks(clock, 500, random).pipe(exhaustMap(() => gossip())).subscribe();
  */
 export function periodicTicks(clock: Clock, ms: number, random?: RandomSource): Observable<void> {
-  return new Observable((o) => {
+  return new Observable((subscriber) => {
     let cancel = () => {};
-    const next = () => {
-      const shift = random ? ms * 0.1 * (random.next() - 0.5) : 0;
-      cancel = clock.after(ms + shift, () => {
-        o.next();
-        if (!o.closed) next();
+    const scheduleTick = () => {
+      const jitter = random ? ms * 0.1 * (random.next() - 0.5) : 0;
+      cancel = clock.after(ms + jitter, () => {
+        subscriber.next();
+        if (!subscriber.closed) scheduleTick();
       });
     };
-    next();
+    scheduleTick();
     return () => cancel();
   });
 }
 
 /**
- * A loop that never overlaps itself: a tick that comes while the last round still works is skipped.
+ * Runs an asynchronous task periodically and never concurrently with itself: a tick during an unfinished run is skipped.
  * @example
- * const sub = loop(clock, 500, random, async () => { await gossip() });
+ * const subscription = runPeriodically(clock, 500, random, async () => { await gossip() });
  */
 export function runPeriodically(
   clock: Clock,
   ms: number,
   random: RandomSource,
-  round: () => Promise<unknown>,
+  task: () => Promise<unknown>,
 ): Subscription {
-  let busy = false;
-  const over = (): void => {
-    busy = false;
+  let running = false;
+  const onSettled = (): void => {
+    running = false;
   };
   return periodicTicks(clock, ms, random).subscribe(() => {
-    if (busy) return;
-    busy = true;
-    round().then(over, over);
+    if (running) return;
+    running = true;
+    task().then(onSettled, onSettled);
   });
 }
 
 /**
- * Resolves after ms of the injected clock.
+ * Resolves after `ms` milliseconds of the injected clock.
  * @example
  * await sleep(clock, 60);
  */
 export function sleep(clock: Clock, ms: number): Promise<void> {
-  return new Promise((res) => {
-    clock.after(ms, res);
+  return new Promise((resolve) => {
+    clock.after(ms, resolve);
   });
 }
 
 /**
- * The promise's result, or undefined after ms.
+ * The result of a promise, or undefined if it is not settled within `ms` milliseconds.
  * @example
- * const n = await within(clock, 700, count());
+ * const count = await withTimeout(clock, 700, countListeners());
  */
-export function withTimeout<T>(clock: Clock, ms: number, p: Promise<T>): Promise<T | undefined> {
-  return new Promise((res, rej) => {
-    const cancel = clock.after(ms, () => res(undefined));
-    p.then(
-      (x) => {
+export function withTimeout<T>(clock: Clock, ms: number, promise: Promise<T>): Promise<T | undefined> {
+  return new Promise((resolve, reject) => {
+    const cancel = clock.after(ms, () => resolve(undefined));
+    promise.then(
+      (result) => {
         cancel();
-        res(x);
+        resolve(result);
       },
-      (e) => {
+      (error) => {
         cancel();
-        rej(e);
+        reject(error);
       },
     );
   });
 }
 
 /**
- * Waits until enough of the calls succeeded, or until it is clear that they will not.
- * Gives all answers so far; later ones are dropped.
+ * Collects results until `isEnough` accepts those so far or all calls have settled. Rejected calls are skipped.
  * @example
- * const xs = await gather(calls, (got) => got.length > calls.length / 2);
+ * const results = await collectUntil(calls, (results) => results.length > calls.length / 2);
  */
-export function collectUntil<T>(calls: Promise<T>[], enough: (got: T[]) => boolean): Promise<T[]> {
-  return new Promise((res) => {
-    const got: T[] = [];
-    let left = calls.length;
-    if (left === 0) res(got);
-    for (const c of calls) {
-      c.then(
-        (x) => {
-          got.push(x);
-          left--;
-          if (left === 0 || enough(got)) res(got);
+export function collectUntil<T>(calls: Promise<T>[], isEnough: (results: T[]) => boolean): Promise<T[]> {
+  return new Promise((resolve) => {
+    const results: T[] = [];
+    let pending = calls.length;
+    if (pending === 0) resolve(results);
+    for (const call of calls) {
+      call.then(
+        (result) => {
+          results.push(result);
+          pending--;
+          if (pending === 0 || isEnough(results)) resolve(results);
         },
         () => {
-          left--;
-          if (left === 0) res(got);
+          pending--;
+          if (pending === 0) resolve(results);
         },
       );
     }
   });
 }
 
-/** What a node tells of one of its holdings. */
+/** The state of a queue as reported to operators. `most` is its peak length, `bound` its capacity. */
 export interface QueueInfo {
   name: string;
   length: number;
@@ -111,36 +111,35 @@
 }
 
 /**
- * A bounded holding that joins two stages: what `offer` takes is worked on by at most `wide` at once,
- * urgent ones first. What it cannot take it rejects at once, and routine visits may fill only half of it.
+ * A bounded queue in front of a handler with limited concurrency. Urgent items are handled first, and routine items may fill only half
+ * of the capacity. An item that does not fit is rejected immediately.
  * @example
- * const h = new Holding(1000, 64, (v) => serve(v));
- * const p = h.offer(visit, true); // undefined when full
+ * const queue = new BoundedQueue(1000, 64, (request) => handle(request));
+ * const result = queue.offer(request, true); // undefined if the queue is full
  */
-export class BoundedQueue<A, B> {
+export class BoundedQueue<Item, Result> {
   private urgent: (() => void)[] = [];
   private routine: (() => void)[] = [];
-  private started = new Subject<() => Promise<void>>();
+  private starts$ = new Subject<() => Promise<void>>();
   private runningCount = 0;
   acceptedCount = 0;
   rejectedCount = 0;
-  /** The most it ever held. */
+  /** The maximum length so far, including items being handled. */
   peakLength = 0;
 
   constructor(
     private capacity: number,
     private concurrency: number,
-    private handler: (a: A) => Promise<B>,
+    private handler: (item: Item) => Promise<Result>,
   ) {
-    this.started.pipe(mergeMap((f) => from(f()))).subscribe();
+    this.starts$.pipe(mergeMap((start) => from(start()))).subscribe();
   }
 
-  /** Changes the bound; what is already held stays. */
-  resize(size: number): void {
-    this.capacity = size;
+  /** Changes the capacity; items already accepted stay. */
+  resize(capacity: number): void {
+    this.capacity = capacity;
   }
 
-  /** As told to operators. */
   describe(name: string): QueueInfo {
     return { name, length: this.length, most: this.peakLength, bound: this.capacity };
   }
@@ -149,19 +148,20 @@
     return this.urgent.length + this.routine.length + this.runningCount;
   }
 
-  offer(a: A, urgent = false): Promise<B> | undefined {
+  /** Accepts an item and returns its result, or undefined if there is no room for it. */
+  offer(item: Item, urgent = false): Promise<Result> | undefined {
     if (this.length >= (urgent ? this.capacity : this.capacity / 2)) {
       this.rejectedCount++;
       return undefined;
     }
     this.acceptedCount++;
     this.peakLength = Math.max(this.peakLength, this.length + 1);
-    return new Promise((res, rej) => {
+    return new Promise((resolve, reject) => {
       const run = () => {
         this.runningCount++;
-        this.started.next(() =>
-          this.handler(a)
-            .then(res, rej)
+        this.starts$.next(() =>
+          this.handler(item)
+            .then(resolve, reject)
             .finally(() => {
               this.runningCount--;
               this.startWaiting();
@@ -175,20 +175,21 @@
 
   private startWaiting(): void {
     while (this.runningCount < this.concurrency) {
-      const f = this.urgent.shift() ?? this.routine.shift();
-      if (!f) return;
-      f();
+      const run = this.urgent.shift() ?? this.routine.shift();
+      if (!run) return;
+      run();
     }
   }
 }
 
 /**
- * A budget for tries after the first: a share of the first tries, and a little by time. While what they ask for is
- * away, tries after the first would only add to what it finds when it is back. Urgent ones may spend all of it, routine
- * ones the upper half.
+ * A token bucket that limits retries. It gains `share` tokens for each first attempt and `perS` tokens per second, up to `burst`. While
+ * the target is unavailable, unlimited retries would only add to its load when it recovers. Urgent requests may spend all tokens;
+ * routine requests may spend only the upper half of the bucket.
  * @example
- * const b = new RetryBudget(clock, { perS: 60, share: 0.5, burst: 240 });
- * b.first(); if (!b.retry(urgent)) give up;
+ * const budget = new RetryBudget(clock, { perS: 60, share: 0.5, burst: 240 });
+ * budget.recordFirstAttempt();
+ * if (!budget.tryRetry(urgent)) throw error;
  */
 export class RetryBudget {
   private tokens: number;
@@ -203,12 +204,11 @@
     this.refilledAt = clock.now();
   }
 
-  /** Notes a first try. */
   recordFirstAttempt(): void {
     this.tokens = Math.min(this.options.burst, this.tokens + this.options.share);
   }
 
-  /** Whether one more try may be made. */
+  /** Takes a token for one retry. Returns false if too few are left. */
   tryRetry(urgent: boolean): boolean {
     const now = this.clock.now();
     this.tokens = Math.min(this.options.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.options.perS);
--- a/packages/kernel/src/indirect-calls.ts
+++ b/packages/kernel/src/indirect-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Calls round broken links. A link counts as broken after a call that got no answer; calls to that peer then go through another member,
- * until a direct ping is answered.
+ * Calls that bypass broken links. A link is considered broken after a call that timed out or could not reach the peer. Further calls to
+ * that peer go through another member as an intermediary until the peer answers a direct ping.
  */
 import { Subject } from 'rxjs';
 import { MEMBERSHIP, REQUEST } from './constants.js';
@@ -10,73 +10,76 @@
 import type { PeerRpc } from './peer-rpcs.js';
 import type { RpcEndpoint } from './rpc-endpoint.js';
 
-/** A frame that a member carries to a peer for another node. Wire format. */
+/** A frame that an intermediary forwards to a peer for another node. Wire format. */
 interface CarryRequest {
   to: string;
   frame: string;
   timeoutMs: number;
 }
 
-/** What indirect calls need of their node. */
+/** The parts of a node that indirect calls depend on. */
 export interface IndirectCallsNode {
   readonly host: Host;
   readonly self: string;
   readonly isRunning: boolean;
   incrementCounter(name: string): void;
-  /** Live members that may carry a call to a peer in our place. */
+  /** Live members that may forward a call to a peer for us. */
   intermediariesTo(peer: string): string[];
 }
 
-/** Knows to which peers our own link is broken, and finds another way. */
+/** Tracks the peers to which our direct link is broken and routes calls to them through intermediaries. */
 export class IndirectCalls {
-  /** A peer to which our own link was just found broken: calls under way there get no answer. */
+  /** Emits a peer when our direct link to it is found broken: calls in flight to it will not be answered. */
   readonly linkBroken$ = new Subject<string>();
-  /** Peers to which our own link is broken, and who carried the last call there; undefined until somebody did. */
-  private readonly carriers = new Map<string, string | undefined>();
+  /** Peers to which our direct link is broken, each with the intermediary of the last answered call; undefined if there is none. */
+  private readonly intermediaries = new Map<string, string | undefined>();
 
   constructor(
     private readonly node: IndirectCallsNode,
     private readonly rpc: RpcEndpoint,
   ) {}
 
-  /** Serves the calls that others have us carry. */
+  /** Registers the handler that forwards calls for other nodes. */
   serve(): void {
-    const carry = (request: CarryRequest): Promise<string> => {
+    const forward = (request: CarryRequest): Promise<string> => {
       this.node.incrementCounter('detour.carried');
       return this.node.host.net.call(request.to, request.frame, request.timeoutMs);
     };
-    this.rpc.register('Carry', (body) => carry(body as CarryRequest), false);
+    this.rpc.register('Carry', (body) => forward(body as CarryRequest), false);
   }
 
   /** See `Kernel.callAnyPath`. */
   async call<T>(peer: string, method: PeerRpc, body: unknown, timeoutMs: number): Promise<T> {
-    if (!this.carriers.has(peer)) return this.callDirectly<T>(peer, method, body, timeoutMs);
-    const carrier = this.chooseCarrier(peer);
-    if (carrier === undefined) return this.rpc.call<T>(peer, method, body, timeoutMs);
+    if (!this.intermediaries.has(peer)) return this.callDirectly<T>(peer, method, body, timeoutMs);
+    const intermediary = this.chooseIntermediary(peer);
+    if (intermediary === undefined) return this.rpc.call<T>(peer, method, body, timeoutMs);
     this.node.incrementCounter('detour.sent');
     try {
       const answer = await this.rpc.send<T>(peer, method, body, (frame) => {
         const request: CarryRequest = { to: peer, frame, timeoutMs };
-        return this.rpc.call<string>(carrier, 'Carry', request, timeoutMs);
+        return this.rpc.call<string>(intermediary, 'Carry', request, timeoutMs);
       });
-      this.setCarrier(peer, carrier);
+      this.setIntermediary(peer, intermediary);
       return answer;
     } catch (error) {
       const { tag } = toErrorDetails(error, method, peer);
-      if (tag === 'timeout' || tag === 'unreachable' || tag === 'cut') this.setCarrier(peer, undefined);
+      if (tag === 'timeout' || tag === 'unreachable' || tag === 'cut') this.setIntermediary(peer, undefined);
       throw error;
     }
   }
 
-  /** Whether our own link to a peer is not known to be broken. */
+  /** Whether our direct link to a peer is not known to be broken. */
   isLinkHealthy(peer: string): boolean {
-    return !this.carriers.has(peer);
+    return !this.intermediaries.has(peer);
   }
 
-  /** The one function that calls a link broken; it is tried directly until it is whole or the peer no longer there. */
+  /**
+   * Marks a link as broken, then pings the peer directly until it answers or no intermediary to it is left. All code that detects a
+   * broken link calls this method.
+   */
   markLinkBroken(peer: string): void {
-    if (this.carriers.has(peer)) return;
-    this.carriers.set(peer, undefined);
+    if (this.intermediaries.has(peer)) return;
+    this.intermediaries.set(peer, undefined);
     this.node.incrementCounter('detour.links');
     this.linkBroken$.next(peer);
     void this.awaitRepair(peer);
@@ -87,23 +90,23 @@
       return await this.rpc.call<T>(peer, method, body, timeoutMs);
     } catch (error) {
       const { tag, peer: failed } = toErrorDetails(error, method, peer);
-      const gotNoAnswer = tag === 'timeout' || tag === 'unreachable';
-      if (peer !== this.node.self && failed === peer && gotNoAnswer) this.markLinkBroken(peer);
+      const noAnswer = tag === 'timeout' || tag === 'unreachable';
+      if (peer !== this.node.self && failed === peer && noAnswer) this.markLinkBroken(peer);
       throw error;
     }
   }
 
-  /** The member that carried the last call, while it may; else one at random. */
-  private chooseCarrier(peer: string): string | undefined {
+  /** The intermediary of the last answered call if it is still a candidate, otherwise a random candidate. */
+  private chooseIntermediary(peer: string): string | undefined {
     const candidates = this.node.intermediariesTo(peer);
-    const last = this.carriers.get(peer);
+    const last = this.intermediaries.get(peer);
     if (last !== undefined && candidates.includes(last)) return last;
     return candidates[randomInt(this.node.host.random, Math.max(1, candidates.length))];
   }
 
-  /** Remembers who carries calls to a peer, unless the link is whole by now. */
-  private setCarrier(peer: string, carrier: string | undefined): void {
-    if (this.carriers.has(peer)) this.carriers.set(peer, carrier);
+  /** Records the intermediary for a peer, unless the direct link has been restored meanwhile. */
+  private setIntermediary(peer: string, intermediary: string | undefined): void {
+    if (this.intermediaries.has(peer)) this.intermediaries.set(peer, intermediary);
   }
 
   private async awaitRepair(peer: string): Promise<void> {
@@ -115,6 +118,6 @@
         await sleep(this.node.host.clock, REQUEST.linkTryMs);
       }
     }
-    this.carriers.delete(peer);
+    this.intermediaries.delete(peer);
   }
 }
--- a/packages/kernel/src/match.ts
+++ b/packages/kernel/src/match.ts
@@ -1,37 +1,37 @@
 import { createHash } from 'node:crypto';
 import { PROCESS, SHARD } from './constants.js';
 
-const known = new Map<string, number>();
+const hashCache = new Map<string, number>();
 
 /**
- * A 32-bit hash, the same on every machine. Shards and ranks are asked for again and again: the latest are remembered.
+ * A 32-bit hash that is the same on every machine. Results are cached, since the same topics and ranking keys are hashed repeatedly.
  * @example
  * hash('meter/12') % 32
  */
 export function hash(s: string): number {
-  let h = known.get(s);
-  if (h === undefined) {
-    h = createHash('md5').update(s).digest().readUInt32BE(0);
-    if (known.size >= PROCESS.hashCacheSize) known.clear();
-    known.set(s, h);
+  let value = hashCache.get(s);
+  if (value === undefined) {
+    value = createHash('md5').update(s).digest().readUInt32BE(0);
+    if (hashCache.size >= PROCESS.hashCacheSize) hashCache.clear();
+    hashCache.set(s, value);
   }
-  return h;
+  return value;
 }
 
 /**
- * Rendezvous: nodes ranked for a key. When a node goes, only its keys move.
+ * Orders nodes for a key by rendezvous hashing. When a node is removed, only its own keys move to other nodes.
  * @example
- * rank('shard/3', ['a', 'b', 'c'])[0] // the owner
+ * rendezvousOrder('shard/3', ['a', 'b', 'c'])[0] // the owner
  */
-export function rendezvousOrder<T>(key: string, xs: Iterable<T>, name: (x: T) => string = String): T[] {
-  return [...xs]
-    .map((x) => [hash(`${key}|${name(x)}`), name(x), x] as const)
+export function rendezvousOrder<T>(key: string, nodes: Iterable<T>, nameOf: (node: T) => string = String): T[] {
+  return [...nodes]
+    .map((node) => [hash(`${key}|${nameOf(node)}`), nameOf(node), node] as const)
     .sort((a, b) => b[0] - a[0] || (a[1] < b[1] ? -1 : 1))
-    .map((t) => t[2]);
+    .map((ranked) => ranked[2]);
 }
 
 /**
- * The shard of a topic.
+ * The number of the shard that a topic belongs to.
  * @example
  * shardOf('pay/77'); // 12
  */
--- a/packages/kernel/src/peer-framing.ts
+++ b/packages/kernel/src/peer-framing.ts
@@ -1,10 +1,10 @@
 /**
- * Framing of the peer transport: a connection carries lines `number frame`, both ways. The number ties an answer to its call; number
- * {@link PING} belongs to the transport itself.
+ * Framing of the peer transport: a connection carries lines of the form `id frame` in both directions. The id matches an answer to its
+ * call; id {@link PING} is reserved for control lines of the transport itself.
  */
 import type { Socket } from 'node:net';
 
-/** Bounds of the peer transport; the defaults are in constants.ts. */
+/** Limits and timeouts of the peer transport; the defaults are in constants.ts. */
 export interface PeerNetBounds {
   connectMs: number;
   quietMs: number;
@@ -15,20 +15,20 @@
   closeMs: number;
 }
 
-/** What the transport needs of its surroundings; a model puts others in place. */
+/** The transport's dependencies on sockets, clock and timers, so that tests can run it in virtual time. */
 export interface PeerSystem {
   connect(peer: string): Socket;
-  /** Milliseconds of a steady clock. */
+  /** Monotonic time in milliseconds. */
   now(): number;
-  /** Runs `fn` after so many milliseconds; the result cancels. */
+  /** Runs `fn` after `ms` milliseconds; the result cancels the timer. */
   after(ms: number, fn: () => void): () => void;
-  /** Runs `fn` at the end of this turn of the loop, when all that it brought is read. */
+  /** Runs `fn` at the end of the current event loop iteration, after all available input has been read. */
   soon(fn: () => void): void;
 }
 
 /**
- * Who one end of a connection is: its address, an id that no other process at that address ever has, and the number of the connection,
- * which rises with each that this process opens (0 from the end that accepted it).
+ * The identity of one end of a connection: its address, an id that is unique to its process, and the number of the connection, which
+ * increases with each connection that this process opens (0 from the accepting end).
  */
 export interface PeerIdentity {
   address: string;
@@ -36,141 +36,144 @@
   connection: number;
 }
 
-/** First line of every connection: who does not say it is no peer. */
+/** First line of every connection. A connection that starts with anything else is not from a peer and is closed. */
 export const GREETING = 'harecross-peer/1';
-/** What a line is longer than its frame at most: the call's number, a space, the newline. */
+/** Maximum number of bytes by which a line exceeds its frame: the call id, a space and the newline. */
 export const LINE_OVERHEAD_BYTES = 24;
-/** Bytes of one write at most, about. */
+/** Approximate maximum size of one write. */
 export const PIECE_BYTES = 256 * 1024;
-/** A peer for which more than this waits is not read from. */
-export const UNREAD_BYTES = 4 * PIECE_BYTES;
+/** While more than this many bytes are waiting to be sent to a peer, nothing is read from it. */
+export const READ_PAUSE_BYTES = 4 * PIECE_BYTES;
 /**
- * The number of the transport's own lines, which it answers by itself: pings, so that slow work is told from a dead peer, and the
- * introduction of both ends. Peers of earlier versions answer an introduction like a ping, with an empty frame.
+ * The id of control lines, which the transport answers without a handler: pings, which tell a slow handler from a dead peer, and the
+ * hello of both ends. Peers of earlier versions answer a hello like a ping, with an empty frame.
  */
 export const PING = 0;
 
-/** Cuts a stream of bytes into lines of bounded length. */
+/** Splits a byte stream into lines of limited length. */
 export class LineReader {
   private held: Buffer[] = [];
-  private heldBytes = 0;
+  private bufferedBytes = 0;
   constructor(
     public limit: number,
-    private line: (s: string) => boolean,
+    private onLine: (line: string) => boolean,
   ) {}
 
-  /** False once a line was too long or refused; the connection is then of no more use. */
-  take(d: Buffer): boolean {
-    let from = 0;
+  /** Returns false once a line exceeds the limit or is rejected by `onLine`; the connection must then be closed. */
+  push(data: Buffer): boolean {
+    let start = 0;
     for (;;) {
-      const to = d.indexOf(10, from);
-      const end = to < 0 ? d.length : to;
-      if (this.heldBytes + end - from > this.limit) {
+      const newline = data.indexOf(10, start);
+      const end = newline < 0 ? data.length : newline;
+      if (this.bufferedBytes + end - start > this.limit) {
         this.held = [];
         return false;
       }
-      if (to < 0) {
-        if (from < d.length) {
-          this.held.push(d.subarray(from));
-          this.heldBytes += d.length - from;
+      if (newline < 0) {
+        if (start < data.length) {
+          this.held.push(data.subarray(start));
+          this.bufferedBytes += data.length - start;
         }
         return true;
       }
-      let s: string;
-      if (this.heldBytes) {
-        this.held.push(d.subarray(from, to));
-        s = Buffer.concat(this.held).toString('utf8');
+      let line: string;
+      if (this.bufferedBytes) {
+        this.held.push(data.subarray(start, newline));
+        line = Buffer.concat(this.held).toString('utf8');
         this.held = [];
-        this.heldBytes = 0;
-      } else s = d.toString('utf8', from, to);
-      from = to + 1;
-      if (!this.line(s)) return false;
+        this.bufferedBytes = 0;
+      } else line = data.toString('utf8', start, newline);
+      start = newline + 1;
+      if (!this.onLine(line)) return false;
     }
   }
 }
 
-const INTRODUCTION = /^hello (\S+) (\S+) (\d{1,15})$/;
+const HELLO = /^hello (\S+) (\S+) (\d{1,15})$/;
 
-/** The frame by which one end of a connection tells the other who it is. */
-export const introduce = (self: PeerIdentity): string => `hello ${self.address} ${self.instance} ${self.connection}`;
+/** The frame with which one end of a connection identifies itself to the other. */
+export const encodeHello = (self: PeerIdentity): string => `hello ${self.address} ${self.instance} ${self.connection}`;
 
 /**
- * Who the other end says it is; undefined for a ping.
+ * The identity in a hello frame; undefined for a ping.
  * @example
- * introduced('hello 10.1.0.4:7100 6f1c 3'); // { address: '10.1.0.4:7100', instance: '6f1c', connection: 3 }
+ * decodeHello('hello 10.1.0.4:7100 6f1c 3'); // { address: '10.1.0.4:7100', instance: '6f1c', connection: 3 }
  */
-export function introduced(frame: string): PeerIdentity | undefined {
-  const m = INTRODUCTION.exec(frame);
-  return m ? { address: m[1]!, instance: m[2]!, connection: Number(m[3]) } : undefined;
+export function decodeHello(frame: string): PeerIdentity | undefined {
+  const match = HELLO.exec(frame);
+  return match ? { address: match[1]!, instance: match[2]!, connection: Number(match[3]) } : undefined;
 }
 
-/** The number and the frame of a line; undefined when it has none. */
-export function readLine(s: string): { id: number; frame: string } | undefined {
-  const i = s.indexOf(' ');
-  const id = i < 1 || i > 16 ? NaN : Number(s.slice(0, i));
-  return Number.isSafeInteger(id) && id >= 0 ? { id, frame: s.slice(i + 1) } : undefined;
+/** The id and frame of a line; undefined if it does not start with a valid id. */
+export function parseLine(line: string): { id: number; frame: string } | undefined {
+  const space = line.indexOf(' ');
+  const id = space < 1 || space > 16 ? NaN : Number(line.slice(0, space));
+  return Number.isSafeInteger(id) && id >= 0 ? { id, frame: line.slice(space + 1) } : undefined;
 }
 
-/** Does what was noted during a turn of the loop once, at its end: what was written meanwhile becomes one write. */
+/** Flushes each scheduled connection once at the end of the event loop iteration, so that frames queued meanwhile share one write. */
 export class WriteBatch {
-  private dirty = new Set<{ flush(): void }>();
-  private armed = false;
+  private scheduled = new Set<{ flush(): void }>();
+  private flushPending = false;
 
-  constructor(private system: PeerSystem) {}
+  constructor(private environment: PeerSystem) {}
 
-  note(x: { flush(): void }): void {
-    this.dirty.add(x);
-    if (this.armed) return;
-    this.armed = true;
-    this.system.soon(() => this.run());
+  schedule(connection: { flush(): void }): void {
+    this.scheduled.add(connection);
+    if (this.flushPending) return;
+    this.flushPending = true;
+    this.environment.soon(() => this.run());
   }
   run(): void {
-    this.armed = false;
-    const all = [...this.dirty];
-    this.dirty.clear();
-    for (const x of all) x.flush();
+    this.flushPending = false;
+    const connections = [...this.scheduled];
+    this.scheduled.clear();
+    for (const connection of connections) connection.flush();
   }
 }
 
-/** Writes to a socket, long matter piece by piece, so that its way out can be watched and what follows waits here. */
+/** Writes to a socket, large batches chunk by chunk, so that progress can be observed and later output waits in this process. */
 export class FrameWriter {
-  private pieces: Buffer[] = [];
-  private piecesBytes = 0;
-  /** `moved` is called when a batch or a piece has left; a piece that left is a sign that the other side reads. */
+  private chunks: Buffer[] = [];
+  private chunksBytes = 0;
+  /**
+   * `moved` is called when a small batch (`isChunk` false) or a chunk of a large one (`isChunk` true) has been written. A written
+   * chunk shows that the peer is still reading.
+   */
   constructor(
-    private s: Socket,
-    private moved: (piece: boolean) => void,
+    private socket: Socket,
+    private moved: (isChunk: boolean) => void,
   ) {}
 
-  /** Bytes that have not left. */
-  get waiting(): number {
-    return this.s.writableLength + this.piecesBytes;
+  /** Bytes not yet passed to the operating environment. */
+  get pendingBytes(): number {
+    return this.socket.writableLength + this.chunksBytes;
   }
   /** Whether the next batch may be written. */
-  get free(): boolean {
-    return !this.pieces.length && this.s.writableLength < PIECE_BYTES;
+  get isReady(): boolean {
+    return !this.chunks.length && this.socket.writableLength < PIECE_BYTES;
   }
 
-  write(out: string, bytes: number): void {
+  write(output: string, bytes: number): void {
     if (bytes <= 2 * PIECE_BYTES) {
-      this.s.write(out, 'utf8', (e) => {
-        // A socket that failed takes nothing more: what waits was surely not written.
-        if (!e) this.moved(false);
+      this.socket.write(output, 'utf8', (error) => {
+        // After an error nothing more is written to the socket, so calls still waiting are known to be unsent.
+        if (!error) this.moved(false);
       });
       return;
     }
-    const b = Buffer.from(out);
-    for (let i = 0; i < b.length; i += PIECE_BYTES) this.pieces.push(b.subarray(i, i + PIECE_BYTES));
-    this.piecesBytes = b.length;
+    const buffer = Buffer.from(output);
+    for (let i = 0; i < buffer.length; i += PIECE_BYTES) this.chunks.push(buffer.subarray(i, i + PIECE_BYTES));
+    this.chunksBytes = buffer.length;
     this.next();
   }
 
   private next(): void {
-    const p = this.pieces.shift();
-    if (!p) return;
-    this.piecesBytes -= p.length;
-    this.s.write(p, (e) => {
-      if (e) return;
+    const chunk = this.chunks.shift();
+    if (!chunk) return;
+    this.chunksBytes -= chunk.length;
+    this.socket.write(chunk, (error) => {
+      if (error) return;
       this.next();
       this.moved(true);
     });
--- a/packages/kernel/src/peer-link.ts
+++ b/packages/kernel/src/peer-link.ts
@@ -1,4 +1,4 @@
-/** The calling side of the peer transport: our connection to one peer, and the calls under way on it. */
+/** The calling side of the peer transport: the outbound connection to one peer and its calls in flight. */
 import type { Socket } from 'node:net';
 import { REQUEST } from './constants.js';
 import { HarecrossError, type ErrorDetails } from './fault.js';
@@ -10,9 +10,9 @@
   PIECE_BYTES,
   PING,
   FrameWriter,
-  introduce,
-  introduced,
-  readLine,
+  encodeHello,
+  decodeHello,
+  parseLine,
   type PeerIdentity,
   type PeerNetBounds,
   type PeerSystem,
@@ -20,79 +20,83 @@
 } from './peer-framing.js';
 
 interface Call {
+  /** Assigned when the call is written; until then the id of control lines. */
   id: number;
   frame: string;
   bytes: number;
   cancelTimer: () => void;
-  /** The process it was meant for: set while a connection to it was open. Another one at its address never gets it. */
+  /**
+   * The peer process that was connected when the call was queued; undefined if none was known. The call is never sent to another
+   * process at the same address.
+   */
   instance?: string;
-  over: boolean;
-  res: (s: string) => void;
-  rej: (f: ErrorDetails) => void;
+  settled: boolean;
+  resolve: (answer: string) => void;
+  reject: (error: ErrorDetails) => void;
 }
 type LinkState = 'closed' | 'connecting' | 'open';
 
-/** Our connection to one peer: opened when there is something to say, with any number of calls under way. */
+/** The outbound connection to one peer. It is opened on the first call and carries any number of concurrent calls. */
 export class PeerLink {
   private state: LinkState = 'closed';
   private socket?: Socket;
   private writer?: FrameWriter;
-  /** Calls not written yet, in order: the peer surely has not seen them. */
+  /** Calls not written yet, in order. The peer cannot have seen them. */
   private unsent: Call[] = [];
   private unsentBytes = 0;
-  /** Written and not answered. */
+  /** Calls written and not answered yet. */
   private sent = new Map<number, Call>();
-  /** Given up by their callers, and perhaps answered later. */
-  private abandoned = 0;
-  /** Numbers go on over connections, so that none is ever used twice. */
+  /** Number of written calls that timed out and may still be answered. */
+  private timedOutCount = 0;
+  /** Call ids continue across connections, so that none is ever reused. */
   private nextId = PING + 1;
-  /** The first number of this connection. */
+  /** The first call id of this connection. */
   private firstId = PING + 1;
-  private greeted = false;
-  /** Whether the other end has answered our introduction, and who it is if it said so. */
-  private known = false;
+  private greetingSent = false;
+  /** Whether the peer has answered our hello. An older version answers without its identity, so `peerInstance` may be undefined. */
+  private helloAnswered = false;
   private peerInstance?: string;
-  private cancelWatch?: () => void;
-  private heard = false;
-  private pinged = false;
-  usedAt = 0;
+  private cancelSilenceTimer?: () => void;
+  private activitySeen = false;
+  private pingSent = false;
+  lastUsedAt = 0;
 
   constructor(
     private peer: string,
     private bounds: PeerNetBounds,
-    private turn: WriteBatch,
-    private introduction: () => PeerIdentity,
-    private system: PeerSystem,
-    private news: () => NetEvents | undefined,
+    private flushScheduler: WriteBatch,
+    private createIdentity: () => PeerIdentity,
+    private environment: PeerSystem,
+    private events: () => NetEvents | undefined,
   ) {}
 
   call(frame: string, timeoutMs: number): Promise<string> {
-    return new Promise((res, rej) => {
+    return new Promise((resolve, reject) => {
       const bytes = Buffer.byteLength(frame);
-      const fail = (f: ErrorDetails): void => rej(new HarecrossError(f));
+      const fail = (error: ErrorDetails): void => reject(new HarecrossError(error));
       if (bytes > this.bounds.frameBytes) {
         fail({ tag: 'too_large', step: 'call', peer: this.peer, limit: this.bounds.frameBytes });
         return;
       }
-      const waiting = this.unsentBytes + (this.writer?.waiting ?? 0) + bytes;
-      if (waiting > this.bounds.waitingBytes || this.sent.size + this.unsent.length >= this.bounds.callsN) {
-        this.news()?.count('peer.link.full');
+      const pendingBytes = this.unsentBytes + (this.writer?.pendingBytes ?? 0) + bytes;
+      if (pendingBytes > this.bounds.waitingBytes || this.sent.size + this.unsent.length >= this.bounds.callsN) {
+        this.events()?.count('peer.link.full');
         fail({ tag: 'overloaded', step: 'call', peer: this.peer, retryAfterMs: REQUEST.retryMs });
         return;
       }
-      this.usedAt = this.system.now();
-      const c: Call = {
+      this.lastUsedAt = this.environment.now();
+      const call: Call = {
         id: PING,
         frame,
         bytes,
-        over: false,
-        res,
-        rej: fail,
-        // What already lies in the socket when our loop comes late is read first.
-        cancelTimer: this.system.after(timeoutMs, () => this.system.soon(() => this.giveUp(c))),
+        settled: false,
+        resolve,
+        reject: fail,
+        // After an event loop delay, data already in the socket buffer is read before the call times out.
+        cancelTimer: this.environment.after(timeoutMs, () => this.environment.soon(() => this.onTimeout(call))),
         ...(this.state === 'open' && this.peerInstance !== undefined ? { instance: this.peerInstance } : {}),
       };
-      this.unsent.push(c);
+      this.unsent.push(call);
       this.unsentBytes += bytes;
       switch (this.state) {
         case 'closed':
@@ -101,242 +105,258 @@
         case 'connecting':
           break;
         case 'open':
-          this.turn.note(this);
+          this.flushScheduler.schedule(this);
           break;
       }
     });
   }
 
-  /** Ends a call once, with whatever became of it. */
-  private end(c: Call, how: string | ErrorDetails): void {
-    if (c.over) return;
-    c.over = true;
-    c.cancelTimer();
-    if (typeof how === 'string') c.res(how);
-    else c.rej(how);
+  /** Resolves a call with its answer or rejects it with an error; does nothing if the call is already settled. */
+  private settle(call: Call, outcome: string | ErrorDetails): void {
+    if (call.settled) return;
+    call.settled = true;
+    call.cancelTimer();
+    if (typeof outcome === 'string') call.resolve(outcome);
+    else call.reject(outcome);
   }
 
-  private giveUp(c: Call): void {
-    if (c.over) return;
-    this.end(c, { tag: 'timeout', step: 'call', peer: this.peer });
-    if (c.id !== PING) {
-      this.sent.delete(c.id);
-      this.abandoned++;
+  private onTimeout(call: Call): void {
+    if (call.settled) return;
+    this.settle(call, { tag: 'timeout', step: 'call', peer: this.peer });
+    if (call.id !== PING) {
+      this.sent.delete(call.id);
+      this.timedOutCount++;
       return;
     }
-    this.unsent.splice(this.unsent.indexOf(c), 1);
-    this.unsentBytes -= c.bytes;
+    this.unsent.splice(this.unsent.indexOf(call), 1);
+    this.unsentBytes -= call.bytes;
   }
 
   private open(): void {
     this.state = 'connecting';
-    this.greeted = this.known = this.heard = this.pinged = false;
+    this.greetingSent = this.helloAnswered = this.activitySeen = this.pingSent = false;
     this.peerInstance = undefined;
     this.firstId = this.nextId;
-    const s = this.system.connect(this.peer);
-    this.socket = s;
-    this.writer = new FrameWriter(s, (piece) => {
-      if (this.socket === s) {
-        this.heard ||= piece;
+    const socket = this.environment.connect(this.peer);
+    this.socket = socket;
+    this.writer = new FrameWriter(socket, (isChunk) => {
+      if (this.socket === socket) {
+        this.activitySeen ||= isChunk;
         this.flush();
       }
     });
-    let why = 'closed by the peer';
-    const cancelLate = this.system.after(this.bounds.connectMs, () => this.lost(s, 'ETIMEDOUT'));
-    const lines = new LineReader(this.bounds.frameBytes + LINE_OVERHEAD_BYTES, (l) => this.line(l));
-    s.on('connect', () => {
-      cancelLate();
-      if (this.socket !== s) return;
+    let reason = 'closed by the peer';
+    const cancelConnectTimer = this.environment.after(this.bounds.connectMs, () => this.lost(socket, 'ETIMEDOUT'));
+    const lineReader = new LineReader(this.bounds.frameBytes + LINE_OVERHEAD_BYTES, (line) => this.onLine(line));
+    socket.on('connect', () => {
+      cancelConnectTimer();
+      if (this.socket !== socket) return;
       this.state = 'open';
-      this.news()?.count('peer.link.opened');
+      this.events()?.count('peer.link.opened');
       this.flush();
     });
-    s.on('data', (d) => {
-      if (this.socket !== s) return;
-      this.heard = true;
-      this.pinged = false;
-      if (!lines.take(d)) this.lost(s, 'not a line of a peer');
+    socket.on('data', (data) => {
+      if (this.socket !== socket) return;
+      this.activitySeen = true;
+      this.pingSent = false;
+      if (!lineReader.push(data)) this.lost(socket, 'malformed line');
     });
-    s.on('error', (e: Error & { code?: string }) => {
-      why = e.code ?? e.message;
+    socket.on('error', (error: Error & { code?: string }) => {
+      reason = error.code ?? error.message;
     });
-    s.on('end', () => this.lost(s, why));
-    s.on('close', () => {
-      cancelLate();
-      this.lost(s, why);
+    socket.on('end', () => this.lost(socket, reason));
+    socket.on('close', () => {
+      cancelConnectTimer();
+      this.lost(socket, reason);
     });
   }
 
-  private line(l: string): boolean {
-    const r = readLine(l);
-    if (!r) return false;
-    if (r.id === PING) {
-      this.abandoned = 0;
-      this.meet(introduced(r.frame));
+  /** Processes one line from the peer. Returns false if the line violates the protocol. */
+  private onLine(line: string): boolean {
+    const parsed = parseLine(line);
+    if (!parsed) return false;
+    if (parsed.id === PING) {
+      this.timedOutCount = 0;
+      this.meet(decodeHello(parsed.frame));
       return true;
     }
-    const c = this.sent.get(r.id);
-    if (!c) {
-      // Never asked on this connection.
-      if (r.id >= this.nextId || r.id < this.firstId) return false;
-      this.abandoned = Math.max(0, this.abandoned - 1);
+    const call = this.sent.get(parsed.id);
+    if (!call) {
+      // No call with this id was sent on this connection.
+      if (parsed.id >= this.nextId || parsed.id < this.firstId) return false;
+      this.timedOutCount = Math.max(0, this.timedOutCount - 1);
       return true;
     }
-    this.sent.delete(r.id);
-    // The peer could not put its answer into a frame.
-    this.end(
-      c,
-      r.frame === '' ? { tag: 'cut', step: 'call', peer: this.peer, detail: 'its answer is too large' } : r.frame,
+    this.sent.delete(parsed.id);
+    // An empty frame means that the answer exceeds the peer's frame size limit.
+    this.settle(
+      call,
+      parsed.frame === ''
+        ? { tag: 'cut', step: 'call', peer: this.peer, detail: 'answer exceeds the frame size limit' }
+        : parsed.frame,
     );
     return true;
   }
 
-  /** The other end has answered our introduction. What was meant for an earlier process at its address was never written: it ends here. */
+  /**
+   * Records the peer's answer to our hello. Unsent calls that were queued for an earlier process at its address are rejected as
+   * `unreachable`.
+   */
   private meet(peer: PeerIdentity | undefined): void {
-    if (this.known) return;
-    this.known = true;
+    if (this.helloAnswered) return;
+    this.helloAnswered = true;
     this.peerInstance = peer?.instance;
     if (peer) {
       const { instance } = peer;
-      const stale = this.unsent.filter((c) => c.instance !== undefined && c.instance !== instance);
-      this.unsent = this.unsent.filter((c) => !stale.includes(c));
-      for (const c of stale) {
-        this.unsentBytes -= c.bytes;
-        this.news()?.count('peer.link.another_process');
-        this.end(c, { tag: 'unreachable', step: 'call', peer: this.peer, detail: 'another process is at its address' });
+      const stale = this.unsent.filter((call) => call.instance !== undefined && call.instance !== instance);
+      this.unsent = this.unsent.filter((call) => !stale.includes(call));
+      for (const call of stale) {
+        this.unsentBytes -= call.bytes;
+        this.events()?.count('peer.link.another_process');
+        this.settle(call, {
+          tag: 'unreachable',
+          step: 'call',
+          peer: this.peer,
+          detail: 'the address now belongs to another process',
+        });
       }
     }
     this.flush();
   }
 
-  /** Some call is meant for a process, and we do not know yet whether it is the one at the other end. */
-  private get mustMeet(): boolean {
-    return !this.known && this.unsent.some((c) => c.instance !== undefined);
+  /** Whether sending must wait for the hello answer because an unsent call is bound to a specific process. */
+  private get mustAwaitHello(): boolean {
+    return !this.helloAnswered && this.unsent.some((call) => call.instance !== undefined);
   }
 
   flush(): void {
-    const w = this.writer;
-    if (this.state !== 'open' || !w?.free || !this.unsent.length) return;
-    let out = this.greeted ? '' : `${GREETING}\n${PING} ${introduce(this.introduction())}\n`;
-    this.greeted = true;
-    if (this.mustMeet) {
-      if (out) w.write(out, out.length);
-      this.watchQuiet();
+    const writer = this.writer;
+    if (this.state !== 'open' || !writer?.isReady || !this.unsent.length) return;
+    let output = this.greetingSent ? '' : `${GREETING}\n${PING} ${encodeHello(this.createIdentity())}\n`;
+    this.greetingSent = true;
+    if (this.mustAwaitHello) {
+      if (output) writer.write(output, output.length);
+      this.watchForSilence();
       return;
     }
     let bytes = 0;
-    let n = 0;
-    while (n < this.unsent.length && bytes < PIECE_BYTES) {
-      const c = this.unsent[n++]!;
-      c.id = this.nextId++;
-      this.sent.set(c.id, c);
-      out += `${c.id} ${c.frame}\n`;
-      bytes += c.bytes;
-      c.frame = '';
+    let count = 0;
+    while (count < this.unsent.length && bytes < PIECE_BYTES) {
+      const call = this.unsent[count++]!;
+      call.id = this.nextId++;
+      this.sent.set(call.id, call);
+      output += `${call.id} ${call.frame}\n`;
+      bytes += call.bytes;
+      call.frame = '';
     }
-    this.unsent.splice(0, n);
+    this.unsent.splice(0, count);
     this.unsentBytes -= bytes;
-    w.write(out, bytes);
-    this.watchQuiet();
+    writer.write(output, bytes);
+    this.watchForSilence();
   }
 
   /**
-   * While answers are owed, a connection that was quiet for a while is pinged, and one that stays quiet is left: a machine
-   * without power says nothing. Our own late loop is not the peer's silence.
+   * While answers are outstanding, pings a connection that has been silent for `quietMs` and closes it after another such interval
+   * without activity: a machine that lost power neither answers nor closes its connections. An interval in which our own event loop
+   * was delayed does not count as silence.
    */
-  private watchQuiet(): void {
-    if (this.cancelWatch) return;
-    const due = this.system.now() + this.bounds.quietMs;
-    this.heard = false;
-    this.cancelWatch = this.system.after(this.bounds.quietMs, () => {
-      this.cancelWatch = undefined;
-      const s = this.socket;
-      if (this.state !== 'open' || !s || (!this.sent.size && !this.abandoned && !this.mustMeet)) return;
-      const late = this.system.now() - due > this.bounds.quietMs / 2;
-      if (!this.heard && !late) {
-        if (this.pinged) {
-          this.news()?.count('peer.link.silent');
-          this.lost(s, 'silent', 'timeout');
+  private watchForSilence(): void {
+    if (this.cancelSilenceTimer) return;
+    const due = this.environment.now() + this.bounds.quietMs;
+    this.activitySeen = false;
+    this.cancelSilenceTimer = this.environment.after(this.bounds.quietMs, () => {
+      this.cancelSilenceTimer = undefined;
+      const socket = this.socket;
+      if (this.state !== 'open' || !socket || (!this.sent.size && !this.timedOutCount && !this.mustAwaitHello)) return;
+      const loopDelayed = this.environment.now() - due > this.bounds.quietMs / 2;
+      if (!this.activitySeen && !loopDelayed) {
+        if (this.pingSent) {
+          this.events()?.count('peer.link.silent');
+          this.lost(socket, 'silent', 'timeout');
           return;
         }
-        this.pinged = true;
-        // Behind a batch that does not get out it would only wait too.
-        if (this.writer!.free) s.write(`${PING} \n`);
+        this.pingSent = true;
+        // If earlier output is blocked, a ping would only queue behind it.
+        if (this.writer!.isReady) socket.write(`${PING} \n`);
       }
-      this.watchQuiet();
+      this.watchForSilence();
     });
   }
 
-  /** The one way a connection ends. Written calls end with `tag`; the others were surely not seen. */
-  private lost(s: Socket, detail: string, tag: 'cut' | 'timeout' = 'cut'): void {
-    if (this.socket !== s) return;
-    const was = this.state;
+  /**
+   * Handles the loss of the connection, for whatever reason except `close`. Written calls are rejected with `tag`. Unsent calls, which
+   * the peer cannot have seen, are rejected as `unreachable` if the connection was never established, else sent on a new connection.
+   */
+  private lost(socket: Socket, detail: string, tag: 'cut' | 'timeout' = 'cut'): void {
+    if (this.socket !== socket) return;
+    const previousState = this.state;
     this.socket = undefined;
     this.writer = undefined;
     this.state = 'closed';
-    this.cancelWatch?.();
-    this.cancelWatch = undefined;
-    s.destroy();
+    this.cancelSilenceTimer?.();
+    this.cancelSilenceTimer = undefined;
+    socket.destroy();
     const sent = [...this.sent.values()];
     this.sent.clear();
-    this.abandoned = 0;
+    this.timedOutCount = 0;
     const { peer } = this;
-    for (const c of sent)
-      this.end(c, tag === 'timeout' ? { tag, step: 'call', peer } : { tag, step: 'call', peer, detail });
-    switch (was) {
+    for (const call of sent)
+      this.settle(call, tag === 'timeout' ? { tag, step: 'call', peer } : { tag, step: 'call', peer, detail });
+    switch (previousState) {
       case 'closed':
         break;
       case 'connecting': {
-        const all = this.unsent;
+        const unsent = this.unsent;
         this.unsent = [];
         this.unsentBytes = 0;
-        for (const c of all) this.end(c, { tag: 'unreachable', step: 'call', peer, detail });
+        for (const call of unsent) this.settle(call, { tag: 'unreachable', step: 'call', peer, detail });
         break;
       }
       case 'open':
-        this.news()?.count('peer.link.lost');
-        this.news()?.broken(peer);
+        this.events()?.count('peer.link.lost');
+        this.events()?.broken(peer);
         if (this.unsent.length && this.state === 'closed') this.open();
         break;
     }
   }
 
-  /** Nothing under way and not used since then. */
-  idleSince(at: number): boolean {
-    return this.usedAt < at && !this.sent.size && !this.unsent.length;
+  /** Whether the link has no pending calls and was last used before `time`. */
+  isIdleSince(time: number): boolean {
+    return this.lastUsedAt < time && !this.sent.size && !this.unsent.length;
   }
 
-  /** Says what was still to be said, and leaves. Calls under way end as cut. */
+  /** Writes what can still be written, then closes the connection. Pending calls are rejected as `cut`. */
   async close(): Promise<void> {
     this.flush();
-    const s = this.socket;
+    const socket = this.socket;
     this.socket = undefined;
     this.writer = undefined;
     this.state = 'closed';
-    this.cancelWatch?.();
-    this.cancelWatch = undefined;
-    const all = [...this.sent.values(), ...this.unsent];
+    this.cancelSilenceTimer?.();
+    this.cancelSilenceTimer = undefined;
+    const pending = [...this.sent.values(), ...this.unsent];
     this.sent.clear();
     this.unsent = [];
     this.unsentBytes = 0;
-    for (const c of all) this.end(c, { tag: 'cut', step: 'call', peer: this.peer, detail: 'closed by us' });
-    if (s) await endSocket(s, this.bounds.closeMs);
+    for (const call of pending)
+      this.settle(call, { tag: 'cut', step: 'call', peer: this.peer, detail: 'closed locally' });
+    if (socket) await closeSocket(socket, this.bounds.closeMs);
   }
 }
 
-/** Ends a socket after what was written to it; destroyed when the other side takes too long. */
-export function endSocket(s: Socket, ms: number): Promise<void> {
-  return new Promise((res) => {
-    if (s.closed || s.destroyed) {
-      res();
+/** Ends a socket after its buffered output is sent, and destroys it if it is not closed within `timeoutMs`. */
+export function closeSocket(socket: Socket, timeoutMs: number): Promise<void> {
+  return new Promise((resolve) => {
+    if (socket.closed || socket.destroyed) {
+      resolve();
       return;
     }
-    const t = setTimeout(() => s.destroy(), ms);
-    s.on('close', () => {
-      clearTimeout(t);
-      res();
+    const timer = setTimeout(() => socket.destroy(), timeoutMs);
+    socket.on('close', () => {
+      clearTimeout(timer);
+      resolve();
     });
-    s.resume();
-    s.end();
+    socket.resume();
+    socket.end();
   });
 }
--- a/packages/kernel/src/peer-net.ts
+++ b/packages/kernel/src/peer-net.ts
@@ -1,14 +1,14 @@
-/** The peer transport: links to peers and the connections they opened to us, behind one `Net`. */
+/** Implements `Net` over TCP: outbound links to peers and the connections accepted from them. */
 import { randomUUID } from 'node:crypto';
 import { connect, createServer, type NetConnectOpts, type Server } from 'node:net';
 import { PROCESS } from './constants.js';
 import { HarecrossError } from './fault.js';
 import { parseAddress, type Net, type NetEvents } from './host.js';
 import { PIECE_BYTES, WriteBatch, type PeerIdentity, type PeerNetBounds, type PeerSystem } from './peer-framing.js';
-import { endSocket, PeerLink } from './peer-link.js';
+import { closeSocket, PeerLink } from './peer-link.js';
 import { AcceptedConnection } from './peer-server.js';
 
-const realSystem: PeerSystem = {
+const realEnvironment: PeerSystem = {
   connect: (peer) => connect({ ...parseAddress(peer), noDelay: true, highWaterMark: PIECE_BYTES } as NetConnectOpts),
   now: () => performance.now(),
   after: (ms, fn) => {
@@ -21,43 +21,45 @@
 };
 
 /**
- * The connections that peers opened to us. An address has one process at a time, and a process one connection to us at a time: once a
- * later one introduces itself, earlier ones are ended, and what still comes on them is not run. Their calls have been given up. Of one
- * process the number tells which is later; of two, the order in which they came, since the earlier process had ended before.
+ * The connections accepted from peers. An address belongs to one process at a time, and a process has one connection to us at a time:
+ * when a later connection sends its hello, earlier ones are closed and no further call from them is handled, since their callers have
+ * already failed those calls. Between connections of one process the connection number decides which is later; between two processes
+ * the order of acceptance does, since the earlier process had ended before the later one started.
  */
 export class AcceptedConnections {
-  /** In the order in which they came. */
+  /** In order of acceptance. */
   readonly all = new Set<AcceptedConnection>();
 
+  /** Compares a connection that has sent its hello with the others from its address, and closes all but the latest. */
   met(connection: AcceptedConnection): void {
     const { peer } = connection;
     if (!peer) return;
-    let cameLater = false;
+    let acceptedLater = false;
     for (const other of this.all) {
       if (other === connection) {
-        cameLater = true;
+        acceptedLater = true;
         continue;
       }
       if (other.peer?.address !== peer.address) continue;
       const sameProcess = other.peer.instance === peer.instance;
-      const otherIsLater = sameProcess ? other.peer.connection > peer.connection : cameLater;
+      const otherIsLater = sameProcess ? other.peer.connection > peer.connection : acceptedLater;
       (otherIsLater ? connection : other).supersede();
     }
   }
 }
 
 /**
- * Peer frames over TCP: one long connection for each ordered pair of nodes, opened by the caller, with any number of calls under
- * way. A line there is `number frame`, a line back is `number frame`; all that is written in one turn of the loop goes out in one
- * write. `unreachable` is said only of calls that were never written; `cut` of those whose connection broke under them; `timeout`
- * of those that got no answer. Frames must not contain a newline.
+ * Peer frames over TCP. Each ordered pair of nodes has one long-lived connection, opened by the caller, with any number of calls in
+ * flight. Calls and answers are lines of the form `id frame`; all lines produced in one event loop iteration go out in one write. A call
+ * fails with `unreachable` only if it was never written, with `cut` if its connection broke before the answer arrived, and with
+ * `timeout` if no answer arrived in time. Frames must not contain a newline.
  * @example
  * const net = peerNet('127.0.0.1:7101');
  * await net.serve(async (frame) => answer(frame));
- * await net.call('127.0.0.1:7102', frame, 800); // rejects with a Failure: unreachable, cut, timeout, overloaded, too_large
+ * await net.call('127.0.0.1:7102', frame, 800); // rejects with a HarecrossError: unreachable, cut, timeout, overloaded, too_large
  */
-export function peerNet(self: string, bounds: Partial<PeerNetBounds> = {}): Net {
-  const b: PeerNetBounds = {
+export function peerNet(self: string, overrides: Partial<PeerNetBounds> = {}): Net {
+  const limits: PeerNetBounds = {
     connectMs: PROCESS.connectMs,
     quietMs: PROCESS.peerQuietMs,
     frameBytes: PROCESS.peerFrameBytes,
@@ -65,85 +67,86 @@
     callsN: PROCESS.peerCallLimit,
     connectionLimit: PROCESS.peerConnectionLimit,
     closeMs: PROCESS.peerCloseMs,
-    ...bounds,
+    ...overrides,
   };
   const links = new Map<string, PeerLink>();
   const identity: PeerIdentity = { address: self, instance: randomUUID(), connection: 0 };
-  let opened = 0;
-  const introduction = (): PeerIdentity => ({ ...identity, connection: ++opened });
-  const system = realSystem;
-  const accepted = new AcceptedConnections();
-  const turn = new WriteBatch(system);
-  let news: NetEvents | undefined;
+  let openedConnections = 0;
+  const createIdentity = (): PeerIdentity => ({ ...identity, connection: ++openedConnections });
+  const environment = realEnvironment;
+  const connections = new AcceptedConnections();
+  const flushScheduler = new WriteBatch(environment);
+  let events: NetEvents | undefined;
   let server: Server | undefined;
   let closed = false;
-  // Links to peers we have nothing to say to any more are given back.
-  const idle = setInterval(() => {
-    const at = performance.now() - PROCESS.peerIdleMs;
-    for (const [p, l] of links)
-      if (l.idleSince(at)) {
-        links.delete(p);
-        void l.close();
+  // Closes links that have been idle for `peerIdleMs`.
+  const idleTimer = setInterval(() => {
+    const idleBefore = performance.now() - PROCESS.peerIdleMs;
+    for (const [peer, link] of links)
+      if (link.isIdleSince(idleBefore)) {
+        links.delete(peer);
+        void link.close();
       }
   }, PROCESS.peerIdleMs / 2);
-  idle.unref();
+  idleTimer.unref();
   return {
-    async serve(handle, n) {
-      news = n;
-      const srv = createServer(
+    async serve(handle, netEvents) {
+      events = netEvents;
+      const tcpServer = createServer(
         { noDelay: true, highWaterMark: PIECE_BYTES, keepAlive: true, keepAliveInitialDelay: PROCESS.peerKeepAliveMs },
-        (s) => {
-          const a = new AcceptedConnection(
-            s,
-            b,
-            turn,
+        (socket) => {
+          const accepted = new AcceptedConnection(
+            socket,
+            limits,
+            flushScheduler,
             identity,
-            system,
-            (c) => accepted.met(c),
+            environment,
+            (identified) => connections.met(identified),
             handle,
-            () => news,
+            () => events,
           );
-          accepted.all.add(a);
-          s.on('close', () => accepted.all.delete(a));
+          connections.all.add(accepted);
+          socket.on('close', () => connections.all.delete(accepted));
         },
       );
-      srv.maxConnections = b.connectionLimit;
-      server = srv;
-      await new Promise<void>((res, rej) => {
-        srv.on('error', rej);
-        srv.listen(parseAddress(self), () => {
-          srv.off('error', rej);
-          res();
+      tcpServer.maxConnections = limits.connectionLimit;
+      server = tcpServer;
+      await new Promise<void>((resolve, reject) => {
+        tcpServer.on('error', reject);
+        tcpServer.listen(parseAddress(self), () => {
+          tcpServer.off('error', reject);
+          resolve();
         });
       });
-      srv.on('error', () => n?.count('peer.server.error'));
+      tcpServer.on('error', () => netEvents?.count('peer.server.error'));
     },
     call(peer, frame, timeoutMs) {
-      if (closed) return Promise.reject(new HarecrossError({ tag: 'cut', step: 'call', peer, detail: 'closed by us' }));
-      let l = links.get(peer);
-      if (!l) {
-        l = new PeerLink(peer, b, turn, introduction, system, () => news);
-        links.set(peer, l);
+      if (closed)
+        return Promise.reject(new HarecrossError({ tag: 'cut', step: 'call', peer, detail: 'closed locally' }));
+      let link = links.get(peer);
+      if (!link) {
+        link = new PeerLink(peer, limits, flushScheduler, createIdentity, environment, () => events);
+        links.set(peer, link);
       }
-      return l.call(frame, timeoutMs);
+      return link.call(frame, timeoutMs);
     },
     async close() {
       closed = true;
-      clearInterval(idle);
-      news = undefined;
-      const srv = server;
-      const shut =
-        srv &&
-        new Promise<void>((res) => {
-          srv.close(() => res());
+      clearInterval(idleTimer);
+      events = undefined;
+      const tcpServer = server;
+      const serverClosed =
+        tcpServer &&
+        new Promise<void>((resolve) => {
+          tcpServer.close(() => resolve());
         });
-      turn.run();
+      flushScheduler.run();
       await Promise.all([
-        ...[...links.values()].map((l) => l.close()),
-        ...[...accepted.all].map((a) => endSocket(a.s, b.closeMs)),
+        ...[...links.values()].map((link) => link.close()),
+        ...[...connections.all].map((accepted) => closeSocket(accepted.socket, limits.closeMs)),
       ]);
       links.clear();
-      await shut;
+      await serverClosed;
     },
   };
 }
--- a/packages/kernel/src/peer-server.ts
+++ b/packages/kernel/src/peer-server.ts
@@ -1,4 +1,4 @@
-/** The serving side of the peer transport: a connection that a peer opened to us. */
+/** The serving side of the peer transport: a connection accepted from a peer. */
 import type { Socket } from 'node:net';
 import type { NetEvents } from './host.js';
 import {
@@ -6,152 +6,155 @@
   LineReader,
   LINE_OVERHEAD_BYTES,
   PING,
-  UNREAD_BYTES,
+  READ_PAUSE_BYTES,
   FrameWriter,
-  introduce,
-  introduced,
-  readLine,
+  encodeHello,
+  decodeHello,
+  parseLine,
   type PeerIdentity,
   type PeerNetBounds,
   type PeerSystem,
   type WriteBatch,
 } from './peer-framing.js';
 
-/** A connection that a peer opened to us. */
+/** A connection accepted from a peer. */
 export class AcceptedConnection {
-  private greeted = false;
+  private greetingReceived = false;
   private out: string[] = [];
-  private outBytes = 0;
+  private outputBytes = 0;
   private writer: FrameWriter;
   private busy = 0;
   private paused = false;
   private superseded = false;
   private lines: LineReader;
-  private cancelHello: () => void;
-  /** Numbers of one connection only rise: a line that comes twice is none of a peer's. */
+  private cancelGreetingTimer: () => void;
+  /** Call ids only increase within one connection; a line that repeats an id is a protocol violation. */
   private lastId = PING;
-  /** The process at the other end, once it has introduced itself. */
+  /** The process at the other end, once it has sent its hello. */
   peer?: PeerIdentity;
 
   constructor(
-    readonly s: Socket,
+    readonly socket: Socket,
     private bounds: PeerNetBounds,
-    private turn: WriteBatch,
+    private flushScheduler: WriteBatch,
     private self: PeerIdentity,
-    system: PeerSystem,
-    private met: (connection: AcceptedConnection) => void,
+    environment: PeerSystem,
+    private onIdentified: (connection: AcceptedConnection) => void,
     private handle: (frame: string) => Promise<string>,
-    private news: () => NetEvents | undefined,
+    private events: () => NetEvents | undefined,
   ) {
-    this.lines = new LineReader(GREETING.length, (l) => this.line(l));
-    this.writer = new FrameWriter(s, () => {
+    this.lines = new LineReader(GREETING.length, (line) => this.onLine(line));
+    this.writer = new FrameWriter(socket, () => {
       this.flush();
-      this.pace();
+      this.updateReadPause();
     });
-    this.cancelHello = system.after(bounds.connectMs * 2, () =>
-      system.soon(() => {
-        if (!this.greeted) this.bad();
+    this.cancelGreetingTimer = environment.after(bounds.connectMs * 2, () =>
+      environment.soon(() => {
+        if (!this.greetingReceived) this.rejectProtocolViolation();
       }),
     );
-    s.on('data', (d) => {
-      if (!this.lines.take(d)) this.bad();
+    socket.on('data', (data) => {
+      if (!this.lines.push(data)) this.rejectProtocolViolation();
     });
-    s.on('error', () => undefined);
-    s.on('close', () => this.cancelHello());
+    socket.on('error', () => undefined);
+    socket.on('close', () => this.cancelGreetingTimer());
   }
 
-  private bad(): void {
-    if (this.s.destroyed) return;
-    this.news()?.count('peer.link.garbage');
-    this.s.destroy();
+  /** Closes the connection because its input is not valid peer traffic. */
+  private rejectProtocolViolation(): void {
+    if (this.socket.destroyed) return;
+    this.events()?.count('peer.link.garbage');
+    this.socket.destroy();
   }
 
-  private line(l: string): boolean {
-    if (!this.greeted) {
-      if (l !== GREETING) return false;
-      this.greeted = true;
-      this.cancelHello();
+  /** Processes one line from the peer. Returns false if the line violates the protocol. */
+  private onLine(line: string): boolean {
+    if (!this.greetingReceived) {
+      if (line !== GREETING) return false;
+      this.greetingReceived = true;
+      this.cancelGreetingTimer();
       this.lines.limit = this.bounds.frameBytes + LINE_OVERHEAD_BYTES;
       return true;
     }
-    const r = readLine(l);
-    if (!r) return false;
-    if (r.id === PING) {
-      this.own(r.frame);
+    const parsed = parseLine(line);
+    if (!parsed) return false;
+    if (parsed.id === PING) {
+      this.onControlFrame(parsed.frame);
       return true;
     }
     if (this.superseded) return true;
-    if (r.id <= this.lastId) return false;
-    this.lastId = r.id;
+    if (parsed.id <= this.lastId) return false;
+    this.lastId = parsed.id;
     this.busy++;
-    this.handle(r.frame).then(
-      (a) => {
+    this.handle(parsed.frame).then(
+      (answer) => {
         this.busy--;
-        this.say(r.id, a);
-        this.pace();
+        this.send(parsed.id, answer);
+        this.updateReadPause();
       },
-      // Not a frame of ours: a peer never sends one.
+      // The handler rejects only a frame that is not a valid request, which no peer sends.
       () => {
         this.busy--;
-        this.bad();
+        this.rejectProtocolViolation();
       },
     );
-    this.pace();
+    this.updateReadPause();
     return true;
   }
 
-  /** A line of the transport itself. */
-  private own(frame: string): void {
-    const peer = introduced(frame);
+  /** Answers a ping or a hello. */
+  private onControlFrame(frame: string): void {
+    const peer = decodeHello(frame);
     if (!peer) {
-      this.say(PING, '');
+      this.send(PING, '');
       return;
     }
     this.peer = peer;
-    this.say(PING, introduce(this.self));
-    this.met(this);
+    this.send(PING, encodeHello(this.self));
+    this.onIdentified(this);
   }
 
-  /** Another process has taken the address of the one that opened this connection: nothing more of it is run. */
+  /** Closes the connection because a later one from the same address has replaced it. No further call from it is handled. */
   supersede(): void {
     this.superseded = true;
-    this.news()?.count('peer.link.superseded');
-    this.s.destroy();
+    this.events()?.count('peer.link.superseded');
+    this.socket.destroy();
   }
 
-  private say(id: number, frame: string): void {
-    if (!this.s.writable) return;
+  private send(id: number, frame: string): void {
+    if (!this.socket.writable) return;
     let bytes = Buffer.byteLength(frame);
     if (bytes > this.bounds.frameBytes) {
+      // An empty frame tells the caller that the answer is too large.
       frame = '';
       bytes = 0;
     }
-    if (this.outBytes + this.writer.waiting + bytes > this.bounds.waitingBytes) {
-      // It asks and does not read.
-      this.news()?.count('peer.link.unread');
-      this.s.destroy();
+    if (this.outputBytes + this.writer.pendingBytes + bytes > this.bounds.waitingBytes) {
+      // The peer keeps sending calls without reading the answers.
+      this.events()?.count('peer.link.unread');
+      this.socket.destroy();
       return;
     }
     this.out.push(`${id} ${frame}\n`);
-    this.outBytes += bytes;
-    this.turn.note(this);
+    this.outputBytes += bytes;
+    this.flushScheduler.schedule(this);
   }
 
   flush(): void {
-    if (!this.s.writable || !this.writer.free || !this.out.length) return;
-    const out = this.out.join('');
-    const bytes = this.outBytes;
+    if (!this.socket.writable || !this.writer.isReady || !this.out.length) return;
+    const output = this.out.join('');
+    const bytes = this.outputBytes;
     this.out = [];
-    this.outBytes = 0;
-    this.writer.write(out, bytes);
+    this.outputBytes = 0;
+    this.writer.write(output, bytes);
   }
 
-  /** Reads on only while the peer reads too and not too much of it is in work. */
-  private pace(): void {
-    const stop = this.busy >= this.bounds.callsN || this.outBytes + this.writer.waiting > UNREAD_BYTES;
-    if (stop === this.paused || this.s.destroyed) return;
-    this.paused = stop;
-    if (stop) this.s.pause();
-    else this.s.resume();
+  /** Pauses reading while the peer has too many calls in flight or does not read its answers. */
+  private updateReadPause(): void {
+    const pause = this.busy >= this.bounds.callsN || this.outputBytes + this.writer.pendingBytes > READ_PAUSE_BYTES;
+    if (pause === this.paused || this.socket.destroyed) return;
+    this.paused = pause;
+    if (pause) this.socket.pause();
+    else this.socket.resume();
   }
 }
--- a/packages/kernel/src/rpc-endpoint.ts
+++ b/packages/kernel/src/rpc-endpoint.ts
@@ -1,4 +1,4 @@
-/** Calls between nodes: sends requests to peers, and answers theirs by the handlers that the services register. */
+/** RPCs between nodes: sends requests to peers and dispatches incoming requests to the handlers that services register. */
 import { ClockOffsets } from './clock-offsets.js';
 import { MEMBERSHIP, REGISTER, REQUEST } from './constants.js';
 import { HarecrossError, toErrorDetails, type ErrorDetails } from './fault.js';
@@ -7,21 +7,21 @@
 import { PEER_RPCS, type PeerRpc } from './peer-rpcs.js';
 import { SerializedBody, decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from './rpc-envelope.js';
 
-/** What a handler learns of the sender. */
+/** The sender of a request, as passed to its handler. */
 export interface RequestContext {
   peer: string;
-  /** Id of the sender's process. */
+  /** Instance id of the sender's process. */
   inst: string;
-  /** When it sent the request, by our clock: also one that was held up on its way. */
+  /** When the request was sent, in local clock time; a delay in transit does not make it later. */
   sentAt: number;
-  /** Turns a time of the sender's clock into ours. */
+  /** Converts a time of the sender's clock to local clock time. */
   toLocal: (time: number) => number;
 }
 
-/** Answers a request of one method. Each method's handler names the body that its callers send. */
+/** Handles requests of one method; `Body` is the request body that its callers send. */
 export type Handler<Body = unknown> = (body: Body, sender: RequestContext) => unknown;
 
-/** What the endpoint needs of its node. */
+/** The parts of a node that the endpoint depends on. */
 export interface RpcNode {
   readonly host: Host;
   readonly self: string;
@@ -36,13 +36,13 @@
 
 interface RegisteredHandler {
   handle: Handler;
-  /** Whether a request from a peer that knows a newer value waits until we have it too. */
+  /** Whether a request from a peer that has a newer agreed value waits until this node has it too. */
   needsCurrentValue: boolean;
 }
 
 type Outcome = { ok: unknown } | { error: ErrorDetails };
 
-/** One node's end of the calls between nodes. */
+/** Sends and serves the RPCs of one node. */
 export class RpcEndpoint {
   private readonly handlers = new Map<string, RegisteredHandler>();
   private readonly offsets = new ClockOffsets();
@@ -51,9 +51,8 @@
 
   /** See `Kernel.on`. */
   register(method: PeerRpc, handle: Handler, needsCurrentValue: boolean): void {
-    if (!Object.hasOwn(PEER_RPCS, method))
-      throw new Error(`${String(method)} is not in the table of RPCs between nodes`);
-    if (this.handlers.has(method)) throw new Error(`${method} is served already`);
+    if (!Object.hasOwn(PEER_RPCS, method)) throw new Error(`${String(method)} is not declared in PEER_RPCS`);
+    if (this.handlers.has(method)) throw new Error(`${method} already has a handler`);
     this.handlers.set(method, { handle, needsCurrentValue });
   }
 
@@ -75,19 +74,19 @@
     );
   }
 
-  /** A call to ourselves takes the same way without the net, and has the same time limit: what waits here may wait for others. */
+  /** Calls a handler of this node directly, with the same time limit as for a peer, since the handler may wait for other nodes. */
   private async callSelf<T>(method: PeerRpc, body: unknown, timeoutMs: number): Promise<T> {
     const { self: peer, instanceId, host } = this.node;
     const handler = this.handlers.get(method);
     if (!handler) throw new HarecrossError({ tag: 'unknown_method', step: method, peer, method });
     const sender: RequestContext = { peer, inst: instanceId, sentAt: host.clock.now(), toLocal: (time) => time };
     const answer = (async (): Promise<{ ok: unknown }> => ({ ok: await handler.handle(body, sender) }))();
-    const got = await withTimeout(host.clock, timeoutMs, answer);
-    if (!got) throw new HarecrossError({ tag: 'timeout', step: method, peer });
-    return got.ok as T;
+    const result = await withTimeout(host.clock, timeoutMs, answer);
+    if (!result) throw new HarecrossError({ tag: 'timeout', step: method, peer });
+    return result.ok as T;
   }
 
-  /** Sends a request to a peer, by a way of its own. */
+  /** Encodes a request to a peer, sends its frame with `transmit` and decodes the answer. */
   async send<T>(
     peer: string,
     method: PeerRpc,
@@ -102,7 +101,7 @@
       transmit(encodeRequest({ method, sender, instanceId, revision, sentAt, body })),
     );
     const answer = decodeAnswer(frame);
-    if (!answer) throw new HarecrossError({ tag: 'cut', step: method, peer, detail: 'not an answer' });
+    if (!answer) throw new HarecrossError({ tag: 'cut', step: method, peer, detail: 'malformed answer' });
     node.onSignOfLife(peer);
     if (answer.revision > node.rev) void node.onNewerRevision(answer.revision, peer);
     if ('error' in answer) throw new HarecrossError(answer.error);
@@ -115,19 +114,19 @@
     } catch (error) {
       const details = toErrorDetails(error, method, peer);
       this.node.incrementCounter(`peer.fail.${details.tag}`);
-      // On an indirect path it may be the intermediary that was not there.
+      // On an indirect path, `details.peer` may be the intermediary that was unreachable instead of the peer.
       if (details.tag === 'unreachable' && details.peer === peer) this.node.onUnreachable(peer);
       throw new HarecrossError({ ...details, step: method });
     }
   }
 
-  /** Answers a peer's frame. Rejects when the frame is no request. */
+  /** Handles a frame from a peer and returns the answer frame. Rejects if the frame is not a valid request. */
   async handleFrame(frame: string): Promise<string> {
     const { node } = this;
     const now = node.host.clock.now();
     node.incrementCounter('peer.in');
     const request = decodeRequest(frame);
-    const offset = this.offsets.learn(`${request.sender} ${request.instanceId}`, now - request.sentAt, now);
+    const offset = this.offsets.addSample(`${request.sender} ${request.instanceId}`, now - request.sentAt, now);
     node.onSignOfLife(request.sender, request.instanceId);
     const sender: RequestContext = {
       peer: request.sender,
@@ -145,44 +144,44 @@
     if (revision > node.rev) {
       if (!handler?.needsCurrentValue) void node.onNewerRevision(revision, sender.peer);
       else if (!(await this.awaitRevision(revision, sender.peer))) {
-        // Who asks knows more than we do: an answer by what we have could take back what its callers were told already.
+        // The sender has a newer value. An answer based on ours could contradict what its callers have already been told.
         node.incrementCounter('peer.behind');
-        return { error: this.notReady(method) };
+        return { error: this.notReadyError(method) };
       }
     }
     if (!handler) return { error: { tag: 'unknown_method', step: method, peer: node.self, method } };
-    if (node.isStopped) return { error: this.notReady(method) };
+    if (node.isStopped) return { error: this.notReadyError(method) };
     try {
       return { ok: await handler.handle(body, sender) };
     } catch (error) {
-      return { error: this.errorOf(method, error) };
+      return { error: this.handlerError(method, error) };
     }
   }
 
-  private notReady(step: string): ErrorDetails {
+  private notReadyError(step: string): ErrorDetails {
     const retryAfterMs = jitteredRetryMs(this.node.host.random, REQUEST.retryMs);
     return { tag: 'not_ready', step, peer: this.node.self, retryAfterMs };
   }
 
-  private errorOf(method: string, error: unknown): ErrorDetails {
+  private handlerError(method: string, error: unknown): ErrorDetails {
     const details = toErrorDetails(error, method, this.node.self);
     if (details.tag === 'internal') {
       this.node.incrementCounter('internal');
       const stack = error instanceof Error ? error.stack : undefined;
-      this.node.host.log.warn('handler failed', { fault: details, stack });
+      this.node.host.log.warn('RPC handler failed', { fault: details, stack });
     }
     return details;
   }
 
-  /** Waits, for half of a call, until we have what a peer has; says whether we do. */
+  /** Waits, for up to half of a call's time limit, until this node has the revision that a peer has. Returns whether it does. */
   private async awaitRevision(revision: number, peer: string): Promise<boolean> {
     const { clock } = this.node.host;
-    const until = clock.now() + MEMBERSHIP.callMs / 2;
+    const deadline = clock.now() + MEMBERSHIP.callMs / 2;
     for (;;) {
-      await withTimeout(clock, until - clock.now(), this.node.onNewerRevision(revision, peer));
+      await withTimeout(clock, deadline - clock.now(), this.node.onNewerRevision(revision, peer));
       if (this.node.rev >= revision) return true;
-      if (clock.now() + REGISTER.laggingRetryMs >= until) return false;
-      // The fetch failed, or one that was started earlier brought less.
+      if (clock.now() + REGISTER.laggingRetryMs >= deadline) return false;
+      // The fetch failed, or an earlier fetch still in flight returned an older revision.
       await sleep(clock, REGISTER.laggingRetryMs);
     }
   }
--- a/packages/kernel/src/rpc-envelope.ts
+++ b/packages/kernel/src/rpc-envelope.ts
@@ -1,6 +1,6 @@
 /**
- * The envelope of calls between nodes. What every frame says stands before its body, in as few bytes as it can: most frames are small,
- * and bytes between sites cost.
+ * The envelope of RPCs between nodes. Fields common to all frames precede the body in a compact text format: most frames are small, and
+ * bandwidth between sites is expensive.
  */
 import { parse, stringify } from 'devalue';
 import type { ErrorDetails } from './fault.js';
@@ -8,17 +8,18 @@
 /** A request between nodes. */
 export interface RpcRequest {
   method: string;
-  /** Address of the sender, and the id of its process. */
+  /** Address of the sender. */
   sender: string;
+  /** Instance id of the sender's process. */
   instanceId: string;
-  /** The revision of the agreed value that the sender has. */
+  /** Revision of the agreed value that the sender has. */
   revision: number;
-  /** The sender's steady clock when it sent the request (ms). */
+  /** Send time by the sender's monotonic clock (ms). */
   sentAt: number;
   body: unknown;
 }
 
-/** What an answer says beside its outcome: the revision of the answering node, and its steady clock (ms). */
+/** The fields of an answer besides its outcome: the revision of the answering node, and the send time by its monotonic clock (ms). */
 interface AnswerHead {
   revision: number;
   sentAt: number;
@@ -30,7 +31,7 @@
 const REQUEST_HEAD = /^(\w+) (\S+) (\S+) (\d+) (-?\d+) /;
 const ANSWER_HEAD = /^(\d+) (-?\d+) ([+-])/;
 
-/** A body that is already text, for a request that goes to several peers. */
+/** A request body that is serialized once, for a request to several peers. */
 export class SerializedBody {
   readonly text: string;
 
@@ -39,17 +40,17 @@
   }
 }
 
-/** The frame of a request. */
+/** Encodes a request as a frame. */
 export function encodeRequest(request: RpcRequest): string {
   const { method, sender, instanceId, revision, sentAt, body } = request;
   const text = body instanceof SerializedBody ? body.text : stringify(body);
   return `${method} ${sender} ${instanceId} ${revision} ${Math.round(sentAt)} ${text}`;
 }
 
-/** The request in a frame; throws when the frame is none. */
+/** Decodes a request from a frame. Throws if the frame is not a valid request. */
 export function decodeRequest(frame: string): RpcRequest {
   const match = REQUEST_HEAD.exec(frame);
-  if (!match) throw new Error('not a request');
+  if (!match) throw new Error('malformed request');
   const [head, method, sender, instanceId, revision, sentAt] = match as unknown as [
     string,
     string,
@@ -62,13 +63,13 @@
   return { method, sender, instanceId, revision: Number(revision), sentAt: Number(sentAt), body };
 }
 
-/** The frame of an answer. */
+/** Encodes an answer as a frame. */
 export function encodeAnswer(answer: RpcAnswer): string {
   const outcome = 'ok' in answer ? `+${stringify(answer.ok)}` : `-${stringify(answer.error)}`;
   return `${answer.revision} ${Math.round(answer.sentAt)} ${outcome}`;
 }
 
-/** The answer in a frame; undefined when the frame is none. */
+/** Decodes an answer from a frame. Returns undefined if the frame is not a valid answer. */
 export function decodeAnswer(frame: string): RpcAnswer | undefined {
   const match = ANSWER_HEAD.exec(frame);
   if (!match) return undefined;
