--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -5,38 +5,35 @@
 export { mayRepeat, type CallerRepeatability } from './repeatable.js';
 
 const strict = { additionalProperties: false };
-const Name = (max: number) => Type.String({ minLength: 1, maxLength: max });
+const BoundedName = (max: number) => Type.String({ minLength: 1, maxLength: max });
 const Count = Type.Integer({ minimum: 0 });
 
-/**
- * Topics and patterns are any printable ASCII without a space. A pattern is an exact name, or a prefix and a `*` behind
- * it.
- */
+/** Topics and patterns consist of printable ASCII characters except the space. A pattern is an exact name, or a prefix followed by `*`. */
 const NAME_CHARS = '^[!-~]+$';
 export const Topic = Type.String({ minLength: 1, maxLength: 200, pattern: NAME_CHARS });
 export const Pattern = Type.String({ minLength: 1, maxLength: 201, pattern: NAME_CHARS });
 
 export const Family = Type.Object(
   {
-    /** A label for people; what a family is to the fleet follows from its patterns alone. */
+    /** A label for operators. The fleet identifies a family only by its patterns. */
     name: Type.String({ minLength: 1, maxLength: 128, pattern: '^[^\\u0000-\\u001f\\u007f]+$' }),
     topics: Type.Array(Pattern, { minItems: 1, maxItems: 4_096 }),
-    /** May be left out where `precedence` is given; see urgencyOf. */
+    /** Optional if `precedence` is given; see urgencyOf. */
     urgency: Type.Optional(Type.Union([Type.Literal('urgent'), Type.Literal('routine')])),
-    /** Higher is more urgent: what presses less is rejected first when there is too much. */
+    /** A higher value is more urgent. Under overload, less urgent requests are rejected first. */
     precedence: Type.Optional(Type.Number()),
-    /** How long a visit may wait, in ms. */
+    /** How long a request may wait, in ms. */
     patienceMs: Type.Number({ exclusiveMinimum: 0, maximum: 600_000 }),
-    /** The latency that is aimed at, from publish to delivery, in ms. */
+    /** Target latency from publish to delivery, in ms. */
     aimMs: Type.Optional(Type.Number({ exclusiveMinimum: 0 })),
-    /** How long messages stay in memory, in seconds. */
+    /** How long messages are kept in memory, in seconds. */
     memoryS: Type.Number({ minimum: 0, maximum: 86_400 }),
     /**
-     * What order subscribers need: per sender (default) or one for all of a topic. Every topic has one order for all,
-     * which is both.
+     * The order that subscribers require: per sender (default) or total per topic. Every topic is delivered in one total order, which
+     * satisfies both.
      */
     order: Type.Optional(Type.Union([Type.Literal('sender'), Type.Literal('topic')])),
-    /** No body is above 1 MiB, whatever is allowed here. */
+    /** A message body never exceeds 1 MiB, even if a larger limit is set here. */
     limits: Type.Optional(Type.Object({ bodyBytes: Type.Optional(Type.Integer({ minimum: 1 })) }, strict)),
   },
   strict,
@@ -44,31 +41,31 @@
 
 export const Move = Type.Object(
   {
-    id: Name(64),
+    id: BoundedName(64),
     kind: Type.Union([Type.Literal('empty'), Type.Literal('restart'), Type.Literal('add')]),
     /** Peer address of the machine. */
-    node: Name(64),
-    /** Begin and end, ms since 1970. */
+    node: BoundedName(64),
+    /** Start and end, in ms since 1970. */
     from: Count,
     until: Count,
   },
   strict,
 );
 
-/** The machines that keep a shard's copies, by peer address. */
+/** The machines that hold a shard's replicas, by peer address. */
 export const Placed = Type.Object(
-  { shard: Count, nodes: Type.Array(Name(64), { minItems: 1, maxItems: 9, uniqueItems: true }) },
+  { shard: Count, nodes: Type.Array(BoundedName(64), { minItems: 1, maxItems: 9, uniqueItems: true }) },
   strict,
 );
 
-/** A whole configuration, as operators send it. */
+/** A complete configuration as submitted by operators. */
 export const FleetConfig = Type.Object(
   {
     families: Type.Array(Family, { maxItems: 4_096 }),
     limits: Type.Optional(Type.Object({ subscriptionsPerConn: Type.Optional(Type.Integer({ minimum: 1 })) }, strict)),
     copies: Type.Optional(Type.Integer({ minimum: 1, maximum: 9 })),
     moves: Type.Optional(Type.Array(Move, { maxItems: 256 })),
-    /** Shards placed by hand or by `harecross place`; the others are matched by the fleet. */
+    /** Shards placed manually or by `harecross place`; the fleet places the others. */
     placement: Type.Optional(Type.Array(Placed, { maxItems: 1_024 })),
   },
   strict,
@@ -78,9 +75,9 @@
 export type Placed = Static<typeof Placed>;
 export type FleetConfig = Static<typeof FleetConfig>;
 
-const Retry = { retryAfterMs: Count };
+const FrameRetry = { retryAfterMs: Count };
 
-/** Frames of the Attach stream, one JSON object a line. */
+/** Frames of the Attach stream, one JSON object per line. */
 export const Frame = Type.Union([
   Type.Object({ t: Type.Literal('ATTACHED'), conn: Type.String(), pingS: Type.Number() }, strict),
   Type.Object(
@@ -104,12 +101,12 @@
     },
     strict,
   ),
-  Type.Object({ t: Type.Literal('GOAWAY'), to: Type.Optional(Type.String()), ...Retry }, strict),
+  Type.Object({ t: Type.Literal('GOAWAY'), to: Type.Optional(Type.String()), ...FrameRetry }, strict),
   Type.Object(
     {
       t: Type.Literal('CLOSED'),
       reason: Type.Union(['replaced', 'silent', 'saturated', 'stopping', 'not_ready'].map((x) => Type.Literal(x))),
-      ...Retry,
+      ...FrameRetry,
     },
     strict,
   ),
@@ -123,21 +120,21 @@
       topic: string;
       reason: 'unsubscribed' | 'cursor_expired' | 'topic_removed' | 'hold_ended';
     }
-  /** `to`: the client address of a relay that can take the consumer now. */
+  /** `to`: the client address of a relay that can accept the consumer now. */
   | { t: 'GOAWAY'; to?: string; retryAfterMs: number }
   | { t: 'CLOSED'; reason: 'replaced' | 'silent' | 'saturated' | 'stopping' | 'not_ready'; retryAfterMs: number };
 
 const Detail = { detail: Type.String() };
-const RetryOf = { retryAfterMs: Count };
-/** All of status 503 and 504 come with a time to come back. */
-const faults: [tag: string, status: number, fields: Type.TProperties][] = [
-  ['unreachable', 503, { ...Detail, ...RetryOf }],
-  ['timeout', 504, RetryOf],
-  ['cut', 504, { ...Detail, ...RetryOf }],
-  ['not_ready', 503, RetryOf],
-  ['not_owner', 503, { hint: Type.Optional(Type.String()), ...RetryOf }],
-  ['fenced', 504, { fence: Type.String(), ...RetryOf }],
-  ['overloaded', 503, RetryOf],
+const FaultRetry = { retryAfterMs: Count };
+/** All faults with status 503 or 504 include `retryAfterMs`. */
+const faultTable: [tag: string, status: number, fields: Type.TProperties][] = [
+  ['unreachable', 503, { ...Detail, ...FaultRetry }],
+  ['timeout', 504, FaultRetry],
+  ['cut', 504, { ...Detail, ...FaultRetry }],
+  ['not_ready', 503, FaultRetry],
+  ['not_owner', 503, { hint: Type.Optional(Type.String()), ...FaultRetry }],
+  ['fenced', 504, { fence: Type.String(), ...FaultRetry }],
+  ['overloaded', 503, FaultRetry],
   ['bad_visit', 400, Detail],
   ['unknown_method', 404, { method: Type.String() }],
   ['unknown_topic', 404, { topic: Type.String() }],
@@ -147,18 +144,18 @@
   ['cursor_ahead', 400, { head: Count }],
   ['too_large', 413, { limit: Count }],
   ['stale_seq', 409, { last: Count }],
-  ['outcome_unknown', 504, RetryOf],
+  ['outcome_unknown', 504, FaultRetry],
   ['conflict', 409, { version: Count, revision: Type.Optional(Count) }],
   ['invalid_config', 400, { faults: Type.Array(Type.Object({ path: Type.String(), fault: Type.String() }, strict)) }],
-  ['no_majority', 503, { ...Detail, ...RetryOf }],
+  ['no_majority', 503, { ...Detail, ...FaultRetry }],
   ['wont_hold', 409, Detail],
-  ['disk_ill', 503, { ...Detail, ...RetryOf }],
+  ['disk_ill', 503, { ...Detail, ...FaultRetry }],
   ['internal', 500, Detail],
 ];
 
-/** Every fault that callers may be answered with: its status and its shape. */
+/** Every fault that can be returned to clients, with its HTTP status and schema. */
 export const FAULTS = new Map(
-  faults.map(([tag, status, fields]) => [
+  faultTable.map(([tag, status, fields]) => [
     tag,
     {
       status,
@@ -167,12 +164,12 @@
   ]),
 );
 
-/** Any error's answer: { error: Fault }. Tags and fields as in the kernel's Fault. */
+/** The fault in an error response `{ error: Fault }`. Tags and fields are those of the kernel's ErrorDetails. */
 export const FaultShape = Type.Union([...FAULTS.values()].map((f) => f.shape));
 
 /**
- * A publish that stored nothing in this try. Only with `final` does it say so of every try of its number, earlier ones
- * and those still on their way: it was never accepted and never will be. Without it the same number may be sent again.
+ * A publish attempt that stored nothing. With `final`, this holds for every attempt with the same sequence number, including earlier ones
+ * and those still in flight: the message was never accepted and never will be. Without it, the same number may be sent again.
  */
 export const Rejected = Type.Object(
   { rejected: Type.Object({ reason: Type.String(), final: Type.Boolean(), retryAfterMs: Count }, strict) },
@@ -181,34 +178,34 @@
 
 const Conn = Type.String({ minLength: 1, maxLength: 200 });
 const Sub = Type.String();
-const Maybe = Type.Optional;
+const Optional = Type.Optional;
 const rpc = <A extends Type.TSchema, B extends Type.TSchema>(
   about: string,
   repeatable: CallerRepeatability,
   visit: A,
   answer: B,
 ) => ({ about, repeatable, visit, answer });
-const obj = <P extends Type.TProperties>(p: P) => Type.Object(p, strict);
+const strictObject = <P extends Type.TProperties>(p: P) => Type.Object(p, strict);
 
-const Name64 = Type.String();
+const NodeAddress = Type.String();
 const List = Type.Array;
 const Num = Type.Number();
 
-/** What a node knows of the fleet. */
-export const FleetAnswer = obj({
-  at: Name64,
+/** The state of the fleet as known to one node. */
+export const FleetAnswer = strictObject({
+  at: NodeAddress,
   fresh: Type.Boolean(),
   rev: Count,
   version: Count,
-  fleet: Maybe(Type.String()),
+  fleet: Optional(Type.String()),
   members: List(
-    obj({
-      peer: Name64,
+    strictObject({
+      peer: NodeAddress,
       name: Type.String(),
-      client: Name64,
+      client: NodeAddress,
       domain: Type.String(),
       role: Type.String(),
-      disk: Maybe(Type.String()),
+      disk: Optional(Type.String()),
       state: Type.String(),
       condition: Type.String(),
       weight: Count,
@@ -216,62 +213,64 @@
     }),
   ),
   disks: List(
-    obj({
+    strictObject({
       id: Type.String(),
-      peer: Name64,
+      peer: NodeAddress,
       domain: Type.String(),
       state: Type.String(),
       seat: Type.Boolean(),
       copies: Count,
-      name: Maybe(Type.String()),
-      uses: Maybe(List(Type.String())),
-      ms: Maybe(Num),
+      name: Optional(Type.String()),
+      uses: Optional(List(Type.String())),
+      ms: Optional(Num),
     }),
   ),
   keys: List(
-    obj({
+    strictObject({
       shard: Count,
       gen: Count,
       copies: List(Type.String()),
-      fence: Maybe(Type.String()),
-      peer: Maybe(Name64),
-      inst: Maybe(Type.String()),
-      behind: Maybe(List(Type.String())),
+      fence: Optional(Type.String()),
+      peer: Optional(NodeAddress),
+      inst: Optional(Type.String()),
+      behind: Optional(List(Type.String())),
     }),
   ),
 });
 
-/** What a node says of itself. `version` is missing before its first confirmation. */
-export const NodeAnswer = obj({
-  peer: Name64,
+/** The state of one node. `version` is absent until its configuration has been confirmed for the first time. */
+export const NodeAnswer = strictObject({
+  peer: NodeAddress,
   inst: Type.String(),
   phase: Type.String(),
-  version: Maybe(Count),
+  version: Optional(Count),
   rev: Count,
   fresh: Type.Boolean(),
-  holdings: List(obj({ name: Type.String(), length: Count, most: Count, bound: Count })),
+  holdings: List(strictObject({ name: Type.String(), length: Count, most: Count, bound: Count })),
   counters: Type.Record(Type.String(), Num),
-  keys: List(obj({ shard: Count, fence: Type.String(), last: Count, commit: Count, behind: List(Type.String()) })),
-  copies: List(obj({ shard: Count, last: Count, kept: Count, gen: Count, number: Count, by: Type.String() })),
-  interest: List(obj({ relay: Name64, topics: Count })),
-  holds: List(obj({ topic: Type.String(), shard: Count, subs: Count, gen: Type.String(), seen: Count })),
+  keys: List(
+    strictObject({ shard: Count, fence: Type.String(), last: Count, commit: Count, behind: List(Type.String()) }),
+  ),
+  copies: List(strictObject({ shard: Count, last: Count, kept: Count, gen: Count, number: Count, by: Type.String() })),
+  interest: List(strictObject({ relay: NodeAddress, topics: Count })),
+  holds: List(strictObject({ topic: Type.String(), shard: Count, subs: Count, gen: Type.String(), seen: Count })),
   conns: Count,
 });
 
-const EmptyAnswer = obj({ disk: Type.String(), state: Type.String(), copies: Count, seat: Type.Boolean() });
+const EmptyAnswer = strictObject({ disk: Type.String(), state: Type.String(), copies: Count, seat: Type.Boolean() });
 
-/** A disk by its id, or by the name of the machine it is in. */
+/** The id of a disk, or the name of the machine that contains it. */
 const DiskName = Type.String();
 
-/** Every RPC: POST /rpc/<Method> with a JSON body. */
-/** What became of a configuration that was sent with a revision. */
+/** The outcome of a configuration submitted with a revision. */
 const RevisionOutcome = Type.Union([Type.Literal('accepted'), Type.Literal('overtaken'), Type.Literal('forgotten')]);
 
+/** Every RPC of clients and operators: POST /rpc/<Method> with a JSON body. */
 export const Rpcs = {
   Attach: rpc(
     'Opens the long conn: the answer is a stream of Frame lines. A later Attach of the same consumer, at any node, replaces it.',
     never('opens a connection of its own and ends the one before: a repeat that comes late ends a newer one'),
-    obj({ consumer: Name(128), pingS: Type.Optional(Type.Number({ minimum: 0.2, maximum: 60 })) }),
+    strictObject({ consumer: BoundedName(128), pingS: Type.Optional(Type.Number({ minimum: 0.2, maximum: 60 })) }),
     Frame,
   ),
   Detach: rpc(
@@ -281,14 +280,14 @@
       for: 'always: ids of connections are never used again',
       why: 'what is closed stays closed; the repeat is told `unknown_conn`',
     }),
-    obj({ conn: Conn }),
-    obj({}),
+    strictObject({ conn: Conn }),
+    strictObject({}),
   ),
   Probe: rpc(
     'Says the consumer is still there; keeps its holds fresh. `sent` counts the frames given to the stream: who got fewer, twice running, has a dead stream and attaches anew.',
     read('a sign of life'),
-    obj({ conn: Conn }),
-    obj({ sent: Count }),
+    strictObject({ conn: Conn }),
+    strictObject({ sent: Count }),
   ),
   Subscribe: rpc(
     'Subscribes a conn to a topic. With a cursor (the last offset received), delivery goes on behind it; without one, behind the head.',
@@ -297,14 +296,14 @@
       for: 'while the subscription lasts',
       why: 'asked again it is the same subscription with the same beginning; behind an Unsubscribe it is a new one, so that a caller repeats only the last it said of a topic',
     }),
-    obj({ conn: Conn, topic: Topic, cursor: Type.Optional(Count) }),
-    obj({ sub: Sub, next: Count }),
+    strictObject({ conn: Conn, topic: Topic, cursor: Type.Optional(Count) }),
+    strictObject({ sub: Sub, next: Count }),
   ),
   Unsubscribe: rpc(
     'Ends a subscription; LEFT on the stream is its last frame.',
     never('run late it would end a subscription that was made after it'),
-    obj({ conn: Conn, topic: Topic }),
-    obj({ left: Type.Boolean() }),
+    strictObject({ conn: Conn, topic: Topic }),
+    strictObject({ left: Type.Boolean() }),
   ),
   Publish: rpc(
     'Publishes one message. seq rises per sender and topic; the same seq may be sent again and has its first outcome.',
@@ -313,19 +312,19 @@
       for: '30 s after it was accepted; then the answer is `outcome_unknown`',
       why: 'the same number again gets its first outcome and is delivered once',
     }),
-    obj({
-      sender: Name(128),
+    strictObject({
+      sender: BoundedName(128),
       topic: Topic,
       seq: Type.Integer({ minimum: 1 }),
       body: Type.String({ maxLength: 1024 * 1024 }),
     }),
-    obj({ accepted: obj({ offset: Count }) }),
+    strictObject({ accepted: strictObject({ offset: Count }) }),
   ),
   Listeners: rpc(
     'How many conns listen on a topic now.',
     read('counts'),
-    obj({ topic: Topic }),
-    obj({ count: Count, partial: Type.Boolean() }),
+    strictObject({ topic: Topic }),
+    strictObject({ count: Count, partial: Type.Boolean() }),
   ),
   SubmitConfig: rpc(
     "Takes a whole configuration. Answered once a majority of disks holds it. With `revision`, the operators' own number, the highest holds: " +
@@ -341,10 +340,10 @@
     }),
     Type.Object(
       {
-        changeId: Maybe(Name(128)),
-        expect: Maybe(Count),
-        revision: Maybe(Count),
-        document: Maybe(Type.Unknown()),
+        changeId: Optional(BoundedName(128)),
+        expect: Optional(Count),
+        revision: Optional(Count),
+        document: Optional(Type.Unknown()),
         config: Type.Unknown(),
       },
       {
@@ -353,23 +352,23 @@
         not: { required: ['expect', 'revision'] },
       },
     ),
-    obj({ version: Count, revision: Maybe(Count), outcome: Maybe(RevisionOutcome) }),
+    strictObject({ version: Count, revision: Optional(Count), outcome: Optional(RevisionOutcome) }),
   ),
   CheckConfig: rpc(
     'Checks a configuration and changes nothing.',
     read('checks'),
-    obj({ config: Type.Unknown() }),
-    obj({ version: Count, faults: Type.Array(obj({ path: Type.String(), fault: Type.String() })) }),
+    strictObject({ config: Type.Unknown() }),
+    strictObject({ version: Count, faults: Type.Array(strictObject({ path: Type.String(), fault: Type.String() })) }),
   ),
   ReadConfig: rpc(
     'The configuration in force, confirmed by a majority.',
     read('reads'),
-    obj({}),
-    obj({
+    strictObject({}),
+    strictObject({
       version: Count,
       changeId: Type.String(),
-      revision: Maybe(Count),
-      document: Maybe(Type.Unknown()),
+      revision: Optional(Count),
+      document: Optional(Type.Unknown()),
       config: Type.Unknown(),
     }),
   ),
@@ -381,13 +380,13 @@
       for: 'while it is among the changes remembered',
       why: 'a changeId has its first outcome; without one, a repeat that comes late would undo a CancelEmpty given since',
     }),
-    obj({ disk: DiskName, changeId: Maybe(Name(128)) }),
+    strictObject({ disk: DiskName, changeId: Optional(BoundedName(128)) }),
     EmptyAnswer,
   ),
   EmptyStatus: rpc(
     'How far an emptying has come: `emptied` when nothing is left on the disk.',
     read('reads'),
-    obj({ disk: Type.String() }),
+    strictObject({ disk: Type.String() }),
     EmptyAnswer,
   ),
   CancelEmpty: rpc(
@@ -398,7 +397,7 @@
       for: 'while it is among the changes remembered',
       why: 'a changeId has its first outcome; without one, a repeat that comes late would undo an EmptyDisk given since',
     }),
-    obj({ disk: Type.String(), changeId: Maybe(Name(128)) }),
+    strictObject({ disk: Type.String(), changeId: Optional(BoundedName(128)) }),
     EmptyAnswer,
   ),
   PlanMoves: rpc(
@@ -409,34 +408,41 @@
       for: 'while it is among the changes remembered',
       why: 'a changeId has its first outcome',
     }),
-    obj({ changeId: Name(128), expect: Type.Optional(Count), moves: Type.Array(Move, { maxItems: 256 }) }),
-    obj({ version: Count }),
+    strictObject({
+      changeId: BoundedName(128),
+      expect: Type.Optional(Count),
+      moves: Type.Array(Move, { maxItems: 256 }),
+    }),
+    strictObject({ version: Count }),
   ),
   Moves: rpc(
     'The calendar, with how far each move has come.',
     read('reads'),
-    obj({}),
-    obj({ version: Count, moves: List(obj({ ...Move.properties, state: Type.String(), why: Type.String() })) }),
+    strictObject({}),
+    strictObject({
+      version: Count,
+      moves: List(strictObject({ ...Move.properties, state: Type.String(), why: Type.String() })),
+    }),
   ),
-  Fleet: rpc('What this node knows of the fleet.', read('reads'), obj({}), FleetAnswer),
-  Node: rpc('Counters and states of this node.', read('reads'), obj({}), NodeAnswer),
+  Fleet: rpc('What this node knows of the fleet.', read('reads'), strictObject({}), FleetAnswer),
+  Node: rpc('Counters and states of this node.', read('reads'), strictObject({}), NodeAnswer),
 } as const;
 
 export type Method = keyof typeof Rpcs;
 export type Visit<M extends Method> = Static<(typeof Rpcs)[M]['visit']>;
 export type Answer<M extends Method> = Static<(typeof Rpcs)[M]['answer']>;
 
-const checks = new Map(Object.entries(Rpcs).map(([m, r]) => [m, Compile(r.visit)]));
-const checkConfig = Compile(FleetConfig);
-/** The fields of SubmitConfig by themselves; which may stand together is told in words. */
-const checkSubmit = Compile(Type.Object(Rpcs.SubmitConfig.visit.properties, strict));
+const requestValidators = new Map(Object.entries(Rpcs).map(([method, spec]) => [method, Compile(spec.visit)]));
+const configValidator = Compile(FleetConfig);
+/** Checks only the individual fields of SubmitConfig, so that an invalid combination of fields gets a specific message. */
+const submitFieldsValidator = Compile(Type.Object(Rpcs.SubmitConfig.visit.properties, strict));
 
 export interface PathFault {
   path: string;
   fault: string;
 }
 
-/** What the validator tells of one place, as far as it is used here. */
+/** The parts of a validation error that are used here. */
 interface SchemaError {
   instancePath: string;
   message: string;
@@ -444,36 +450,40 @@
   params?: { allowedValue?: unknown; additionalProperties?: string[]; requiredProperties?: string[] };
 }
 
-function faultsOf(es: unknown): PathFault[] {
-  const all = es as SchemaError[];
-  // Where one of several words is wanted, one fault names them all.
-  const words = new Map<string, string[]>();
-  for (const e of all)
-    if (e.keyword === 'const')
-      words.set(e.instancePath, [...(words.get(e.instancePath) ?? []), `'${String(e.params?.allowedValue)}'`]);
-  const choices = new Set(all.flatMap((e) => (e.keyword === 'anyOf' ? [e.instancePath] : [])));
-  return all
-    .filter((e) => e.keyword !== 'const' || !choices.has(e.instancePath))
-    .map((e) => {
-      const of = e.keyword === 'anyOf' ? words.get(e.instancePath) : undefined;
-      if (of) return { path: e.instancePath, fault: `must be ${of.slice(0, -1).join(', ')} or ${of.at(-1)}` };
-      const extra = e.params?.additionalProperties ?? e.params?.requiredProperties;
-      let fault = e.message;
-      if (e.message === 'schema is false') fault = 'unknown key';
-      else if (extra) fault = `${e.message}: ${extra.join(', ')}`;
-      return { path: e.instancePath || '/', fault };
+function toPathFaults(schemaErrors: unknown): PathFault[] {
+  const errors = schemaErrors as SchemaError[];
+  // For a choice among literal values, one fault lists all of them.
+  const literals = new Map<string, string[]>();
+  for (const error of errors)
+    if (error.keyword === 'const')
+      literals.set(error.instancePath, [
+        ...(literals.get(error.instancePath) ?? []),
+        `'${String(error.params?.allowedValue)}'`,
+      ]);
+  const choicePaths = new Set(errors.flatMap((error) => (error.keyword === 'anyOf' ? [error.instancePath] : [])));
+  return errors
+    .filter((error) => error.keyword !== 'const' || !choicePaths.has(error.instancePath))
+    .map((error) => {
+      const allowed = error.keyword === 'anyOf' ? literals.get(error.instancePath) : undefined;
+      if (allowed)
+        return { path: error.instancePath, fault: `must be ${allowed.slice(0, -1).join(', ')} or ${allowed.at(-1)}` };
+      const properties = error.params?.additionalProperties ?? error.params?.requiredProperties;
+      let fault = error.message;
+      if (error.message === 'schema is false') fault = 'unknown key';
+      else if (properties) fault = `${error.message}: ${properties.join(', ')}`;
+      return { path: error.instancePath || '/', fault };
     });
 }
 
 /**
- * Why a body is not a visit of this method; undefined when it is.
+ * Why a body is not a valid request of a method; undefined if it is valid.
  * @example
  * visitFault('Probe', {}); // '/: must have required properties conn: conn'
  */
-export function visitFault(m: Method, body: unknown): string | undefined {
-  const c = checks.get(m)!;
-  if (c.Check(body as unknown)) return undefined;
-  if (m === 'SubmitConfig' && checkSubmit.Check(body)) {
+export function visitFault(method: Method, body: unknown): string | undefined {
+  const validator = requestValidators.get(method)!;
+  if (validator.Check(body as unknown)) return undefined;
+  if (method === 'SubmitConfig' && submitFieldsValidator.Check(body)) {
     return (
       '/: ' +
       ((body as { expect?: number }).expect === undefined
@@ -481,141 +491,148 @@
         : 'expect does not go with revision: the highest revision holds')
     );
   }
-  const f = faultsOf(c.Errors(body))[0];
-  return f ? `${f.path}: ${f.fault}` : 'invalid';
+  const first = toPathFaults(validator.Errors(body))[0];
+  return first ? `${first.path}: ${first.fault}` : 'invalid';
 }
 
 /**
- * All faults of a configuration, with their paths: first the shape, then the meaning.
+ * All faults of a configuration, with their paths. Semantic checks run only if the configuration conforms to the schema.
  * @example
  * configFaults({ families: [] }); // []
  */
-export function configFaults(x: unknown): PathFault[] {
-  if (!checkConfig.Check(x)) return faultsOf(checkConfig.Errors(x));
-  const c = x as FleetConfig;
-  const out: PathFault[] = [];
-  const seen = new Map<string, string>();
-  c.families.forEach((f, i) => {
-    if (f.urgency === undefined && f.precedence === undefined)
-      out.push({ path: `/families/${i}`, fault: 'needs an urgency or a precedence' });
-    f.topics.forEach((p, j) => {
+export function configFaults(input: unknown): PathFault[] {
+  if (!configValidator.Check(input)) return toPathFaults(configValidator.Errors(input));
+  const config = input as FleetConfig;
+  const faults: PathFault[] = [];
+  const pathOfPattern = new Map<string, string>();
+  config.families.forEach((family, i) => {
+    if (family.urgency === undefined && family.precedence === undefined)
+      faults.push({ path: `/families/${i}`, fault: 'needs an urgency or a precedence' });
+    family.topics.forEach((pattern, j) => {
       const path = `/families/${i}/topics/${j}`;
-      const first = seen.get(p);
-      if (first !== undefined) out.push({ path, fault: `'${p}' is already at ${first}` });
-      else seen.set(p, path);
-      if (p.length > 200 && !p.endsWith('*'))
-        out.push({ path, fault: 'no topic is that long: at most 200 characters' });
+      const first = pathOfPattern.get(pattern);
+      if (first !== undefined) faults.push({ path, fault: `'${pattern}' is already at ${first}` });
+      else pathOfPattern.set(pattern, path);
+      if (pattern.length > 200 && !pattern.endsWith('*'))
+        faults.push({ path, fault: 'no topic is that long: at most 200 characters' });
     });
   });
-  const shards = new Set<number>();
-  (c.placement ?? []).forEach((p, i) => {
-    if (shards.has(p.shard)) out.push({ path: `/placement/${i}/shard`, fault: `shard ${p.shard} is placed twice` });
-    shards.add(p.shard);
-    if (p.nodes.length % 2 === 0)
-      out.push({
+  const placedShards = new Set<number>();
+  (config.placement ?? []).forEach((placed, i) => {
+    if (placedShards.has(placed.shard))
+      faults.push({ path: `/placement/${i}/shard`, fault: `shard ${placed.shard} is placed twice` });
+    placedShards.add(placed.shard);
+    if (placed.nodes.length % 2 === 0)
+      faults.push({
         path: `/placement/${i}/nodes`,
         fault: 'must be an odd number of machines: an even one costs a larger majority and bears no more losses',
       });
   });
-  const ids = new Set<string>();
-  (c.moves ?? []).forEach((m, i) => {
-    if (ids.has(m.id)) out.push({ path: `/moves/${i}/id`, fault: `'${m.id}' is named twice` });
-    ids.add(m.id);
-    if (m.until <= m.from) out.push({ path: `/moves/${i}/until`, fault: 'must be after from' });
-    (c.moves ?? []).slice(0, i).forEach((o) => {
-      if (m.from < o.until && o.from < m.until)
-        out.push({
+  const moveIds = new Set<string>();
+  (config.moves ?? []).forEach((move, i) => {
+    if (moveIds.has(move.id)) faults.push({ path: `/moves/${i}/id`, fault: `'${move.id}' is named twice` });
+    moveIds.add(move.id);
+    if (move.until <= move.from) faults.push({ path: `/moves/${i}/until`, fault: 'must be after from' });
+    (config.moves ?? []).slice(0, i).forEach((earlier) => {
+      if (move.from < earlier.until && earlier.from < move.until)
+        faults.push({
           path: `/moves/${i}`,
-          fault: `overlaps move '${o.id}': one machine at a time, so that a majority stays`,
+          fault: `overlaps move '${earlier.id}': one machine at a time, so that a majority stays`,
         });
     });
   });
-  return out;
+  return faults;
 }
 
 /**
- * A table by topic patterns. An exact name goes before any prefix, and among prefixes the longest wins. Finding costs
- * one look-up a distinct length of prefix, however many patterns there are.
+ * A lookup table keyed by topic pattern. An exact name takes precedence over any prefix, and a longer prefix over a shorter one. A lookup
+ * costs one map access per distinct prefix length, regardless of the number of patterns.
  * @example
  * new Patterns([['a.*', 1], ['a.b.*', 2], ['a.b.c', 3]]).find('a.b.d'); // 2
  */
 export class Patterns<T> {
-  private exact = new Map<string, T>();
-  private prefixes = new Map<number, Map<string, T>>();
-  /** Longest first. */
-  private lengths: number[];
+  private exactNames = new Map<string, T>();
+  private valuesByPrefixLength = new Map<number, Map<string, T>>();
+  /** Distinct prefix lengths, longest first. */
+  private prefixLengths: number[];
 
   constructor(entries: Iterable<[pattern: string, value: T]>) {
-    for (const [p, x] of entries) {
-      if (!p.endsWith('*')) {
-        this.exact.set(p, x);
+    for (const [pattern, value] of entries) {
+      if (!pattern.endsWith('*')) {
+        this.exactNames.set(pattern, value);
         continue;
       }
-      const n = p.length - 1;
-      const same = this.prefixes.get(n) ?? new Map<string, T>();
-      this.prefixes.set(n, same.set(p.slice(0, n), x));
+      const length = pattern.length - 1;
+      const values = this.valuesByPrefixLength.get(length) ?? new Map<string, T>();
+      this.valuesByPrefixLength.set(length, values.set(pattern.slice(0, length), value));
     }
-    this.lengths = [...this.prefixes.keys()].sort((a, b) => b - a);
+    this.prefixLengths = [...this.valuesByPrefixLength.keys()].sort((a, b) => b - a);
   }
 
-  /** What a topic belongs to. */
+  /** The value of the most specific pattern that matches a topic. */
   find(topic: string): T | undefined {
-    return this.exact.get(topic) ?? this.within(topic);
+    return this.exactNames.get(topic) ?? this.within(topic);
   }
 
-  /** What all topics that begin so belong to, but for those of longer prefixes and exact names. */
+  /**
+   * The value of the longest prefix pattern that matches all topics with a prefix. Exact names and longer prefix patterns, which match
+   * only some of these topics, are ignored.
+   */
   within(prefix: string): T | undefined {
-    for (const n of this.lengths) {
-      if (n > prefix.length) continue;
-      const x = this.prefixes.get(n)!.get(prefix.slice(0, n));
-      if (x !== undefined) return x;
+    for (const length of this.prefixLengths) {
+      if (length > prefix.length) continue;
+      const value = this.valuesByPrefixLength.get(length)!.get(prefix.slice(0, length));
+      if (value !== undefined) return value;
     }
     return undefined;
   }
 }
 
-/**
- * What a configuration says, laid out for looking up; made once for each, since it is looked at several times a
- * message.
- */
-interface Index {
+/** Lookup tables of a configuration. They are built once per configuration object, since each message needs several lookups. */
+interface ConfigIndex {
   families: Patterns<Family>;
-  top: number | undefined;
+  /** The highest precedence; undefined unless there are at least two different ones. */
+  highestPrecedence: number | undefined;
 }
-const indices = new WeakMap<FleetConfig, Index>();
-
-function indexOf(c: FleetConfig): Index {
-  let x = indices.get(c);
-  if (!x) {
-    const precedences = new Set(c.families.flatMap((f) => f.precedence ?? []));
-    x = {
-      families: new Patterns(c.families.flatMap((f) => f.topics.map((p): [string, Family] => [p, f]))),
-      // One level by itself is nothing above the others.
-      top: precedences.size > 1 ? [...precedences].reduce((a, b) => Math.max(a, b)) : undefined,
+const indexes = new WeakMap<FleetConfig, ConfigIndex>();
+
+function indexOf(config: FleetConfig): ConfigIndex {
+  let index = indexes.get(config);
+  if (!index) {
+    const precedences = new Set(config.families.flatMap((family) => family.precedence ?? []));
+    index = {
+      families: new Patterns(
+        config.families.flatMap((family) => family.topics.map((pattern): [string, Family] => [pattern, family])),
+      ),
+      // If all families share one precedence, none is more urgent than the others.
+      highestPrecedence: precedences.size > 1 ? [...precedences].reduce((a, b) => Math.max(a, b)) : undefined,
     };
-    indices.set(c, x);
+    indexes.set(config, index);
   }
-  return x;
+  return index;
 }
 
 /**
- * The family a topic belongs to: by its exact name, else by the longest prefix. A configuration is not to be altered
- * once it was asked.
+ * The family that a topic belongs to, by exact name or else by the longest matching prefix. A configuration must not be modified after
+ * its first lookup, since its lookup tables are cached.
  * @example
  * familyOf(config, 'pay/77')?.name; // 'payments'
  */
-export function familyOf(c: FleetConfig, topic: string): Family | undefined {
-  return indexOf(c).families.find(topic);
+export function familyOf(config: FleetConfig, topic: string): Family | undefined {
+  return indexOf(config).families.find(topic);
 }
 
 /**
- * How urgent a family is: as it says itself; else the families of the highest precedence are urgent, where there are
- * two different ones.
+ * The urgency of a family: its `urgency` if given. Otherwise it is urgent if it has the highest precedence and the configuration contains
+ * at least two different precedences.
  * @example
  * urgencyOf(config, familyOf(config, 'warn/1')!); // 'urgent'
  */
-export function urgencyOf(c: FleetConfig, f: Family): 'urgent' | 'routine' {
-  return f.urgency ?? (f.precedence !== undefined && f.precedence === indexOf(c).top ? 'urgent' : 'routine');
+export function urgencyOf(config: FleetConfig, family: Family): 'urgent' | 'routine' {
+  return (
+    family.urgency ??
+    (family.precedence !== undefined && family.precedence === indexOf(config).highestPrecedence ? 'urgent' : 'routine')
+  );
 }
 
 /**
@@ -623,7 +640,7 @@
  * @example
  * isUrgent(config, 'warn/1'); // true
  */
-export function isUrgent(c: FleetConfig, topic: string): boolean {
-  const f = familyOf(c, topic);
-  return f !== undefined && urgencyOf(c, f) === 'urgent';
+export function isUrgent(config: FleetConfig, topic: string): boolean {
+  const family = familyOf(config, topic);
+  return family !== undefined && urgencyOf(config, family) === 'urgent';
 }
--- a/packages/schema/src/openapi.ts
+++ b/packages/schema/src/openapi.ts
@@ -1,11 +1,11 @@
 import Type from 'typebox';
 import { FaultShape, FAULTS, Frame, FleetConfig, Rejected, Rpcs, type Method } from './index.js';
 
-/** Faults that any visit may be answered with. */
-const COMMON = ['bad_visit', 'unknown_method', 'too_large', 'overloaded', 'not_ready', 'internal'];
+/** Faults that any request can fail with. */
+const COMMON_FAULTS = ['bad_visit', 'unknown_method', 'too_large', 'overloaded', 'not_ready', 'internal'];
 
-/** Faults of each method beyond the common ones. */
-const OWN: [Method, string[]][] = [
+/** Faults of each method in addition to the common ones. */
+const METHOD_FAULTS: [Method, string[]][] = [
   ['Attach', []],
   ['Detach', ['unknown_conn', 'timeout', 'cut']],
   ['Probe', ['unknown_conn', 'timeout', 'cut']],
@@ -27,50 +27,50 @@
 
 const ref = (name: string) => ({ $ref: `#/components/schemas/${name}` });
 const json = (schema: unknown) => ({ 'application/json': { schema } });
-const retry = {
+const retryHeader = {
   'Retry-After': {
     description: 'Seconds until it is worth coming back; retryAfterMs in the body is finer.',
     schema: { type: 'integer', minimum: 1 },
   },
 };
 
-/** What each status means, by the faults that have it. */
-function answers(m: Method, tags: string[]): [string, unknown][] {
+/** The error responses of a method, grouped by HTTP status. */
+function errorResponses(method: Method, tags: string[]): [string, unknown][] {
   const byStatus = new Map<number, string[]>();
-  for (const t of tags) {
-    const s = FAULTS.get(t)!.status;
-    byStatus.set(s, [...(byStatus.get(s) ?? []), t]);
+  for (const tag of tags) {
+    const status = FAULTS.get(tag)!.status;
+    byStatus.set(status, [...(byStatus.get(status) ?? []), tag]);
   }
   byStatus.set(415, ['bad_visit']);
-  if (m === 'Publish') byStatus.set(409, []);
+  if (method === 'Publish') byStatus.set(409, []);
   return [...byStatus]
     .sort((a, b) => a[0] - b[0])
-    .map(([s, ts]) => {
-      const faults = { type: 'object', required: ['error'], properties: { error: ref('Fault') } };
-      const rejected = ref('Rejected');
-      // A publish that surely stored nothing is told so in its own words.
-      let schema: object = faults;
-      if (m === 'Publish' && s === 409) schema = rejected;
-      if (m === 'Publish' && s === 503) schema = { anyOf: [rejected, faults] };
-      const words = m === 'Publish' && s === 409 ? 'rejected: stale_seq' : ts.join(', ');
+    .map(([status, statusTags]) => {
+      const faultSchema = { type: 'object', required: ['error'], properties: { error: ref('Fault') } };
+      const rejectedSchema = ref('Rejected');
+      // A publish attempt known to have stored nothing is answered with `rejected` instead of a fault.
+      let schema: object = faultSchema;
+      if (method === 'Publish' && status === 409) schema = rejectedSchema;
+      if (method === 'Publish' && status === 503) schema = { anyOf: [rejectedSchema, faultSchema] };
+      const description = method === 'Publish' && status === 409 ? 'rejected: stale_seq' : statusTags.join(', ');
       return [
-        String(s),
-        { description: words, ...(s === 503 || s === 504 ? { headers: retry } : {}), content: json(schema) },
+        String(status),
+        { description, ...(status === 503 || status === 504 ? { headers: retryHeader } : {}), content: json(schema) },
       ];
     });
 }
 
 /**
- * The whole interface as one OpenAPI 3.1 document, as committed in harecross.openapi.json.
+ * The complete client API as one OpenAPI 3.1 document, as committed in harecross.openapi.json.
  * @example
  * writeFileSync('harecross.openapi.json', emit());
  */
 export function emit(): string {
   const paths = new Map<string, unknown>();
-  for (const [m, own] of OWN) {
-    const r = Rpcs[m];
-    const ok =
-      m === 'Attach'
+  for (const [method, methodFaults] of METHOD_FAULTS) {
+    const spec = Rpcs[method];
+    const success =
+      method === 'Attach'
         ? {
             description: 'A stream that does not end: one Frame a line.',
             content: { 'application/x-ndjson': { schema: ref('Frame') } },
@@ -78,22 +78,28 @@
         : {
             description: 'Done.',
             content: json(
-              m === 'ReadConfig'
-                ? { ...r.answer, properties: { ...Rpcs.ReadConfig.answer.properties, config: ref('FleetConfig') } }
-                : r.answer,
+              method === 'ReadConfig'
+                ? { ...spec.answer, properties: { ...Rpcs.ReadConfig.answer.properties, config: ref('FleetConfig') } }
+                : spec.answer,
             ),
           };
-    const visit = {
-      ...r.visit,
-      properties: { ...r.visit.properties, ...('config' in r.visit.properties ? { config: ref('FleetConfig') } : {}) },
+    const requestSchema = {
+      ...spec.visit,
+      properties: {
+        ...spec.visit.properties,
+        ...('config' in spec.visit.properties ? { config: ref('FleetConfig') } : {}),
+      },
     };
-    paths.set(`/rpc/${m}`, {
+    paths.set(`/rpc/${method}`, {
       post: {
-        operationId: m,
-        summary: r.about,
-        'x-repeatable': r.repeatable,
-        requestBody: { required: true, content: json(visit) },
-        responses: Object.fromEntries([['200', ok], ...answers(m, [...COMMON, ...own])]),
+        operationId: method,
+        summary: spec.about,
+        'x-repeatable': spec.repeatable,
+        requestBody: { required: true, content: json(requestSchema) },
+        responses: Object.fromEntries([
+          ['200', success],
+          ...errorResponses(method, [...COMMON_FAULTS, ...methodFaults]),
+        ]),
       },
     });
   }
--- a/packages/schema/src/repeatable.ts
+++ b/packages/schema/src/repeatable.ts
@@ -1,10 +1,11 @@
-/** Whether a caller may send an RPC again while its outcome is unknown: after silence, a reset or a timeout. */
+/** Whether a client may resend an RPC while its outcome is unknown, that is after no answer, a connection reset or a timeout. */
 
 /**
  * - `read`: it changes nothing.
- * - `idempotent`: a second run has no effect beyond the first. `toldApartBy` names what marks a repeat, `for` how long that is known;
- *   where `needs` is given, only with one of these fields in the body.
- * - `never`: a second run could do something else than the first. The caller finds out what became of it, then asks anew.
+ * - `idempotent`: a second execution has no effect beyond the first. `toldApartBy` lists the fields that identify a repeat, `for` says how
+ *   long a repeat is recognized. If `needs` is given, this holds only for a body with at least one of these fields.
+ * - `never`: a second execution could have a different effect than the first. The client must find out the outcome of the first request
+ *   before it issues a new one.
  */
 export type CallerRepeatability =
   | { repeat: 'read'; why: string }
@@ -13,15 +14,15 @@
 
 export const read = (why: string): CallerRepeatability => ({ repeat: 'read', why });
 export const never = (why: string): CallerRepeatability => ({ repeat: 'never', why });
-export const idempotent = (x: {
+export const idempotent = (declaration: {
   toldApartBy: string;
   for: string;
   why: string;
   needs?: readonly string[];
-}): CallerRepeatability => ({ repeat: 'idempotent', ...x });
+}): CallerRepeatability => ({ repeat: 'idempotent', ...declaration });
 
 /**
- * Whether a request may be sent again while its outcome is unknown.
+ * Whether a request may be resent while its outcome is unknown.
  * @example
  * mayRepeat(Rpcs.EmptyDisk.repeatable, { disk: 'd1' }); // false: it has no changeId
  */
