--- a/packages/control/src/membership/fact-table.ts
+++ b/packages/control/src/membership/fact-table.ts
@@ -52,7 +52,7 @@
 
   /** The parts of the table whose sums differ from these. */
   differingParts(parts: number[]): number[] {
-    return this.sums.differing(parts);
+    return this.sums.differingParts(parts);
   }
 
   /** Whether no version as high is known; a tombstone is not looked at. */
--- a/packages/control/src/membership/membership-table.ts
+++ b/packages/control/src/membership/membership-table.ts
@@ -76,7 +76,7 @@
     this.failureDetector = this.createFailureDetector();
     this.antiEntropy = this.createAntiEntropy();
     kernel.intermediariesTo = (peer) => this.intermediariesTo(peer);
-    kernel.onSignOfLife = (peer, instanceId) => this.recordSignOfLife(peer, instanceId);
+    kernel.onPeerActivity = (peer, instanceId) => this.recordSignOfLife(peer, instanceId);
     kernel.addSubscription(kernel.loopResumed$.subscribe(() => this.forgiveSilence()));
     for (const seed of config.seeds) this.sampling.offer(seed);
     if (db) this.rememberedPeers = new RememberedPeers(kernel, kernel.use('state'), this.members);
@@ -283,7 +283,7 @@
   /** Stores a fact if it is newer, and applies it. `silentMs`: see `Fact`. */
   private store(key: string, version: string, value: unknown, silentMs = 0): boolean {
     if (!this.table.isNewer(key, version)) return false;
-    if (!this.facts.has(key) && silentMs > MEMBERSHIP.forgetMs) return false;
+    if (!this.facts.has(key) && silentMs > MEMBERSHIP.deadRecordTtlMs) return false;
     const memberPeer = peerOfMemberKey(key);
     if (memberPeer === this.kernel.self && (value as MemberRecord).inst !== this.kernel.instanceId) {
       // A record of the process that was here before, from a clock that ran ahead of ours.
--- a/packages/control/src/membership/table-sums.ts
+++ b/packages/control/src/membership/table-sums.ts
@@ -29,7 +29,7 @@
   }
 
   /** The parts whose sums differ from these. */
-  differing(parts: number[]): number[] {
+  differingParts(parts: number[]): number[] {
     return this.parts.flatMap((sum, part) => (sum === parts[part] ? [] : [part]));
   }
 
--- a/packages/data/src/ownership/hand-over.ts
+++ b/packages/data/src/ownership/hand-over.ts
@@ -96,7 +96,7 @@
     for (let i = 0; candidates.length && shard.phase === 'owner' && clock.now() < until; i++) {
       const peer = this.assignment.availablePeer(candidates[i % candidates.length]!) ?? '';
       const taken = await this.kernel
-        .call<boolean>(peer, 'TakeKey', this.takeRequest(shard), MEMBERSHIP.callMs)
+        .call<boolean>(peer, 'TakeKey', this.takeRequest(shard), MEMBERSHIP.callTimeoutMs)
         .catch(() => false);
       if (!taken && shard.phase === 'owner') await sleep(clock, REQUEST.ownerRetryMs);
     }
@@ -120,7 +120,7 @@
     if (!this.isSteady(sender) && this.membership.isAvailable(this.kernel.self)) return false;
     if ((shard.yieldRefusedUntil.get(disk) ?? 0) > clock.now()) return false;
     const { fence } = shard;
-    clock.after(SHARD.yieldMs, () => {
+    clock.after(SHARD.yieldTimeoutMs, () => {
       if (shard.phase === 'owner' && shard.fence === fence) this.refuseForAWhile(shard, disk);
     });
     return true;
--- a/packages/data/src/ownership/ownership-check.ts
+++ b/packages/data/src/ownership/ownership-check.ts
@@ -47,7 +47,7 @@
     kernel.addSubscription(membership.memberStateChanged$.subscribe((member) => this.memberChanged(member.peer)));
     // A new generation is taken when it is heard of: until then the replicas that came with it bear no loss.
     kernel.addSubscription(register.value$.subscribe(() => this.schedule()));
-    const leaseBegun = register.readLeaseBegun$.subscribe(() => {
+    const leaseBegun = register.readLeaseStarted$.subscribe(() => {
       this.servingSince = Math.min(this.servingSince, clock.now());
     });
     kernel.addSubscription(leaseBegun);
@@ -194,7 +194,7 @@
     const highest = new Map<ShardState, { answers: number; fence: Fence }>();
     const calls = [...this.shardsByPeer(shards)].map(async ([peer, theirs]) => {
       const request = { shards: theirs.map((shard) => shard.id) };
-      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.whoMs).catch(() => []);
+      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.fenceQueryMs).catch(() => []);
       fences.forEach((fence, i) => {
         const known = highest.get(theirs[i]!);
         const higher = known && known.fence > fence ? known.fence : fence;
--- a/packages/data/src/ownership/publish-handler.ts
+++ b/packages/data/src/ownership/publish-handler.ts
@@ -13,7 +13,7 @@
 import { urgencyOf } from '@harecross/schema';
 import { senderKey } from '@harecross/state';
 import type { Replication } from '../replication/replication.js';
-import { FORGOTTEN, type OwnershipPhase, type SequenceOutcome, type ShardState } from './shard-state.js';
+import { FORGOTTEN_STEP, type OwnershipPhase, type SequenceOutcome, type ShardState } from './shard-state.js';
 import type { ShardTable } from './shard-table.js';
 
 /** Publishes that one owner works on at once. */
@@ -120,7 +120,7 @@
         throw new HarecrossError({ tag: 'stale_seq', step: 'Publish', peer, last: outcome.above });
       case 'forgotten':
         this.kernel.incrementCounter('publish.forgotten');
-        throw new HarecrossError({ tag: 'outcome_unknown', step: FORGOTTEN, peer, retryAfterMs: this.retryMs() });
+        throw new HarecrossError({ tag: 'outcome_unknown', step: FORGOTTEN_STEP, peer, retryAfterMs: this.retryMs() });
       default:
         return assertNever(outcome);
     }
--- a/packages/data/src/ownership/shard-assignment.ts
+++ b/packages/data/src/ownership/shard-assignment.ts
@@ -1,5 +1,5 @@
 /** Which disk should own each shard, by what this node knows of the members: all that see the same come to the same answer. */
-import { matchOwners, type ConsensusRegister, type Member, type MembershipTable } from '@harecross/control';
+import { assignOwners, type ConsensusRegister, type Member, type MembershipTable } from '@harecross/control';
 
 /** Assigns shards to the disks of available members. */
 export class ShardAssignment {
@@ -19,10 +19,10 @@
     const { shards } = this.register.value!;
     const isCandidate = (disk: string): boolean =>
       disk !== without && (this.availablePeer(disk) !== undefined || (includeStarting && this.isStarting(disk)));
-    const owners = matchOwners(shards, isCandidate);
+    const owners = assignOwners(shards, isCandidate);
     if (owners.size === shards.size) return owners;
     // Where the machines of all replicas call themselves unhealthy, one of them must do.
-    const fallback = matchOwners(shards, (disk) => disk !== without && this.isUnhealthy(disk));
+    const fallback = assignOwners(shards, (disk) => disk !== without && this.isUnhealthy(disk));
     for (const [shard, disk] of fallback) if (!owners.has(shard)) owners.set(shard, disk);
     return owners;
   }
--- a/packages/data/src/ownership/shard-election.ts
+++ b/packages/data/src/ownership/shard-election.ts
@@ -2,7 +2,7 @@
  * Election of a shard's owner. A node takes a shard under a fencing token above all others, with the longest valid history that a quorum
  * of its replicas has, and owns it once a majority has its first entry, the barrier.
  */
-import { fenceQuorum, type ConsensusRegister, type Placement } from '@harecross/control';
+import { hasFenceQuorum, type ConsensusRegister, type Placement } from '@harecross/control';
 import { SHARD, collectUntil, sleep, toErrorDetails, withTimeout, type Kernel } from '@harecross/kernel';
 import { lastFence, lastIdx, makeFence, parseFence, type Fence, type Replica } from '@harecross/state';
 import type { FenceAnswer, FetchAnswer, ReplicaStore } from '../replication/replica-store.js';
@@ -65,12 +65,12 @@
 
   private async takeUnder(shard: ShardState, placement: Placement): Promise<void> {
     const { clock, random } = this.kernel.host;
-    let highest = parseFence(this.replicas.get(shard.id).promised).n;
+    let highest = parseFence(this.replicas.get(shard.id).promised).number;
     for (let round = 0; round < ELECTION_ROUNDS; round++) {
       const fence = makeFence(placement.gen, highest + 1, `${this.kernel.self}~${this.kernel.instanceId}`);
       const answers = await this.requestFence(shard.id, placement, fence);
       const refusals = answers.flatMap((answer) => (answer.ok ? [] : [parseFence(answer.promised)]));
-      for (const refusal of refusals) highest = Math.max(highest, refusal.n);
+      for (const refusal of refusals) highest = Math.max(highest, refusal.number);
       if (refusals.some((refusal) => refusal.gen > placement.gen)) return;
       if (this.isQuorum(placement, answers)) {
         const promises = answers.filter((answer) => answer.ok);
@@ -95,7 +95,7 @@
     const promises = answers
       .filter((answer) => answer.ok)
       .map((answer) => ({ disk: answer.disk, generation: parseFence(answer.lastFence).gen }));
-    return promises.some((promise) => promise.disk === this.replicas.disk) && fenceQuorum(placement, promises);
+    return promises.some((promise) => promise.disk === this.replicas.disk) && hasFenceQuorum(placement, promises);
   }
 
   private async requestFenceFrom(disk: string, shardId: number, fence: Fence): Promise<FenceAnswer> {
@@ -131,7 +131,7 @@
     const barrier = shard.appendBarrier(now);
     this.shards.setPhase(shard, 'confirming');
     this.replication.replicate(shard, true);
-    await withTimeout(this.kernel.host.clock, SHARD.appendMs, this.shards.awaitCommit(shard, barrier));
+    await withTimeout(this.kernel.host.clock, SHARD.appendTimeoutMs, this.shards.awaitCommit(shard, barrier));
     const isConfirmed = (shard.phase as OwnershipPhase) === 'confirming' && shard.fence === fence;
     if (!isConfirmed || shard.commitIndex < barrier) return;
     this.shards.setPhase(shard, 'owner');
@@ -146,7 +146,7 @@
     const from = Math.min(lastIdx(own), best.lastIdx);
     const request = { disk: best.disk, shard: shard.id, from, fromFence: fenceBefore(own, from) };
     const peer = this.register.peerOf(best.disk)!;
-    const fetched = await this.kernel.call<FetchAnswer>(peer, 'Fetch', request, SHARD.snapshotMs);
+    const fetched = await this.kernel.call<FetchAnswer>(peer, 'Fetch', request, SHARD.snapshotTimeoutMs);
     return this.replicas.adopt(shard.id, fence, fetched, from);
   }
 }
--- a/packages/data/src/ownership/shard-owner.ts
+++ b/packages/data/src/ownership/shard-owner.ts
@@ -105,7 +105,7 @@
     return [this.publishes.queueInfo(), this.interests.queueInfo()];
   }
 
-  interestTable(): { relay: string; topics: number }[] {
+  describeInterests(): { relay: string; topics: number }[] {
     return this.interests.countTopicsByRelay();
   }
 
--- a/packages/data/src/ownership/shard-state.ts
+++ b/packages/data/src/ownership/shard-state.ts
@@ -25,7 +25,7 @@
 }
 
 /** The step of an error that says: this number is older than what anybody remembers. */
-export const FORGOTTEN = 'forgotten';
+export const FORGOTTEN_STEP = 'forgotten';
 
 /** What the owner knows of a sender's number on a topic. */
 export type SequenceOutcome =
--- a/packages/data/src/ownership/shard-table.ts
+++ b/packages/data/src/ownership/shard-table.ts
@@ -1,7 +1,7 @@
 /** The shards at this node: the phase of each, who waits for it, and what the fleet is told of it. */
 import {
   incarnationOf,
-  notReady,
+  notReadyError,
   type ConsensusRegister,
   type MembershipTable,
   type ShardOwnerRecord,
@@ -168,7 +168,7 @@
 
   /** The family of a topic by the configuration in force; `not_ready` without a read lease, `unknown_topic` where there is none. */
   family(topic: string, step: string): Family {
-    if (!this.register.hasReadLease() || this.kernel.phase === 'stopped') throw notReady(this.kernel, step);
+    if (!this.register.hasReadLease() || this.kernel.phase === 'stopped') throw notReadyError(this.kernel, step);
     const family = familyOf(this.register.value!.config, topic);
     if (!family) throw new HarecrossError({ tag: 'unknown_topic', step, peer: this.kernel.self, topic });
     return family;
--- a/packages/data/src/ownership/topic-history.ts
+++ b/packages/data/src/ownership/topic-history.ts
@@ -1,5 +1,5 @@
 /** What an owner answers relays about its topics: where each begins and ends, its messages, and whether a relay has seen all of them. */
-import { notReady, type ConsensusRegister } from '@harecross/control';
+import { notReadyError, type ConsensusRegister } from '@harecross/control';
 import { HarecrossError, REQUEST, SESSION, sleep, type Kernel } from '@harecross/kernel';
 import { familyOf } from '@harecross/schema';
 import { positionChecksum, type InterestTable, type ListenerCount } from '../interest/interest-table.js';
@@ -85,7 +85,7 @@
     const { clock } = this.kernel.host;
     const askedAt = clock.now();
     const { fence } = shard;
-    const until = askedAt + REQUEST.ownerTryMs - CONFIRM_MARGIN_MS;
+    const until = askedAt + REQUEST.ownerAttemptMs - CONFIRM_MARGIN_MS;
     while (shard.majorityAnsweredAt() < askedAt) {
       if (shard.fence !== fence || shard.phase !== 'owner' || clock.now() > until)
         throw new HarecrossError({ tag: 'not_owner', step: 'confirm', peer: this.kernel.self });
@@ -96,7 +96,7 @@
 
   private async page({ topic, from }: { topic: string; from: number }): Promise<HistoryAnswer> {
     await this.shards.awaitPhase(this.shards.ofTopic(topic), ['owner']);
-    if (!this.register.hasReadLease()) throw notReady(this.kernel, 'History');
+    if (!this.register.hasReadLease()) throw notReadyError(this.kernel, 'History');
     if (!familyOf(this.register.value!.config, topic)) return { tag: 'gone' };
     const shard = this.shards.serving(topic, 'History');
     this.shards.family(topic, 'History');
--- a/packages/data/src/replication/replica-store.ts
+++ b/packages/data/src/replication/replica-store.ts
@@ -146,12 +146,12 @@
     return c;
   }
 
-  table(): { shard: number; last: number; kept: number; gen: number; number: number; by: string }[] {
+  describeReplicas(): { shard: number; last: number; kept: number; gen: number; number: number; by: string }[] {
     return [...this.all.values()]
       .filter((c) => c.promised !== NO_FENCE)
       .map((c) => {
         const f = parseFence(c.promised);
-        return { shard: c.shard, last: lastIdx(c), kept: c.entries.length, gen: f.gen, number: f.n, by: f.peer };
+        return { shard: c.shard, last: lastIdx(c), kept: c.entries.length, gen: f.gen, number: f.number, by: f.peer };
       });
   }
 
@@ -181,7 +181,7 @@
     if (!b.entries.length && !this.needsWrite(b)) {
       const r = this.mismatchOf(b);
       // What it says may still be on its way to the disk.
-      await this.state.db.settled();
+      await this.state.db.whenSynced();
       return r ?? { tag: 'ok', disk: this.disk, match: b.prevIdx };
     }
     return this.state.db.commit(() => this.applyAppend(b));
@@ -209,7 +209,7 @@
         write.map((a) => [a.shard, this.applyAppend(a)] as [number, AppendAnswer]),
       );
       not.push(...got.filter(([, r]) => r.tag !== 'ok'));
-    } else await this.state.db.settled();
+    } else await this.state.db.whenSynced();
     return not;
   }
 
@@ -312,7 +312,7 @@
   /** Lets go of copies that are no longer placed here. */
   async release(shards: number[]): Promise<void> {
     await this.state.db.commit(() => {
-      for (const s of shards) this.state.releaseReplica(this.get(s));
+      for (const s of shards) this.state.clearReplica(this.get(s));
     });
   }
 }
--- a/packages/data/src/replication/replication.ts
+++ b/packages/data/src/replication/replication.ts
@@ -69,7 +69,7 @@
     this.heartbeatsInFlight.add(disk);
     try {
       const not = new Map(
-        await this.kernel.call<[number, AppendAnswer][]>(peer, 'Beats', { disk, beats }, SHARD.appendMs),
+        await this.kernel.call<[number, AppendAnswer][]>(peer, 'Beats', { disk, beats }, SHARD.appendTimeoutMs),
       );
       for (const { key, fence, at } of said) {
         if (key.fence !== fence || key.phase === 'none') continue;
@@ -106,7 +106,7 @@
           peer,
           'Install',
           { disk, shard: key.id, fence, base: packBase(key.base, now), entries: key.entries.map(packEntry(now)) },
-          SHARD.snapshotMs,
+          SHARD.snapshotTimeoutMs,
         );
       } else {
         const entries: WireEntry[] = key.entries
@@ -124,7 +124,7 @@
             entries,
             trimTo: key.trimIndex,
           },
-          SHARD.appendMs,
+          SHARD.appendTimeoutMs,
         );
       }
       if (key.fence !== fence || key.phase === 'none') return;
--- a/packages/kernel/src/index.ts
+++ b/packages/kernel/src/index.ts
@@ -13,7 +13,7 @@
 export * from './peer-net.js';
 export * from './peer-rpcs.js';
 export * from './peer-server.js';
-export * from './real.js';
+export * from './real-host.js';
 export * from './node-config.js';
 export { parse as unpack, stringify as pack } from 'devalue';
 export * from './flags.js';
--- a/packages/kernel/src/indirect-calls.ts
+++ b/packages/kernel/src/indirect-calls.ts
@@ -115,7 +115,7 @@
         await this.rpc.call(peer, 'Ping', {}, MEMBERSHIP.probeMs);
         break;
       } catch {
-        await sleep(this.node.host.clock, REQUEST.linkTryMs);
+        await sleep(this.node.host.clock, REQUEST.linkProbeMs);
       }
     }
     this.intermediaries.delete(peer);
--- a/packages/kernel/src/peer-link.ts
+++ b/packages/kernel/src/peer-link.ts
@@ -314,7 +314,7 @@
       }
       case 'open':
         this.events()?.count('peer.link.lost');
-        this.events()?.broken(peer);
+        this.events()?.connectionLost(peer);
         if (this.unsent.length && this.state === 'closed') this.open();
         break;
     }
--- a/packages/kernel/src/rpc-endpoint.ts
+++ b/packages/kernel/src/rpc-endpoint.ts
@@ -30,7 +30,7 @@
   readonly isStopped: boolean;
   incrementCounter(name: string): void;
   onNewerRevision(revision: number, peer: string): Promise<void>;
-  onSignOfLife(peer: string, instanceId?: string): void;
+  onPeerActivity(peer: string, instanceId?: string): void;
   onUnreachable(peer: string): void;
 }
 
@@ -102,7 +102,7 @@
     );
     const answer = decodeAnswer(frame);
     if (!answer) throw new HarecrossError({ tag: 'cut', step: method, peer, detail: 'malformed answer' });
-    node.onSignOfLife(peer);
+    node.onPeerActivity(peer);
     if (answer.revision > node.rev) void node.onNewerRevision(answer.revision, peer);
     if ('error' in answer) throw new HarecrossError(answer.error);
     return answer.ok as T;
@@ -127,7 +127,7 @@
     node.incrementCounter('peer.in');
     const request = decodeRequest(frame);
     const offset = this.offsets.addSample(`${request.sender} ${request.instanceId}`, now - request.sentAt, now);
-    node.onSignOfLife(request.sender, request.instanceId);
+    node.onPeerActivity(request.sender, request.instanceId);
     const sender: RequestContext = {
       peer: request.sender,
       inst: request.instanceId,
@@ -176,7 +176,7 @@
   /** Waits, for up to half of a call's time limit, until this node has the revision that a peer has. Returns whether it does. */
   private async awaitRevision(revision: number, peer: string): Promise<boolean> {
     const { clock } = this.node.host;
-    const deadline = clock.now() + MEMBERSHIP.callMs / 2;
+    const deadline = clock.now() + MEMBERSHIP.callTimeoutMs / 2;
     for (;;) {
       await withTimeout(clock, deadline - clock.now(), this.node.onNewerRevision(revision, peer));
       if (this.node.rev >= revision) return true;
--- a/packages/state/src/durable-state.ts
+++ b/packages/state/src/durable-state.ts
@@ -234,7 +234,7 @@
   }
 
   /** Lets go of a replica's matter. The promise stays, so that an old owner stays fenced. */
-  releaseReplica(replica: Replica): void {
+  clearReplica(replica: Replica): void {
     this.installSnapshot(replica, emptyBase(), []);
   }
 }
--- a/packages/state/src/fence.ts
+++ b/packages/state/src/fence.ts
@@ -18,7 +18,7 @@
   /** Generation of the placement. */
   gen: number;
   /** Number within the generation. */
-  n: number;
+  number: number;
   /** Address of the owner that took it. */
   peer: string;
 }
@@ -38,10 +38,10 @@
  * parseFence(f).peer; // '10.0.0.1:7101'
  */
 export function parseFence(fence: Fence): FenceParts {
-  if (fence === NO_FENCE) return { gen: 0, n: 0, peer: '' };
+  if (fence === NO_FENCE) return { gen: 0, number: 0, peer: '' };
   return {
     gen: Number(fence.slice(0, GENERATION_DIGITS)),
-    n: Number(fence.slice(NUMBER_START, OWNER_START - 1)),
+    number: Number(fence.slice(NUMBER_START, OWNER_START - 1)),
     peer: fence.slice(OWNER_START).split(PROCESS_SEPARATOR)[0]!,
   };
 }
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -366,7 +366,7 @@
       system,
       () => ({
         count: () => undefined,
-        broken: () => {
+        connectionLost: () => {
           if (mine === this.callerInstances) this.heardOf = undefined;
         },
       }),
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -440,7 +440,7 @@
     if (!n.up) return;
     n.up = false;
     n.life++;
-    n.db?.drop();
+    n.db?.discardUnsynced();
     n.kernel?.stopLoops();
     n.disk?.endProcess();
     n.handle = undefined;
@@ -635,7 +635,7 @@
           }
           to.calls.add(broken);
           const taken = (): void => {
-            void to.edge!.visit(method, JSON.parse(sent)).then((r) => {
+            void to.edge!.handle(method, JSON.parse(sent)).then((r) => {
               if (!to.up || to.life !== life) return;
               const raw = JSON.stringify(r.body);
               this.at(back(this.way(to.slowMs)), () => end({ status: r.status, body: JSON.parse(raw) }));
@@ -720,7 +720,7 @@
         // The node sees the close unless it is gone; frozen ones see it later.
         this.at(this.way(), () =>
           this.work(to, life, () => {
-            if (id) to.edge!.gone(id);
+            if (id) to.edge!.disconnected(id);
           }),
         );
       };
--- a/packages/trial/src/test/peer-net.test.ts
+++ b/packages/trial/src/test/peer-net.test.ts
@@ -32,7 +32,7 @@
     this.lines.push(name);
     for (const w of this.waits.splice(0)) w();
   }
-  broken(peer: string): void {
+  connectionLost(peer: string): void {
     this.count(`broken ${peer}`);
   }
   async until(name: string): Promise<void> {
