--- a/packages/data/src/ownership/hand-over.ts
+++ b/packages/data/src/ownership/hand-over.ts
@@ -130,7 +130,7 @@
   /** Whether the sender's process has been live for `SHARD.steadyAssignmentMs`. */
   private isSteady(sender: RequestContext): boolean {
     const member = this.membership.members.get(sender.peer);
-    if (member === undefined || member.inst !== sender.inst || member.state !== 'live') return false;
+    if (member === undefined || member.inst !== sender.instanceId || member.state !== 'live') return false;
     return this.kernel.host.clock.now() - member.liveSince >= SHARD.steadyAssignmentMs;
   }
 
--- a/packages/data/src/routing/shard-router.ts
+++ b/packages/data/src/routing/shard-router.ts
@@ -4,7 +4,7 @@
   REQUEST,
   RetryBudget,
   jitteredRetryMs,
-  mustBeRepeatable,
+  assertRepeatable,
   registerPlugin,
   shardOf,
   toErrorDetails,
@@ -272,7 +272,7 @@
     timeoutMs: number,
     inFlight?: InFlightPublish,
   ): Promise<T> {
-    mustBeRepeatable(method);
+    assertRepeatable(method);
     const { clock, random } = this.kernel.host;
     const shard = shardOf(topic);
     const deadline = clock.now() + timeoutMs;
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -2,7 +2,7 @@
 import { Subject, type Subscription } from 'rxjs';
 import { MEMBERSHIP } from './constants.js';
 import { toErrorDetails } from './fault.js';
-import { periodicTicks } from './flow.js';
+import { periodicTicks } from './concurrency.js';
 import type { Host } from './host.js';
 import { IndirectCalls } from './indirect-calls.js';
 import type { PeerRpc } from './peer-rpcs.js';
--- a/packages/kernel/src/peer-framing.ts
+++ b/packages/kernel/src/peer-framing.ts
@@ -1,29 +1,29 @@
 /**
  * Framing of the peer transport: a connection carries lines of the form `id frame` in both directions. The id matches an answer to its
- * call; id {@link PING} is reserved for control lines of the transport itself.
+ * call; id {@link CONTROL_ID} is reserved for control lines of the transport itself.
  */
 import type { Socket } from 'node:net';
 
 /** Limits and timeouts of the peer transport; the defaults are in constants.ts. */
-export interface PeerNetBounds {
+export interface TransportLimits {
   connectMs: number;
   quietMs: number;
-  frameBytes: number;
-  waitingBytes: number;
-  callsN: number;
+  maxFrameBytes: number;
+  pendingBytesLimit: number;
+  callLimit: number;
   connectionLimit: number;
   closeMs: number;
 }
 
 /** The transport's dependencies on sockets, clock and timers, so that tests can run it in virtual time. */
-export interface PeerSystem {
+export interface TransportEnvironment {
   connect(peer: string): Socket;
   /** Monotonic time in milliseconds. */
   now(): number;
   /** Runs `fn` after `ms` milliseconds; the result cancels the timer. */
   after(ms: number, fn: () => void): () => void;
   /** Runs `fn` at the end of the current event loop iteration, after all available input has been read. */
-  soon(fn: () => void): void;
+  afterCurrentIteration(fn: () => void): void;
 }
 
 /**
@@ -41,21 +41,21 @@
 /** Maximum number of bytes by which a line exceeds its frame: the call id, a space and the newline. */
 export const LINE_OVERHEAD_BYTES = 24;
 /** Approximate maximum size of one write. */
-export const PIECE_BYTES = 256 * 1024;
+export const WRITE_CHUNK_BYTES = 256 * 1024;
 /** While more than this many bytes are waiting to be sent to a peer, nothing is read from it. */
-export const READ_PAUSE_BYTES = 4 * PIECE_BYTES;
+export const READ_PAUSE_BYTES = 4 * WRITE_CHUNK_BYTES;
 /**
  * The id of control lines, which the transport answers without a handler: pings, which tell a slow handler from a dead peer, and the
  * hello of both ends. Peers of earlier versions answer a hello like a ping, with an empty frame.
  */
-export const PING = 0;
+export const CONTROL_ID = 0;
 
 /** Splits a byte stream into lines of limited length. */
 export class LineReader {
-  private held: Buffer[] = [];
+  private chunks: Buffer[] = [];
   private bufferedBytes = 0;
   constructor(
-    public limit: number,
+    public maxLineBytes: number,
     private onLine: (line: string) => boolean,
   ) {}
 
@@ -65,22 +65,22 @@
     for (;;) {
       const newline = data.indexOf(10, start);
       const end = newline < 0 ? data.length : newline;
-      if (this.bufferedBytes + end - start > this.limit) {
-        this.held = [];
+      if (this.bufferedBytes + end - start > this.maxLineBytes) {
+        this.chunks = [];
         return false;
       }
       if (newline < 0) {
         if (start < data.length) {
-          this.held.push(data.subarray(start));
+          this.chunks.push(data.subarray(start));
           this.bufferedBytes += data.length - start;
         }
         return true;
       }
       let line: string;
       if (this.bufferedBytes) {
-        this.held.push(data.subarray(start, newline));
-        line = Buffer.concat(this.held).toString('utf8');
-        this.held = [];
+        this.chunks.push(data.subarray(start, newline));
+        line = Buffer.concat(this.chunks).toString('utf8');
+        this.chunks = [];
         this.bufferedBytes = 0;
       } else line = data.toString('utf8', start, newline);
       start = newline + 1;
@@ -112,19 +112,19 @@
 }
 
 /** Flushes each scheduled connection once at the end of the event loop iteration, so that frames queued meanwhile share one write. */
-export class WriteBatch {
+export class FlushScheduler {
   private scheduled = new Set<{ flush(): void }>();
   private flushPending = false;
 
-  constructor(private environment: PeerSystem) {}
+  constructor(private environment: TransportEnvironment) {}
 
   schedule(connection: { flush(): void }): void {
     this.scheduled.add(connection);
     if (this.flushPending) return;
     this.flushPending = true;
-    this.environment.soon(() => this.run());
+    this.environment.afterCurrentIteration(() => this.flushAll());
   }
-  run(): void {
+  flushAll(): void {
     this.flushPending = false;
     const connections = [...this.scheduled];
     this.scheduled.clear();
@@ -142,7 +142,7 @@
    */
   constructor(
     private socket: Socket,
-    private moved: (isChunk: boolean) => void,
+    private onWritten: (isChunk: boolean) => void,
   ) {}
 
   /** Bytes not yet passed to the operating environment. */
@@ -151,31 +151,32 @@
   }
   /** Whether the next batch may be written. */
   get isReady(): boolean {
-    return !this.chunks.length && this.socket.writableLength < PIECE_BYTES;
+    return !this.chunks.length && this.socket.writableLength < WRITE_CHUNK_BYTES;
   }
 
   write(output: string, bytes: number): void {
-    if (bytes <= 2 * PIECE_BYTES) {
+    if (bytes <= 2 * WRITE_CHUNK_BYTES) {
       this.socket.write(output, 'utf8', (error) => {
         // After an error nothing more is written to the socket, so calls still waiting are known to be unsent.
-        if (!error) this.moved(false);
+        if (!error) this.onWritten(false);
       });
       return;
     }
     const buffer = Buffer.from(output);
-    for (let i = 0; i < buffer.length; i += PIECE_BYTES) this.chunks.push(buffer.subarray(i, i + PIECE_BYTES));
+    for (let i = 0; i < buffer.length; i += WRITE_CHUNK_BYTES)
+      this.chunks.push(buffer.subarray(i, i + WRITE_CHUNK_BYTES));
     this.chunksBytes = buffer.length;
-    this.next();
+    this.writeNextChunk();
   }
 
-  private next(): void {
+  private writeNextChunk(): void {
     const chunk = this.chunks.shift();
     if (!chunk) return;
     this.chunksBytes -= chunk.length;
     this.socket.write(chunk, (error) => {
       if (error) return;
-      this.next();
-      this.moved(true);
+      this.writeNextChunk();
+      this.onWritten(true);
     });
   }
 }
--- a/packages/kernel/src/peer-link.ts
+++ b/packages/kernel/src/peer-link.ts
@@ -7,16 +7,16 @@
   GREETING,
   LineReader,
   LINE_OVERHEAD_BYTES,
-  PIECE_BYTES,
-  PING,
+  WRITE_CHUNK_BYTES,
+  CONTROL_ID,
   FrameWriter,
   encodeHello,
   decodeHello,
   parseLine,
   type PeerIdentity,
-  type PeerNetBounds,
-  type PeerSystem,
-  type WriteBatch,
+  type TransportLimits,
+  type TransportEnvironment,
+  type FlushScheduler,
 } from './peer-framing.js';
 
 interface Call {
@@ -49,9 +49,9 @@
   /** Number of written calls that timed out and may still be answered. */
   private timedOutCount = 0;
   /** Call ids continue across connections, so that none is ever reused. */
-  private nextId = PING + 1;
+  private nextId = CONTROL_ID + 1;
   /** The first call id of this connection. */
-  private firstId = PING + 1;
+  private firstId = CONTROL_ID + 1;
   private greetingSent = false;
   /** Whether the peer has answered our hello. An older version answers without its identity, so `peerInstance` may be undefined. */
   private helloAnswered = false;
@@ -63,10 +63,10 @@
 
   constructor(
     private peer: string,
-    private bounds: PeerNetBounds,
-    private flushScheduler: WriteBatch,
+    private limits: TransportLimits,
+    private flushScheduler: FlushScheduler,
     private createIdentity: () => PeerIdentity,
-    private environment: PeerSystem,
+    private environment: TransportEnvironment,
     private events: () => NetEvents | undefined,
   ) {}
 
@@ -74,26 +74,31 @@
     return new Promise((resolve, reject) => {
       const bytes = Buffer.byteLength(frame);
       const fail = (error: ErrorDetails): void => reject(new HarecrossError(error));
-      if (bytes > this.bounds.frameBytes) {
-        fail({ tag: 'too_large', step: 'call', peer: this.peer, limit: this.bounds.frameBytes });
+      if (bytes > this.limits.maxFrameBytes) {
+        fail({ tag: 'too_large', step: 'call', peer: this.peer, limit: this.limits.maxFrameBytes });
         return;
       }
       const pendingBytes = this.unsentBytes + (this.writer?.pendingBytes ?? 0) + bytes;
-      if (pendingBytes > this.bounds.waitingBytes || this.sent.size + this.unsent.length >= this.bounds.callsN) {
+      if (
+        pendingBytes > this.limits.pendingBytesLimit ||
+        this.sent.size + this.unsent.length >= this.limits.callLimit
+      ) {
         this.events()?.count('peer.link.full');
         fail({ tag: 'overloaded', step: 'call', peer: this.peer, retryAfterMs: REQUEST.retryMs });
         return;
       }
       this.lastUsedAt = this.environment.now();
       const call: Call = {
-        id: PING,
+        id: CONTROL_ID,
         frame,
         bytes,
         settled: false,
         resolve,
         reject: fail,
         // After an event loop delay, data already in the socket buffer is read before the call times out.
-        cancelTimer: this.environment.after(timeoutMs, () => this.environment.soon(() => this.onTimeout(call))),
+        cancelTimer: this.environment.after(timeoutMs, () =>
+          this.environment.afterCurrentIteration(() => this.onTimeout(call)),
+        ),
         ...(this.state === 'open' && this.peerInstance !== undefined ? { instance: this.peerInstance } : {}),
       };
       this.unsent.push(call);
@@ -123,7 +128,7 @@
   private onTimeout(call: Call): void {
     if (call.settled) return;
     this.settle(call, { tag: 'timeout', step: 'call', peer: this.peer });
-    if (call.id !== PING) {
+    if (call.id !== CONTROL_ID) {
       this.sent.delete(call.id);
       this.timedOutCount++;
       return;
@@ -146,8 +151,10 @@
       }
     });
     let reason = 'closed by the peer';
-    const cancelConnectTimer = this.environment.after(this.bounds.connectMs, () => this.lost(socket, 'ETIMEDOUT'));
-    const lineReader = new LineReader(this.bounds.frameBytes + LINE_OVERHEAD_BYTES, (line) => this.onLine(line));
+    const cancelConnectTimer = this.environment.after(this.limits.connectMs, () =>
+      this.onDisconnect(socket, 'ETIMEDOUT'),
+    );
+    const lineReader = new LineReader(this.limits.maxFrameBytes + LINE_OVERHEAD_BYTES, (line) => this.onLine(line));
     socket.on('connect', () => {
       cancelConnectTimer();
       if (this.socket !== socket) return;
@@ -159,15 +166,15 @@
       if (this.socket !== socket) return;
       this.activitySeen = true;
       this.pingSent = false;
-      if (!lineReader.push(data)) this.lost(socket, 'malformed line');
+      if (!lineReader.push(data)) this.onDisconnect(socket, 'malformed line');
     });
     socket.on('error', (error: Error & { code?: string }) => {
       reason = error.code ?? error.message;
     });
-    socket.on('end', () => this.lost(socket, reason));
+    socket.on('end', () => this.onDisconnect(socket, reason));
     socket.on('close', () => {
       cancelConnectTimer();
-      this.lost(socket, reason);
+      this.onDisconnect(socket, reason);
     });
   }
 
@@ -175,9 +182,9 @@
   private onLine(line: string): boolean {
     const parsed = parseLine(line);
     if (!parsed) return false;
-    if (parsed.id === PING) {
+    if (parsed.id === CONTROL_ID) {
       this.timedOutCount = 0;
-      this.meet(decodeHello(parsed.frame));
+      this.onHelloAnswered(decodeHello(parsed.frame));
       return true;
     }
     const call = this.sent.get(parsed.id);
@@ -202,7 +209,7 @@
    * Records the peer's answer to our hello. Unsent calls that were queued for an earlier process at its address are rejected as
    * `unreachable`.
    */
-  private meet(peer: PeerIdentity | undefined): void {
+  private onHelloAnswered(peer: PeerIdentity | undefined): void {
     if (this.helloAnswered) return;
     this.helloAnswered = true;
     this.peerInstance = peer?.instance;
@@ -232,7 +239,7 @@
   flush(): void {
     const writer = this.writer;
     if (this.state !== 'open' || !writer?.isReady || !this.unsent.length) return;
-    let output = this.greetingSent ? '' : `${GREETING}\n${PING} ${encodeHello(this.createIdentity())}\n`;
+    let output = this.greetingSent ? '' : `${GREETING}\n${CONTROL_ID} ${encodeHello(this.createIdentity())}\n`;
     this.greetingSent = true;
     if (this.mustAwaitHello) {
       if (output) writer.write(output, output.length);
@@ -241,7 +248,7 @@
     }
     let bytes = 0;
     let count = 0;
-    while (count < this.unsent.length && bytes < PIECE_BYTES) {
+    while (count < this.unsent.length && bytes < WRITE_CHUNK_BYTES) {
       const call = this.unsent[count++]!;
       call.id = this.nextId++;
       this.sent.set(call.id, call);
@@ -262,22 +269,22 @@
    */
   private watchForSilence(): void {
     if (this.cancelSilenceTimer) return;
-    const due = this.environment.now() + this.bounds.quietMs;
+    const due = this.environment.now() + this.limits.quietMs;
     this.activitySeen = false;
-    this.cancelSilenceTimer = this.environment.after(this.bounds.quietMs, () => {
+    this.cancelSilenceTimer = this.environment.after(this.limits.quietMs, () => {
       this.cancelSilenceTimer = undefined;
       const socket = this.socket;
       if (this.state !== 'open' || !socket || (!this.sent.size && !this.timedOutCount && !this.mustAwaitHello)) return;
-      const loopDelayed = this.environment.now() - due > this.bounds.quietMs / 2;
+      const loopDelayed = this.environment.now() - due > this.limits.quietMs / 2;
       if (!this.activitySeen && !loopDelayed) {
         if (this.pingSent) {
           this.events()?.count('peer.link.silent');
-          this.lost(socket, 'silent', 'timeout');
+          this.onDisconnect(socket, 'silent', 'timeout');
           return;
         }
         this.pingSent = true;
         // If earlier output is blocked, a ping would only queue behind it.
-        if (this.writer!.isReady) socket.write(`${PING} \n`);
+        if (this.writer!.isReady) socket.write(`${CONTROL_ID} \n`);
       }
       this.watchForSilence();
     });
@@ -287,7 +294,7 @@
    * Handles the loss of the connection, for whatever reason except `close`. Written calls are rejected with `tag`. Unsent calls, which
    * the peer cannot have seen, are rejected as `unreachable` if the connection was never established, else sent on a new connection.
    */
-  private lost(socket: Socket, detail: string, tag: 'cut' | 'timeout' = 'cut'): void {
+  private onDisconnect(socket: Socket, detail: string, tag: 'cut' | 'timeout' = 'cut'): void {
     if (this.socket !== socket) return;
     const previousState = this.state;
     this.socket = undefined;
@@ -340,7 +347,7 @@
     this.unsentBytes = 0;
     for (const call of pending)
       this.settle(call, { tag: 'cut', step: 'call', peer: this.peer, detail: 'closed locally' });
-    if (socket) await closeSocket(socket, this.bounds.closeMs);
+    if (socket) await closeSocket(socket, this.limits.closeMs);
   }
 }
 
--- a/packages/kernel/src/peer-net.ts
+++ b/packages/kernel/src/peer-net.ts
@@ -4,18 +4,25 @@
 import { PROCESS } from './constants.js';
 import { HarecrossError } from './fault.js';
 import { parseAddress, type Net, type NetEvents } from './host.js';
-import { PIECE_BYTES, WriteBatch, type PeerIdentity, type PeerNetBounds, type PeerSystem } from './peer-framing.js';
+import {
+  WRITE_CHUNK_BYTES,
+  FlushScheduler,
+  type PeerIdentity,
+  type TransportLimits,
+  type TransportEnvironment,
+} from './peer-framing.js';
 import { closeSocket, PeerLink } from './peer-link.js';
 import { AcceptedConnection } from './peer-server.js';
 
-const realEnvironment: PeerSystem = {
-  connect: (peer) => connect({ ...parseAddress(peer), noDelay: true, highWaterMark: PIECE_BYTES } as NetConnectOpts),
+const realEnvironment: TransportEnvironment = {
+  connect: (peer) =>
+    connect({ ...parseAddress(peer), noDelay: true, highWaterMark: WRITE_CHUNK_BYTES } as NetConnectOpts),
   now: () => performance.now(),
   after: (ms, fn) => {
     const timer = setTimeout(fn, ms);
     return () => clearTimeout(timer);
   },
-  soon: (fn) => {
+  afterCurrentIteration: (fn) => {
     setImmediate(fn);
   },
 };
@@ -31,7 +38,7 @@
   readonly all = new Set<AcceptedConnection>();
 
   /** Compares a connection that has sent its hello with the others from its address, and closes all but the latest. */
-  met(connection: AcceptedConnection): void {
+  closeSuperseded(connection: AcceptedConnection): void {
     const { peer } = connection;
     if (!peer) return;
     let acceptedLater = false;
@@ -58,13 +65,13 @@
  * await net.serve(async (frame) => answer(frame));
  * await net.call('127.0.0.1:7102', frame, 800); // rejects with a HarecrossError: unreachable, cut, timeout, overloaded, too_large
  */
-export function peerNet(self: string, overrides: Partial<PeerNetBounds> = {}): Net {
-  const limits: PeerNetBounds = {
+export function peerNet(self: string, overrides: Partial<TransportLimits> = {}): Net {
+  const limits: TransportLimits = {
     connectMs: PROCESS.connectMs,
     quietMs: PROCESS.peerQuietMs,
-    frameBytes: PROCESS.peerFrameBytes,
-    waitingBytes: PROCESS.peerWaitingBytes,
-    callsN: PROCESS.peerCallLimit,
+    maxFrameBytes: PROCESS.peerFrameBytes,
+    pendingBytesLimit: PROCESS.peerWaitingBytes,
+    callLimit: PROCESS.peerCallLimit,
     connectionLimit: PROCESS.peerConnectionLimit,
     closeMs: PROCESS.peerCloseMs,
     ...overrides,
@@ -75,7 +82,7 @@
   const createIdentity = (): PeerIdentity => ({ ...identity, connection: ++openedConnections });
   const environment = realEnvironment;
   const connections = new AcceptedConnections();
-  const flushScheduler = new WriteBatch(environment);
+  const flushScheduler = new FlushScheduler(environment);
   let events: NetEvents | undefined;
   let server: Server | undefined;
   let closed = false;
@@ -93,7 +100,12 @@
     async serve(handle, netEvents) {
       events = netEvents;
       const tcpServer = createServer(
-        { noDelay: true, highWaterMark: PIECE_BYTES, keepAlive: true, keepAliveInitialDelay: PROCESS.peerKeepAliveMs },
+        {
+          noDelay: true,
+          highWaterMark: WRITE_CHUNK_BYTES,
+          keepAlive: true,
+          keepAliveInitialDelay: PROCESS.peerKeepAliveMs,
+        },
         (socket) => {
           const accepted = new AcceptedConnection(
             socket,
@@ -101,7 +113,7 @@
             flushScheduler,
             identity,
             environment,
-            (identified) => connections.met(identified),
+            (identified) => connections.closeSuperseded(identified),
             handle,
             () => events,
           );
@@ -140,7 +152,7 @@
         new Promise<void>((resolve) => {
           tcpServer.close(() => resolve());
         });
-      flushScheduler.run();
+      flushScheduler.flushAll();
       await Promise.all([
         ...[...links.values()].map((link) => link.close()),
         ...[...connections.all].map((accepted) => closeSocket(accepted.socket, limits.closeMs)),
--- a/packages/kernel/src/peer-rpcs.ts
+++ b/packages/kernel/src/peer-rpcs.ts
@@ -139,6 +139,6 @@
  * @example
  * assertRepeatable('Carry' as RepeatablePeerRpc); // throws
  */
-export function mustBeRepeatable(method: RepeatablePeerRpc): void {
+export function assertRepeatable(method: RepeatablePeerRpc): void {
   if (!isRepeatable(method)) throw new Error(`${String(method)} must not be sent again`);
 }
--- a/packages/kernel/src/peer-server.ts
+++ b/packages/kernel/src/peer-server.ts
@@ -5,56 +5,56 @@
   GREETING,
   LineReader,
   LINE_OVERHEAD_BYTES,
-  PING,
+  CONTROL_ID,
   READ_PAUSE_BYTES,
   FrameWriter,
   encodeHello,
   decodeHello,
   parseLine,
   type PeerIdentity,
-  type PeerNetBounds,
-  type PeerSystem,
-  type WriteBatch,
+  type TransportLimits,
+  type TransportEnvironment,
+  type FlushScheduler,
 } from './peer-framing.js';
 
 /** A connection accepted from a peer. */
 export class AcceptedConnection {
   private greetingReceived = false;
-  private out: string[] = [];
+  private outputQueue: string[] = [];
   private outputBytes = 0;
   private writer: FrameWriter;
-  private busy = 0;
+  private callsInFlight = 0;
   private paused = false;
   private superseded = false;
-  private lines: LineReader;
+  private lineReader: LineReader;
   private cancelGreetingTimer: () => void;
   /** Call ids only increase within one connection; a line that repeats an id is a protocol violation. */
-  private lastId = PING;
+  private lastId = CONTROL_ID;
   /** The process at the other end, once it has sent its hello. */
   peer?: PeerIdentity;
 
   constructor(
     readonly socket: Socket,
-    private bounds: PeerNetBounds,
-    private flushScheduler: WriteBatch,
+    private limits: TransportLimits,
+    private flushScheduler: FlushScheduler,
     private self: PeerIdentity,
-    environment: PeerSystem,
+    environment: TransportEnvironment,
     private onIdentified: (connection: AcceptedConnection) => void,
     private handle: (frame: string) => Promise<string>,
     private events: () => NetEvents | undefined,
   ) {
-    this.lines = new LineReader(GREETING.length, (line) => this.onLine(line));
+    this.lineReader = new LineReader(GREETING.length, (line) => this.onLine(line));
     this.writer = new FrameWriter(socket, () => {
       this.flush();
       this.updateReadPause();
     });
-    this.cancelGreetingTimer = environment.after(bounds.connectMs * 2, () =>
-      environment.soon(() => {
+    this.cancelGreetingTimer = environment.after(limits.connectMs * 2, () =>
+      environment.afterCurrentIteration(() => {
         if (!this.greetingReceived) this.rejectProtocolViolation();
       }),
     );
     socket.on('data', (data) => {
-      if (!this.lines.push(data)) this.rejectProtocolViolation();
+      if (!this.lineReader.push(data)) this.rejectProtocolViolation();
     });
     socket.on('error', () => undefined);
     socket.on('close', () => this.cancelGreetingTimer());
@@ -73,28 +73,28 @@
       if (line !== GREETING) return false;
       this.greetingReceived = true;
       this.cancelGreetingTimer();
-      this.lines.limit = this.bounds.frameBytes + LINE_OVERHEAD_BYTES;
+      this.lineReader.maxLineBytes = this.limits.maxFrameBytes + LINE_OVERHEAD_BYTES;
       return true;
     }
     const parsed = parseLine(line);
     if (!parsed) return false;
-    if (parsed.id === PING) {
+    if (parsed.id === CONTROL_ID) {
       this.onControlFrame(parsed.frame);
       return true;
     }
     if (this.superseded) return true;
     if (parsed.id <= this.lastId) return false;
     this.lastId = parsed.id;
-    this.busy++;
+    this.callsInFlight++;
     this.handle(parsed.frame).then(
       (answer) => {
-        this.busy--;
+        this.callsInFlight--;
         this.send(parsed.id, answer);
         this.updateReadPause();
       },
       // The handler rejects only a frame that is not a valid request, which no peer sends.
       () => {
-        this.busy--;
+        this.callsInFlight--;
         this.rejectProtocolViolation();
       },
     );
@@ -106,11 +106,11 @@
   private onControlFrame(frame: string): void {
     const peer = decodeHello(frame);
     if (!peer) {
-      this.send(PING, '');
+      this.send(CONTROL_ID, '');
       return;
     }
     this.peer = peer;
-    this.send(PING, encodeHello(this.self));
+    this.send(CONTROL_ID, encodeHello(this.self));
     this.onIdentified(this);
   }
 
@@ -124,34 +124,35 @@
   private send(id: number, frame: string): void {
     if (!this.socket.writable) return;
     let bytes = Buffer.byteLength(frame);
-    if (bytes > this.bounds.frameBytes) {
+    if (bytes > this.limits.maxFrameBytes) {
       // An empty frame tells the caller that the answer is too large.
       frame = '';
       bytes = 0;
     }
-    if (this.outputBytes + this.writer.pendingBytes + bytes > this.bounds.waitingBytes) {
+    if (this.outputBytes + this.writer.pendingBytes + bytes > this.limits.pendingBytesLimit) {
       // The peer keeps sending calls without reading the answers.
       this.events()?.count('peer.link.unread');
       this.socket.destroy();
       return;
     }
-    this.out.push(`${id} ${frame}\n`);
+    this.outputQueue.push(`${id} ${frame}\n`);
     this.outputBytes += bytes;
     this.flushScheduler.schedule(this);
   }
 
   flush(): void {
-    if (!this.socket.writable || !this.writer.isReady || !this.out.length) return;
-    const output = this.out.join('');
+    if (!this.socket.writable || !this.writer.isReady || !this.outputQueue.length) return;
+    const output = this.outputQueue.join('');
     const bytes = this.outputBytes;
-    this.out = [];
+    this.outputQueue = [];
     this.outputBytes = 0;
     this.writer.write(output, bytes);
   }
 
   /** Pauses reading while the peer has too many calls in flight or does not read its answers. */
   private updateReadPause(): void {
-    const pause = this.busy >= this.bounds.callsN || this.outputBytes + this.writer.pendingBytes > READ_PAUSE_BYTES;
+    const pause =
+      this.callsInFlight >= this.limits.callLimit || this.outputBytes + this.writer.pendingBytes > READ_PAUSE_BYTES;
     if (pause === this.paused || this.socket.destroyed) return;
     this.paused = pause;
     if (pause) this.socket.pause();
--- a/packages/kernel/src/rpc-endpoint.ts
+++ b/packages/kernel/src/rpc-endpoint.ts
@@ -2,7 +2,7 @@
 import { ClockOffsets } from './clock-offsets.js';
 import { MEMBERSHIP, REGISTER, REQUEST } from './constants.js';
 import { HarecrossError, toErrorDetails, type ErrorDetails } from './fault.js';
-import { sleep, withTimeout } from './flow.js';
+import { sleep, withTimeout } from './concurrency.js';
 import { jitteredRetryMs, type Host } from './host.js';
 import { PEER_RPCS, type PeerRpc } from './peer-rpcs.js';
 import { SerializedBody, decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from './rpc-envelope.js';
@@ -11,7 +11,7 @@
 export interface RequestContext {
   peer: string;
   /** Instance id of the sender's process. */
-  inst: string;
+  instanceId: string;
   /** When the request was sent, in local clock time; a delay in transit does not make it later. */
   sentAt: number;
   /** Converts a time of the sender's clock to local clock time. */
@@ -79,7 +79,7 @@
     const { self: peer, instanceId, host } = this.node;
     const handler = this.handlers.get(method);
     if (!handler) throw new HarecrossError({ tag: 'unknown_method', step: method, peer, method });
-    const sender: RequestContext = { peer, inst: instanceId, sentAt: host.clock.now(), toLocal: (time) => time };
+    const sender: RequestContext = { peer, instanceId: instanceId, sentAt: host.clock.now(), toLocal: (time) => time };
     const answer = (async (): Promise<{ ok: unknown }> => ({ ok: await handler.handle(body, sender) }))();
     const result = await withTimeout(host.clock, timeoutMs, answer);
     if (!result) throw new HarecrossError({ tag: 'timeout', step: method, peer });
@@ -130,7 +130,7 @@
     node.onPeerActivity(request.sender, request.instanceId);
     const sender: RequestContext = {
       peer: request.sender,
-      inst: request.instanceId,
+      instanceId: request.instanceId,
       sentAt: request.sentAt + offset,
       toLocal: (time) => time + offset,
     };
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -203,7 +203,7 @@
 
   private handle(to: number, m: string, body: Json, from: number): Promise<unknown> {
     return Promise.resolve().then(() =>
-      this.handlers[to]!.get(m)!(body, { peer: NODES[from], inst: '1', toLocal: (t: number) => t }),
+      this.handlers[to]!.get(m)!(body, { peer: NODES[from], instanceId: '1', toLocal: (t: number) => t }),
     );
   }
 
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -31,8 +31,8 @@
 test('an RPC without an entry cannot be served, nor served twice', async (t) => {
   const s = await smallFleet(5);
   const k = s.relays[0]!.kernel!;
-  t.throws(() => k.on('Unheard' as PeerRpc, () => true), { message: /not in the table/ });
-  t.throws(() => k.on('Ping', () => true), { message: /served already/ });
+  t.throws(() => k.on('Unheard' as PeerRpc, () => true), { message: /not declared in PEER_RPCS/ });
+  t.throws(() => k.on('Ping', () => true), { message: /already has a handler/ });
 });
 
 test('whoever resends refuses what may not be repeated', async (t) => {
--- a/packages/trial/src/test/model-calls.test.ts
+++ b/packages/trial/src/test/model-calls.test.ts
@@ -1,4 +1,4 @@
-import { AcceptedConnection, AcceptedConnections, PeerLink, PING } from '@harecross/kernel';
+import { AcceptedConnection, AcceptedConnections, PeerLink, CONTROL_ID } from '@harecross/kernel';
 import test from 'ava';
 import { CALLS_PLAN, playCalls, type CallsPlan } from '../model-calls.js';
 
@@ -9,13 +9,13 @@
 interface Internals {
   nextId: number;
   lastId: number;
-  known: boolean;
+  helloAnswered: boolean;
   peerInstance: string | undefined;
   sent: Map<number, Call>;
   unsent: Call[];
   socket: unknown;
   flush(): void;
-  end(call: Call, how: string): void;
+  settle(call: Call, outcome: string): void;
 }
 interface Call {
   id: number;
@@ -61,7 +61,7 @@
     patches: [
       [
         PeerLink.prototype,
-        'giveUp',
+        'onTimeout',
         (old) =>
           function (...args) {
             const { id } = args[0] as unknown as Call;
@@ -72,10 +72,10 @@
       ],
       [
         AcceptedConnection.prototype,
-        'line',
+        'onLine',
         (old) =>
           function (...args) {
-            this.lastId = PING;
+            this.lastId = CONTROL_ID;
             return call(old, this, args);
           },
       ],
@@ -87,15 +87,15 @@
     patches: [
       [
         PeerLink.prototype,
-        'line',
+        'onLine',
         (old) =>
           function (...args) {
             const line = String(args[0]);
             const id = Number(line.slice(0, line.indexOf(' ')));
             const [oldest] = this.sent.values();
-            if (id === PING || this.sent.has(id) || !oldest) return call(old, this, args);
+            if (id === CONTROL_ID || this.sent.has(id) || !oldest) return call(old, this, args);
             this.sent.delete(oldest.id);
-            this.end(oldest, line.slice(line.indexOf(' ') + 1));
+            this.settle(oldest, line.slice(line.indexOf(' ') + 1));
             return true;
           },
       ],
@@ -117,7 +117,7 @@
       ],
       [
         PeerLink.prototype,
-        'lost',
+        'onDisconnect',
         (old) =>
           function (...args) {
             if (this.socket === args[0]) {
@@ -139,7 +139,7 @@
         (old) =>
           function (...args) {
             const out = call(old, this, args);
-            this.known = true;
+            this.helloAnswered = true;
             return out;
           },
       ],
@@ -148,7 +148,7 @@
   {
     what: 'an earlier connection of the same caller is served on beside the later one',
     finds: /a later one had replaced/,
-    patches: [[AcceptedConnections.prototype, 'met', () => () => undefined]],
+    patches: [[AcceptedConnections.prototype, 'closeSuperseded', () => () => undefined]],
   },
   {
     what: 'a call that was written is said never to have been sent',
@@ -156,7 +156,7 @@
     patches: [
       [
         PeerLink.prototype,
-        'end',
+        'settle',
         (old) =>
           function (...args) {
             const how = args[1] as unknown as string | { tag: string };
--- a/packages/trial/src/test/peer-net.test.ts
+++ b/packages/trial/src/test/peer-net.test.ts
@@ -7,7 +7,7 @@
   type ErrorDetails,
   type Net,
   type NetEvents,
-  type PeerNetBounds,
+  type TransportLimits,
 } from '@harecross/kernel';
 import test, { type ExecutionContext } from 'ava';
 import { freePorts } from '../fleet.js';
@@ -44,7 +44,7 @@
 async function node(
   t: ExecutionContext,
   handle: (f: string) => Promise<string>,
-  bounds: Partial<PeerNetBounds> = {},
+  bounds: Partial<TransportLimits> = {},
   at?: string,
 ): Promise<Node> {
   // A port that the OS called free may be another process's by now: then the next one.
@@ -222,7 +222,7 @@
 });
 
 test('frames beyond the bound: too_large at once there, a cut for an answer, and the end for a stranger', async (t) => {
-  const bounds = { frameBytes: 1_000 };
+  const bounds = { maxFrameBytes: 1_000 };
   const seen: number[] = [];
   const b = await node(
     t,
@@ -234,7 +234,7 @@
   );
   const a = await node(t, echo, bounds);
   t.like(await fault(a.net.call(b.at, 'é'.repeat(501), LONG)), { tag: 'too_large', limit: 1_000 });
-  t.like(await fault(a.net.call(b.at, 'much', LONG)), { tag: 'cut', detail: 'its answer is too large' });
+  t.like(await fault(a.net.call(b.at, 'much', LONG)), { tag: 'cut', detail: 'answer exceeds the frame size limit' });
   t.is((await a.net.call(b.at, 'x'.repeat(1_000), LONG)).length, 1_000);
   const s = caller(b.at);
   s.write(`harecross-peer/1\n1 ${'z'.repeat(1_100)}`);
@@ -242,7 +242,7 @@
   t.deepEqual(seen, [4, 1_000]);
   // An answer that is longer than any frame.
   const p = await raw(t, (c) => c.on('data', () => c.write(`1 ${'z'.repeat(1_100)}`)));
-  t.like(await fault(a.net.call(p.at, 'x', LONG)), { tag: 'cut', detail: 'not a line of a peer' });
+  t.like(await fault(a.net.call(p.at, 'x', LONG)), { tag: 'cut', detail: 'malformed line' });
 });
 
 test('a large frame goes piece by piece and arrives whole, and small ones behind it in order', async (t) => {
@@ -290,7 +290,7 @@
   t.deepEqual(seen, ['1', 'not a frame', '2']);
   for (const x of ['what\n', 'HTTP/1.1 400 Bad Request\r\n\r\n', '99 never asked\n']) {
     const p = await raw(t, (s) => s.on('data', () => s.write(x)));
-    t.like(await fault(a.net.call(p.at, 'x', LONG)), { tag: 'cut', detail: 'not a line of a peer' });
+    t.like(await fault(a.net.call(p.at, 'x', LONG)), { tag: 'cut', detail: 'malformed line' });
   }
 });
 
@@ -305,7 +305,7 @@
   const p = await raw(t, (s) => {
     s.pause();
   });
-  const a = await node(t, echo, { waitingBytes: 8_000_000, quietMs: LONG });
+  const a = await node(t, echo, { pendingBytesLimit: 8_000_000, quietMs: LONG });
   const frame = 'x'.repeat(100_000);
   const calls = Array.from({ length: 300 }, () => fault(a.net.call(p.at, frame, LONG)));
   const f = await Promise.race(calls);
@@ -324,7 +324,7 @@
       n++;
       return 'y'.repeat(100_000);
     },
-    { waitingBytes: 30_000_000 },
+    { pendingBytesLimit: 30_000_000 },
   );
   const s = caller(b.at);
   s.pause();
@@ -412,8 +412,8 @@
   t.is(await a.net.call(b.at, 'last words', LONG), '<last words>');
   const last = fault(a.net.call(b.at, 'bye', LONG));
   await a.net.close();
-  t.like(await under, { tag: 'cut', detail: 'closed by us' });
-  t.like(await last, { tag: 'cut', detail: 'closed by us' });
+  t.like(await under, { tag: 'cut', detail: 'closed locally' });
+  t.like(await last, { tag: 'cut', detail: 'closed locally' });
   t.is(await tag(a.net.call(b.at, 'after', LONG)), 'cut');
   await b.net.close();
   t.deepEqual(seen, ['held', 'last words', 'bye']);
@@ -443,7 +443,7 @@
   });
   const a = await node(t, echo);
   t.is(await tag(a.net.call(p.at, 'die', LONG)), 'cut');
-  t.like(await fault(a.net.call(p.at, 'ask', LONG)), { tag: 'cut', detail: 'not a line of a peer' });
+  t.like(await fault(a.net.call(p.at, 'ask', LONG)), { tag: 'cut', detail: 'malformed line' });
   t.is(n, 2);
 });
 
@@ -471,7 +471,7 @@
     setImmediate(() => void fault(a.net.call(p.at, 'behind', LONG)).then(res)),
   );
   t.like(await big, { tag: 'cut' });
-  t.like(await behind, { tag: 'unreachable', detail: 'another process is at its address' });
+  t.like(await behind, { tag: 'unreachable', detail: 'the address now belongs to another process' });
   t.is(await a.net.call(p.at, 'anew', LONG), 'anew');
   t.deepEqual(seen, ['process-1 first', 'process-2 anew']);
 });
