--- a/packages/trial/src/actors.ts
+++ b/packages/trial/src/actors.ts
@@ -4,8 +4,8 @@
 import type { Journal } from './journal.js';
 
 /**
- * A connection on which several visits may be on their way: when the last of them arrives, and those that arrived and
- * were not read. Answers come back in the order in which they were given.
+ * A client connection with several requests in flight: the arrival time of the last request, and the requests that have arrived
+ * but are not yet read. Responses arrive in the order in which they were sent.
  */
 export interface Line {
   name: string;
@@ -13,9 +13,12 @@
   waiting: (() => void)[];
 }
 
-/** The outside's way to a fleet; the simulator's and the real one stand behind it. Nodes are client addresses. */
+/** How clients reach a fleet, simulated or of real processes. Nodes are named by client address. */
 export interface Way {
-  /** With a `line`, visits to one node arrive in the order in which they were made; real ones may not. */
+  /**
+   * Sends a request and returns its response, or undefined if none arrived in time. With a `line`, requests arrive in the order in
+   * which they were sent; a fleet of real processes does not guarantee that.
+   */
   visit(
     node: string,
     method: string,
@@ -23,11 +26,13 @@
     timeoutMs: number,
     line?: Line,
   ): Promise<{ status: number; body: Json } | undefined>;
+  /** Opens a stream of frames; returns a function that closes it. */
   attach(node: string, body: unknown, onFrame: (f: Frame) => void, onEnd: () => void): () => void;
-  /** What a platform knows: nodes that take conns and call themselves well, in a domain or anywhere. */
+  /** Relays that accept connections and pass their health check, as a load balancer knows them; of one domain or of all. */
   nodes(domain?: string): string[];
 }
 
+/** What every simulated client needs. */
 export interface World {
   clock: Clock;
   random: RandomSource;
@@ -35,37 +40,41 @@
   journal: Journal;
 }
 
-/** Every try to publish has a number of its own. */
-let tries = 0;
+/** Number of the last publish attempt; every attempt of a run has its own. */
+let attempts = 0;
 
-const pick = (w: World, domain?: string): string | undefined => {
-  const near = w.way.nodes(domain);
-  return randomSample(w.random, near.length ? near : w.way.nodes(), 1)[0];
+/** A random node of the domain, or of any domain if that has none. */
+const pickNode = (context: World, domain?: string): string | undefined => {
+  const local = context.way.nodes(domain);
+  return randomSample(context.random, local.length ? local : context.way.nodes(), 1)[0];
 };
 
 /**
- * A consumer: attaches, subscribes from where it left off, probes every two seconds, drops off often.
+ * A simulated consumer: attaches, resumes its subscriptions from its cursors, probes every two seconds by default, and reconnects
+ * whenever its stream ends.
  * @example
- * const c = new Consumer(world, 'phone-7', 'kaolack', ['feed/7']); c.start();
+ * const c = new Consumer(context, 'phone-7', 'kaolack', ['feed/7']); c.start();
  */
 export class Consumer {
   private cursors = new Map<string, number>();
   private conn?: string;
   private node?: string;
-  private closeNow?: () => void;
-  /** Cuts the conn without a word to the other side. */
-  private forgetNow?: () => void;
+  private closeConnection?: () => void;
+  /** Abandons the connection without closing it. */
+  private abandonConnection?: () => void;
   private pingMs = 0;
-  /** Frames that came on the present stream. */
-  private got = 0;
+  /** Frames received on the current stream. */
+  private receivedFrames = 0;
   private running = false;
-  private life = 0;
-  private runs = 0;
-  /** Topics wanted now. */
+  /** Incremented at each start and end of a connection, so that work for an earlier one stops. */
+  private connectionGeneration = 0;
+  /** Incremented at each start, so that the loop of an earlier start stops. */
+  private startGeneration = 0;
+  /** Topics to be subscribed to. */
   readonly want: Set<string>;
 
   constructor(
-    private w: World,
+    private context: World,
     readonly name: string,
     public domain: string,
     topics: string[],
@@ -74,58 +83,59 @@
     this.want = new Set(topics);
   }
 
-  /** Begins behind these offsets. */
+  /** Sets the cursors to start from: messages after these offsets are delivered. */
   from(cursors: Map<string, number>): this {
-    for (const [t, c] of cursors) this.cursors.set(t, c);
+    for (const [topic, cursor] of cursors) this.cursors.set(topic, cursor);
     return this;
   }
 
   start(): void {
     if (this.running) return;
     this.running = true;
-    void this.live();
+    void this.run();
   }
   stop(): void {
     this.running = false;
     this.drop('stop');
   }
-  /** The conn breaks; the consumer comes back by itself. */
+  /** Ends the connection; the consumer reconnects by itself. */
   drop(why = 'drop'): void {
     this.end(why);
   }
-  /** The phone is gone without closing anything: no check-ins, nothing read, the other side is told nothing. */
+  /** Stops without closing the connection: no more probes, nothing read, and the node is not notified. */
   vanish(): void {
     this.running = false;
-    const f = this.forgetNow;
-    this.closeNow = undefined;
+    const abandon = this.abandonConnection;
+    this.closeConnection = undefined;
     this.end('vanished');
-    f?.();
+    abandon?.();
   }
-  /** Drops off and stays away for a while. */
+  /** Disconnects and starts again after `ms`. */
   async away(ms: number): Promise<void> {
     this.running = false;
     this.drop('away');
-    await sleep(this.w.clock, ms);
+    await sleep(this.context.clock, ms);
     this.start();
   }
 
+  /** Unsubscribes and does not subscribe again. */
   async unsubscribe(topic: string): Promise<void> {
     this.want.delete(topic);
     const conn = this.conn;
     if (!conn) return;
-    const r = await this.w.way.visit(this.node!, 'Unsubscribe', { conn, topic }, 2_000);
-    if (r?.status === 200) this.w.journal.add({ k: 'unsub.ok', consumer: this.name, conn, topic });
+    const r = await this.context.way.visit(this.node!, 'Unsubscribe', { conn, topic }, 2_000);
+    if (r?.status === 200) this.context.journal.add({ k: 'unsub.ok', consumer: this.name, conn, topic });
   }
 
-  /** Wants a topic again, from where it left off. */
+  /** Subscribes to a topic again, from its cursor. */
   again(topic: string): void {
     this.want.add(topic);
-    if (this.conn) void this.subscribe(this.conn, topic, this.life, this.node!);
+    if (this.conn) void this.subscribe(this.conn, topic, this.connectionGeneration, this.node!);
   }
 
   private end(why: string, retryMs?: number): void {
     if (this.conn)
-      this.w.journal.add({
+      this.context.journal.add({
         k: 'conn.end',
         consumer: this.name,
         conn: this.conn,
@@ -133,55 +143,55 @@
         ...(retryMs === undefined ? {} : { retryMs }),
       });
     this.conn = undefined;
-    const c = this.closeNow;
-    this.closeNow = undefined;
-    this.life++;
-    c?.();
+    const close = this.closeConnection;
+    this.closeConnection = undefined;
+    this.connectionGeneration++;
+    close?.();
   }
 
-  private async live(): Promise<void> {
-    const { clock, random } = this.w;
-    const me = ++this.runs;
-    let wait = (this.opts.jitterMs ?? 300) * random.next();
+  private async run(): Promise<void> {
+    const { clock, random } = this.context;
+    const generation = ++this.startGeneration;
+    let waitMs = (this.opts.jitterMs ?? 300) * random.next();
     while (this.running) {
-      await sleep(clock, wait);
-      if (!this.running || this.runs !== me) return;
-      const node = pick(this.w, this.domain);
+      await sleep(clock, waitMs);
+      if (!this.running || this.startGeneration !== generation) return;
+      const node = pickNode(this.context, this.domain);
       if (!node) {
-        wait = 300 + 300 * random.next();
+        waitMs = 300 + 300 * random.next();
         continue;
       }
-      wait = await this.one(node);
-      if (!this.running || this.runs !== me) return;
+      waitMs = await this.connect(node);
+      if (!this.running || this.startGeneration !== generation) return;
     }
   }
 
-  /** One conn's life; gives the time to wait before the next. */
-  private one(node: string): Promise<number> {
-    const { random, way, clock, journal } = this.w;
+  /** Opens a connection and waits for its end; returns the delay before the next attempt. */
+  private connect(node: string): Promise<number> {
+    const { random, way: transport, clock, journal } = this.context;
     return new Promise((res) => {
       this.end('superseded');
-      const life = ++this.life;
-      this.got = 0;
-      let hint = 100 + 400 * random.next();
-      const over = (why: string, retryMs?: number): void => {
-        if (this.life === life) this.end(why, retryMs);
-        res(hint);
+      const generation = ++this.connectionGeneration;
+      this.receivedFrames = 0;
+      let retryDelayMs = 100 + 400 * random.next();
+      const finish = (why: string, retryMs?: number): void => {
+        if (this.connectionGeneration === generation) this.end(why, retryMs);
+        res(retryDelayMs);
       };
       this.node = node;
       let attached = false;
       const cancel = clock.after(3_000, () => {
         if (!attached) {
           close();
-          over('no answer');
+          finish('no answer');
         }
       });
-      const close = way.attach(
+      const close = transport.attach(
         node,
         { consumer: this.name, pingS: this.opts.pingS ?? 2 },
         (f) => {
-          if (this.life !== life) return;
-          this.got++;
+          if (this.connectionGeneration !== generation) return;
+          this.receivedFrames++;
           switch (f.t) {
             case 'ATTACHED':
               attached = true;
@@ -189,8 +199,8 @@
               this.conn = f.conn;
               this.pingMs = f.pingS * 1000;
               journal.add({ k: 'conn.open', consumer: this.name, conn: f.conn, node, domain: this.domain });
-              void this.probes(f.conn, life, node);
-              for (const t of this.want) void this.subscribe(f.conn, t, life, node);
+              void this.probeLoop(f.conn, generation, node);
+              for (const t of this.want) void this.subscribe(f.conn, t, generation, node);
               break;
             case 'DELIVER':
               journal.add({
@@ -217,78 +227,79 @@
                 cursor: this.cursors.get(f.topic),
               });
               if (f.reason === 'cursor_expired' || f.reason === 'topic_removed') this.cursors.delete(f.topic);
-              if (f.reason === 'cursor_expired') void this.subscribe(this.conn!, f.topic, life, node);
+              if (f.reason === 'cursor_expired') void this.subscribe(this.conn!, f.topic, generation, node);
               if (f.reason === 'topic_removed')
-                void sleep(clock, 1_500).then(() => this.subscribe(this.conn!, f.topic, life, node));
+                void sleep(clock, 1_500).then(() => this.subscribe(this.conn!, f.topic, generation, node));
               break;
             case 'GOAWAY':
-              hint = f.retryAfterMs;
-              // Some clients go on with an open connection for as long as there is one.
+              retryDelayMs = f.retryAfterMs;
+              // Some clients keep using the connection after a GOAWAY until it is closed.
               if (this.opts.staysUntilEnd) break;
               close();
-              over('goaway', f.retryAfterMs);
+              finish('goaway', f.retryAfterMs);
               break;
             case 'CLOSED':
-              hint = f.retryAfterMs;
+              retryDelayMs = f.retryAfterMs;
               close();
-              over(f.reason, f.retryAfterMs);
+              finish(f.reason, f.retryAfterMs);
               break;
           }
         },
         () => {
           cancel();
-          over('reset');
+          finish('reset');
         },
       );
-      this.closeNow = () => {
+      this.closeConnection = () => {
         cancel();
         close();
-        res(hint);
+        res(retryDelayMs);
       };
-      this.forgetNow = () => {
+      this.abandonConnection = () => {
         cancel();
-        res(hint);
+        res(retryDelayMs);
       };
     });
   }
 
-  /** The platform puts each TCP connection where it likes: mostly the same node, now and then another. */
-  private nodeFor(node: string): string {
-    return this.w.random.next() < 0.3 ? (pick(this.w, this.domain) ?? node) : node;
+  /** Load balancers may route each TCP connection to another node: 30 % of the requests go to a random one. */
+  private routeRequest(node: string): string {
+    return this.context.random.next() < 0.3 ? (pickNode(this.context, this.domain) ?? node) : node;
   }
 
-  private async probes(conn: string, life: number, node: string): Promise<void> {
-    const { clock, random, way } = this.w;
-    let behind: number | undefined;
-    while (this.life === life) {
+  private async probeLoop(conn: string, generation: number, node: string): Promise<void> {
+    const { clock, random, way: transport } = this.context;
+    let expectedFrames: number | undefined;
+    while (this.connectionGeneration === generation) {
       await sleep(clock, this.pingMs * (0.9 + 0.2 * random.next()));
-      if (this.life !== life) return;
+      if (this.connectionGeneration !== generation) return;
       const asked = clock.now();
-      const r = await way.visit(this.nodeFor(node), 'Probe', { conn }, 2_000);
-      if (r?.status !== 200) this.w.journal.add({ k: 'probe.lost', consumer: this.name, conn, asked });
-      if (this.life !== life) return;
+      const r = await transport.visit(this.routeRequest(node), 'Probe', { conn }, 2_000);
+      if (r?.status !== 200) this.context.journal.add({ k: 'probe.lost', consumer: this.name, conn, asked });
+      if (this.connectionGeneration !== generation) return;
       if (r?.status === 410) this.end('unknown_conn');
-      // Frames were given to the stream before the last check-in and have not come since: the stream is dead.
-      if (behind !== undefined && this.got < behind) {
+      // The node had sent frames before the last probe that still have not arrived: the stream is half-open.
+      if (expectedFrames !== undefined && this.receivedFrames < expectedFrames) {
         this.end('dead stream');
         return;
       }
-      if (r?.status === 200) behind = r.body.sent > this.got ? r.body.sent : undefined;
+      if (r?.status === 200) expectedFrames = r.body.sent > this.receivedFrames ? r.body.sent : undefined;
     }
   }
 
-  async subscribe(conn: string, topic: string, life: number, node: string): Promise<void> {
-    const { clock, random, way, journal } = this.w;
-    for (let i = 0; this.life === life && this.want.has(topic); i++) {
+  /** Subscribes on a connection, with retries until it succeeds, the connection ends, or the topic is no longer wanted. */
+  async subscribe(conn: string, topic: string, generation: number, node: string): Promise<void> {
+    const { clock, random, way: transport, journal } = this.context;
+    for (let i = 0; this.connectionGeneration === generation && this.want.has(topic); i++) {
       const cursor = this.cursors.get(topic);
       journal.add({ k: 'sub.ask', consumer: this.name, conn, topic, cursor });
-      const r = await way.visit(
-        this.nodeFor(node),
+      const r = await transport.visit(
+        this.routeRequest(node),
         'Subscribe',
         { conn, topic, ...(cursor === undefined ? {} : { cursor }) },
         8_000,
       );
-      if (this.life !== life) return;
+      if (this.connectionGeneration !== generation) return;
       if (r?.status === 200) {
         journal.add({ k: 'sub.ok', consumer: this.name, conn, topic, sub: r.body.sub, cursor, next: r.body.next });
         if (cursor === undefined && !this.cursors.has(topic)) this.cursors.set(topic, r.body.next - 1);
@@ -307,16 +318,16 @@
 }
 
 /**
- * A sender: one message at a time per topic, the same seq again until it is told or gives up.
+ * A sender with one message in flight per topic. Retries with the same sequence number until it has a final answer or gives up.
  * @example
- * new Sender(world, 'desk', 'kaolack', ['warn/1'], 500).start();
+ * new Sender(context, 'desk', 'kaolack', ['warn/1'], 500).start();
  */
 export class Sender {
   private seqs = new Map<string, number>();
   private busy = new Set<string>();
   private running = false;
   constructor(
-    private w: World,
+    private context: World,
     readonly name: string,
     public domain: string,
     private topics: string[],
@@ -326,14 +337,14 @@
 
   start(): void {
     this.running = true;
-    void this.live();
+    void this.run();
   }
   stop(): void {
     this.running = false;
   }
 
-  private async live(): Promise<void> {
-    const { clock, random } = this.w;
+  private async run(): Promise<void> {
+    const { clock, random } = this.context;
     await sleep(clock, this.everyMs * random.next());
     while (this.running) {
       const topic = this.topics[Math.floor(random.next() * this.topics.length)]!;
@@ -345,7 +356,7 @@
   async publish(topic: string): Promise<void> {
     if (this.busy.has(topic)) return;
     this.busy.add(topic);
-    const { clock, random, way, journal } = this.w;
+    const { clock, random, way: transport, journal } = this.context;
     const seq = (this.seqs.get(topic) ?? 0) + 1;
     this.seqs.set(topic, seq);
     const body = `${this.name}:${topic}:${seq}:${Math.floor(random.next() * 1e6)}`.padEnd(
@@ -354,35 +365,38 @@
     );
     try {
       for (let i = 0; i < (this.opts.triesN ?? 6); i++) {
-        const node = pick(this.w, this.domain);
+        const node = pickNode(this.context, this.domain);
         if (!node) {
           await sleep(clock, 400);
           continue;
         }
-        const n = ++tries;
-        journal.add({ k: 'pub.try', try: n, sender: this.name, topic, seq, body, node, domain: this.domain });
-        const r = await way.visit(node, 'Publish', { sender: this.name, topic, seq, body }, 5_000);
+        const attempt = ++attempts;
+        journal.add({ k: 'pub.try', try: attempt, sender: this.name, topic, seq, body, node, domain: this.domain });
+        const r = await transport.visit(node, 'Publish', { sender: this.name, topic, seq, body }, 5_000);
         const retryMs: number | undefined = r?.body?.rejected?.retryAfterMs ?? r?.body?.error?.retryAfterMs;
-        const say = (out: 'accepted' | 'rejected' | 'unknown', x: { offset?: number; tag?: string } = {}): void =>
+        const record = (
+          out: 'accepted' | 'rejected' | 'unknown',
+          details: { offset?: number; tag?: string } = {},
+        ): void =>
           journal.add({
             k: 'pub.answer',
-            try: n,
+            try: attempt,
             sender: this.name,
             topic,
             seq,
             out,
             node,
-            ...x,
+            ...details,
             ...(r ? { status: r.status } : {}),
             ...(retryMs === undefined ? {} : { retryMs }),
           });
         if (r?.status === 200 && r.body.accepted) {
-          say('accepted', { offset: r.body.accepted.offset });
+          record('accepted', { offset: r.body.accepted.offset });
           if (random.next() < (this.opts.repeats ?? 0)) void this.repeat(topic, seq, body);
           return;
         }
         if (r?.body?.rejected) {
-          say('rejected', { tag: r.body.rejected.reason });
+          record('rejected', { tag: r.body.rejected.reason });
           if (r.body.rejected.reason === 'stale_seq') return;
           await sleep(clock, r.body.rejected.retryAfterMs);
           continue;
@@ -392,10 +406,10 @@
           case 'unknown_topic':
           case 'too_large':
           case 'bad_visit':
-            say('rejected', { tag });
+            record('rejected', { tag });
             return;
           default:
-            say('unknown', { tag });
+            record('unknown', { tag });
             await sleep(clock, r?.body?.error?.retryAfterMs ?? 300 + 300 * random.next());
         }
       }
@@ -407,37 +421,36 @@
   }
 
   /**
-   * Sends an accepted number once more, while later ones are on their way, at any node: an answer may have got lost to
-   * others.
+   * Publishes an accepted message again, through any node, while later ones are in flight: as a client does whose response was lost.
    */
   private async repeat(topic: string, seq: number, body: string): Promise<void> {
-    const { clock, random } = this.w;
+    const { clock, random } = this.context;
     await sleep(clock, 9_000 * random.next());
-    const node = this.running ? pick(this.w) : undefined;
-    if (node) await publishOnce(this.w, { sender: this.name, topic, seq, body, node, domain: this.domain });
+    const node = this.running ? pickNode(this.context) : undefined;
+    if (node) await publishOnce(this.context, { sender: this.name, topic, seq, body, node, domain: this.domain });
   }
 }
 
-type Told = { out: 'accepted' | 'rejected' | 'unknown'; tag: string; answered: boolean };
-/** One try to publish, written down. */
+type PublishResult = { out: 'accepted' | 'rejected' | 'unknown'; tag: string; answered: boolean };
+/** Makes one publish attempt and records it in the journal. */
 async function publishOnce(
-  w: World,
-  p: { sender: string; topic: string; seq: number; body: string; node: string; domain: string; line?: string },
+  context: World,
+  publish: { sender: string; topic: string; seq: number; body: string; node: string; domain: string; line?: string },
   line?: Line,
-): Promise<Told> {
-  const n = ++tries;
-  const { sender, topic, seq, body, node } = p;
-  w.journal.add({ k: 'pub.try', try: n, ...p });
-  const r = await w.way.visit(node, 'Publish', { sender, topic, seq, body }, 5_000, line);
+): Promise<PublishResult> {
+  const attempt = ++attempts;
+  const { sender, topic, seq, body, node } = publish;
+  context.journal.add({ k: 'pub.try', try: attempt, ...publish });
+  const r = await context.way.visit(node, 'Publish', { sender, topic, seq, body }, 5_000, line);
   const retryMs: number | undefined = r?.body?.rejected?.retryAfterMs ?? r?.body?.error?.retryAfterMs;
   const offset: number | undefined = r?.body?.accepted?.offset;
   const tag: string = offset !== undefined ? '' : (r?.body?.rejected?.reason ?? r?.body?.error?.tag ?? 'no answer');
   const refused = r?.body?.rejected || ['unknown_topic', 'too_large', 'bad_visit'].includes(tag);
   let out: 'accepted' | 'rejected' | 'unknown' = refused ? 'rejected' : 'unknown';
   if (offset !== undefined) out = 'accepted';
-  w.journal.add({
+  context.journal.add({
     k: 'pub.answer',
-    try: n,
+    try: attempt,
     sender,
     topic,
     seq,
@@ -451,115 +464,129 @@
 }
 
 /**
- * A sender with up to eight publishes on the way at once on one topic, on one connection. What was given up it sends
- * again, in order and before anything new; when the connection breaks it takes another, elsewhere.
+ * A sender with up to eight publishes in flight on one topic, over one connection. Unanswered publishes are sent again, in order
+ * and before new ones; when the connection breaks, it opens another to a random node.
  * @example
- * new Pipeliner(world, 'pipe', 'kaolack', 'warn/1', 80).start();
+ * new PipelinedSender(context, 'pipe', 'kaolack', 'warn/1', 80).start();
  */
 export class Pipeliner {
   private seq = 0;
   private running = false;
-  /** Numbers without a final answer, in order; `again` when they must be sent anew. */
+  /** Publishes without a final answer, in order of sequence number; `again` marks those to be sent again. */
   private open = new Map<number, { body: string; again: boolean; tries: number }>();
   private node?: string;
   private line: Line;
   private lines = 0;
   constructor(
-    private w: World,
+    private context: World,
     readonly name: string,
     public domain: string,
     readonly topic: string,
     private everyMs: number,
-    private windowN = 8,
+    private maxInFlight = 8,
   ) {
-    this.line = this.connection();
+    this.line = this.newConnection();
   }
-  private connection(): Line {
+  private newConnection(): Line {
     return { name: `${this.name}/${++this.lines}`, at: 0, waiting: [] };
   }
 
   start(): void {
     if (this.running) return;
     this.running = true;
-    void this.live();
+    void this.run();
   }
   stop(): void {
     this.running = false;
   }
 
-  private async live(): Promise<void> {
-    const { clock, random } = this.w;
+  private async run(): Promise<void> {
+    const { clock, random } = this.context;
     while (this.running) {
       await sleep(clock, this.everyMs * (0.2 + 1.6 * random.next()));
-      this.node ??= pick(this.w, this.domain);
+      this.node ??= pickNode(this.context, this.domain);
       if (!this.node) continue;
-      const again = [...this.open].filter(([, x]) => x.again);
-      if (again.length) {
-        for (const [seq] of again) void this.send(seq);
+      const toResend = [...this.open].filter(([, x]) => x.again);
+      if (toResend.length) {
+        for (const [seq] of toResend) void this.send(seq);
         continue;
       }
-      // Now and then several at once.
-      for (let n = random.next() < 0.3 ? 5 : 1; n > 0 && this.open.size < this.windowN; n--) {
+      // 30 % of the time, up to five at once.
+      for (let n = random.next() < 0.3 ? 5 : 1; n > 0 && this.open.size < this.maxInFlight; n--) {
         const seq = ++this.seq;
-        this.open.set(seq, { body: `${this.name}:${seq}:${Math.floor(random.next() * 1e6)}`, again: false, tries: 0 });
+        this.open.set(seq, {
+          body: `${this.name}:${seq}:${Math.floor(random.next() * 1e6)}`,
+          again: false,
+          tries: 0,
+        });
         void this.send(seq);
       }
     }
   }
 
   private async send(seq: number): Promise<void> {
-    const x = this.open.get(seq)!;
-    x.again = false;
-    x.tries++;
+    const entry = this.open.get(seq)!;
+    entry.again = false;
+    entry.tries++;
     const { node, line } = this;
-    const told = await publishOnce(
-      this.w,
-      { sender: this.name, topic: this.topic, seq, body: x.body, node: node!, domain: this.domain, line: line.name },
+    const result = await publishOnce(
+      this.context,
+      {
+        sender: this.name,
+        topic: this.topic,
+        seq,
+        body: entry.body,
+        node: node!,
+        domain: this.domain,
+        line: line.name,
+      },
       line,
     );
     if (
-      told.out === 'accepted' ||
-      ['stale_seq', 'unknown_topic', 'too_large', 'bad_visit'].includes(told.tag) ||
-      x.tries >= 20
+      result.out === 'accepted' ||
+      ['stale_seq', 'unknown_topic', 'too_large', 'bad_visit'].includes(result.tag) ||
+      entry.tries >= 20
     ) {
       this.open.delete(seq);
       return;
     }
-    if (this.open.get(seq) === x) x.again = true;
-    if (told.answered || this.line !== line) return;
-    // The connection broke: all that was on it is sent again on another.
-    this.line = this.connection();
+    if (this.open.get(seq) === entry) entry.again = true;
+    if (result.answered || this.line !== line) return;
+    // The connection broke: everything pending is sent again on another one.
+    this.line = this.newConnection();
     this.node = undefined;
-    for (const y of this.open.values()) y.again = true;
+    for (const unanswered of this.open.values()) unanswered.again = true;
   }
 }
 
 /**
- * An operator: sends whole configurations, the same changeId until answered; reads back; looks at nodes.
+ * A simulated operator: submits whole configurations, each with one changeId until it is answered, reads them back, and queries
+ * the status of nodes.
  * @example
- * await new Operator(world, 'op').submit('c1', config, true);
+ * await new Operator(context, 'op').submit('c1', config, true);
  */
 export class Operator {
   constructor(
-    private w: World,
+    private context: World,
     private name: string,
   ) {}
 
+  /** Submits a configuration, through any node, until it is taken or refused, at most 25 times. */
   async submit(
     changeId: string,
     config: unknown,
     valid: boolean,
     expect?: number,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, way: transport, random } = this.context;
     for (let i = 0; i < 25; i++) {
-      const node = randomSample(random, way.nodes(), 1)[0];
+      const node = randomSample(random, transport.nodes(), 1)[0];
       if (!node) {
         await sleep(clock, 400);
         continue;
       }
       journal.add({ k: 'cfg.submit', changeId, expect, config, valid });
-      const r = await way.visit(
+      const r = await transport.visit(
         node,
         'SubmitConfig',
         { changeId, config, ...(expect === undefined ? {} : { expect }) },
@@ -585,8 +612,8 @@
   }
 
   /**
-   * Sends a configuration with a revision, the same one to any node until it has a clear answer; a second of silence is
-   * none. Callers of this kind may be several: the highest revision holds.
+   * Submits a configuration with a revision number, through any node, until it has a definite answer; each attempt times out after
+   * 1 s. Several operators may do so at once: the highest revision takes effect.
    */
   async revise(
     revision: number,
@@ -594,17 +621,17 @@
     valid: boolean,
     document: unknown,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, way: transport, random } = this.context;
     const changeId = `revision-${revision}`;
     for (let i = 0; i < 60; i++) {
-      const node = randomSample(random, way.nodes(), 1)[0];
+      const node = randomSample(random, transport.nodes(), 1)[0];
       if (!node) {
         await sleep(clock, 400);
         continue;
       }
       const asked = clock.now();
       journal.add({ k: 'cfg.submit', changeId, revision, document, config, valid });
-      const r = await way.visit(node, 'SubmitConfig', { revision, document, config }, 1_000);
+      const r = await transport.visit(node, 'SubmitConfig', { revision, document, config }, 1_000);
       if (r?.status === 200) {
         const out = r.body.revision === revision ? ('taken' as const) : ('overtaken' as const);
         journal.add({ k: 'cfg.answer', changeId, out, version: r.body.version, revision: r.body.revision, asked });
@@ -620,12 +647,13 @@
     return { out: 'unanswered' };
   }
 
+  /** Reads the configuration in effect, through any node; returns its version. */
   async read(last = false): Promise<number | undefined> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, way: transport, random } = this.context;
     for (let i = 0; i < 20; i++) {
-      const node = randomSample(random, way.nodes(), 1)[0];
+      const node = randomSample(random, transport.nodes(), 1)[0];
       const asked = clock.now();
-      const r = node ? await way.visit(node, 'ReadConfig', {}, 8_000) : undefined;
+      const r = node ? await transport.visit(node, 'ReadConfig', {}, 8_000) : undefined;
       if (r?.status === 200) {
         journal.add({
           k: 'cfg.read',
@@ -643,9 +671,9 @@
     return undefined;
   }
 
-  /** Plans moves on top of a configuration that is in force. */
+  /** Plans moves (scheduled maintenance of machines) on top of the configuration in effect. */
   async plan(changeId: string, base: object, moves: object[]): Promise<{ status: number; body: Json }> {
-    const { journal } = this.w;
+    const { journal } = this.context;
     journal.add({ k: 'cfg.submit', changeId, config: { ...base, moves }, valid: true });
     const r = await this.ask('PlanMoves', { changeId, moves });
     journal.add(
@@ -656,25 +684,25 @@
     return r;
   }
 
-  /** Any operator's visit, again until it has an answer that is not 'come back'. */
+  /** Sends an operator request through any node, until it has a response below status 500. */
   async ask(method: string, body: unknown): Promise<{ status: number; body: Json }> {
-    const { clock, way, random } = this.w;
+    const { clock, way: transport, random } = this.context;
     for (let i = 0; i < 30; i++) {
-      const node = randomSample(random, way.nodes(), 1)[0];
-      const r = node ? await way.visit(node, method, body, 9_000) : undefined;
+      const node = randomSample(random, transport.nodes(), 1)[0];
+      const r = node ? await transport.visit(node, method, body, 9_000) : undefined;
       if (r && r.status < 500) return r;
       await sleep(clock, 300);
     }
-    throw new Error(`${method} was never answered`);
+    throw new Error(`${method}: no conclusive response after 30 attempts`);
   }
 
-  /** Asks nodes which version they serve by. */
+  /** Queries the status of nodes, among it the configuration version that each one uses, and records it. */
   async look(nodes: string[]): Promise<void> {
-    const { clock, journal, way } = this.w;
+    const { clock, journal, way: transport } = this.context;
     await Promise.all(
       nodes.map(async (node) => {
         const asked = clock.now();
-        const r = await way.visit(node, 'Node', {}, 3_000);
+        const r = await transport.visit(node, 'Node', {}, 3_000);
         if (r?.status !== 200) {
           journal.add({ k: 'node.silent', asked, node });
           return;
@@ -693,12 +721,13 @@
     );
   }
 
+  /** Queries the number of a topic's listeners and records it. */
   async count(topic: string): Promise<void> {
-    const { clock, journal, way, random } = this.w;
-    const node = randomSample(random, way.nodes(), 1)[0];
+    const { clock, journal, way: transport, random } = this.context;
+    const node = randomSample(random, transport.nodes(), 1)[0];
     if (!node) return;
     const asked = clock.now();
-    const r = await way.visit(node, 'Listeners', { topic }, 3_000);
+    const r = await transport.visit(node, 'Listeners', { topic }, 3_000);
     if (r?.status === 200) journal.add({ k: 'count', asked, topic, count: r.body.count, partial: r.body.partial });
   }
 
@@ -708,18 +737,18 @@
 }
 
 /**
- * Asks every access node, all the time, which of two marker topics is in force there: each marker is in one
- * configuration only.
+ * Continuously checks at each given node which of the two newest marker topics it accepts. Each marker topic exists in one
+ * configuration version only, so that this shows which version the node uses.
  * @example
- * const m = new Marker(world); m.at = 3; m.start(nodes);
+ * const checker = new MarkerChecker(context); checker.at = 3; checker.start(nodes);
  */
 export class Marker {
-  /** The newest marker; the one before is asked for too. */
+  /** Number of the newest marker topic; the one before it is checked too. */
   at = 0;
   private running = false;
   private seq = 0;
   constructor(
-    private w: World,
+    private context: World,
     private everyMs = 50,
   ) {}
 
@@ -735,7 +764,7 @@
   }
 
   private async ask(node: string, by: 'Publish' | 'Subscribe'): Promise<void> {
-    const { clock, way, journal } = this.w;
+    const { clock, way: transport, journal } = this.context;
     let conn = '';
     for (let i = 0; this.running; i++) {
       await sleep(clock, this.everyMs);
@@ -745,19 +774,19 @@
         const asked = clock.now();
         if (by === 'Publish') {
           const seq = ++this.seq;
-          const n = ++tries;
-          const own = { try: n, sender: `marker-${node}`, topic, seq };
-          journal.add({ k: 'pub.try', ...own, body: 'mark', node, domain: '' });
-          const r = await way.visit(node, 'Publish', { sender: own.sender, topic, seq, body: 'mark' }, 4_000);
+          const attempt = ++attempts;
+          const message = { try: attempt, sender: `marker-${node}`, topic, seq };
+          journal.add({ k: 'pub.try', ...message, body: 'mark', node, domain: '' });
+          const r = await transport.visit(node, 'Publish', { sender: message.sender, topic, seq, body: 'mark' }, 4_000);
           const tag: string = r?.body?.error?.tag ?? r?.body?.rejected?.reason ?? 'no answer';
           let out: 'in' | 'out' | undefined = tag === 'unknown_topic' ? 'out' : undefined;
           if (r?.body?.accepted) out = 'in';
           if (out === 'in')
-            journal.add({ k: 'pub.answer', ...own, node, out: 'accepted', offset: r!.body.accepted.offset });
+            journal.add({ k: 'pub.answer', ...message, node, out: 'accepted', offset: r!.body.accepted.offset });
           else
             journal.add({
               k: 'pub.answer',
-              ...own,
+              ...message,
               node,
               out: out === 'out' || r?.body?.rejected ? 'rejected' : 'unknown',
               tag,
@@ -767,7 +796,7 @@
         }
         if (!conn) {
           conn = '-';
-          const close = way.attach(
+          const close = transport.attach(
             node,
             { consumer: `marker-${node}-${++this.seq}`, pingS: 60 },
             (f) => {
@@ -786,58 +815,58 @@
           return;
         }
         if (conn === '-') return;
-        const mine = conn;
-        const r = await way.visit(node, 'Subscribe', { conn: mine, topic }, 4_000);
+        const currentConn = conn;
+        const r = await transport.visit(node, 'Subscribe', { conn: currentConn, topic }, 4_000);
         const tag = r?.body?.error?.tag;
         if (r?.status === 200) {
           journal.add({ k: 'mark', asked, node, mark, by, seen: 'in' });
-          void way.visit(node, 'Unsubscribe', { conn: mine, topic }, 4_000);
+          void transport.visit(node, 'Unsubscribe', { conn: currentConn, topic }, 4_000);
         } else if (tag === 'unknown_topic') journal.add({ k: 'mark', asked, node, mark, by, seen: 'out' });
-        else if (tag === 'unknown_conn' && conn === mine) conn = '';
+        else if (tag === 'unknown_conn' && conn === currentConn) conn = '';
       })();
     }
   }
 }
 
 /**
- * Reads back, with a cursor, every accepted message of the day that is still within memory, on every topic. What it
- * gets is in the journal like any consumer's; the oracle knows what it must get.
+ * Reads back, from cursors on every topic, all accepted messages of the run that are still retained. Deliveries are recorded in
+ * the journal like those of any consumer; the oracle determines which ones are required.
  * @example
- * await audit(world, 'audit-1', config);
+ * await audit(context, 'audit-1', config);
  */
-export async function audit(w: World, name: string, config: FleetConfig, forMs = 8_000): Promise<number> {
-  const { clock, journal } = w;
+export async function audit(context: World, name: string, config: FleetConfig, forMs = 8_000): Promise<number> {
+  const { clock, journal } = context;
   const now = clock.now();
-  const least = new Map<string, number>();
+  const firstOffsets = new Map<string, number>();
   for (const s of journal.seen) {
     if (s.k !== 'pub.answer' || s.out !== 'accepted') continue;
     const f = familyOf(config, s.topic);
-    // What is about to leave memory while the auditor is on its way is left out.
+    // Messages that expire within 3 s, while the audit runs, are left out.
     if (!f || s.t < now - f.memoryS * 1000 + 3_000) continue;
-    least.set(s.topic, Math.min(least.get(s.topic) ?? Infinity, s.offset!));
+    firstOffsets.set(s.topic, Math.min(firstOffsets.get(s.topic) ?? Infinity, s.offset!));
   }
-  const topics = [...least.keys()].sort();
+  const topics = [...firstOffsets.keys()].sort();
   const readers: Consumer[] = [];
   for (let i = 0; i < topics.length; i += 80) {
-    const part = topics.slice(i, i + 80);
-    const cursors = new Map(part.map((t) => [t, least.get(t)! - 1]));
+    const batch = topics.slice(i, i + 80);
+    const cursors = new Map(batch.map((t) => [t, firstOffsets.get(t)! - 1]));
     for (const [topic, cursor] of cursors) journal.add({ k: 'audit', consumer: `${name}-${i / 80}`, topic, cursor });
-    const c = new Consumer(w, `${name}-${i / 80}`, '', part, { jitterMs: 50 }).from(cursors);
+    const c = new Consumer(context, `${name}-${i / 80}`, '', batch, { jitterMs: 50 }).from(cursors);
     readers.push(c);
     c.start();
   }
-  // Done when everything has come; the limit is for what never does.
-  const owed = new Set<string>();
+  // Ends once every expected message has arrived, or after `forMs`.
+  const missing = new Set<string>();
   for (const s of journal.seen) {
-    if (s.k === 'pub.answer' && s.out === 'accepted' && s.offset! >= (least.get(s.topic) ?? Infinity))
-      owed.add(`${s.topic}\n${s.offset}`);
+    if (s.k === 'pub.answer' && s.out === 'accepted' && s.offset! >= (firstOffsets.get(s.topic) ?? Infinity))
+      missing.add(`${s.topic}\n${s.offset}`);
   }
-  let at = journal.seen.length;
-  for (const until = clock.now() + forMs; owed.size && clock.now() < until;) {
+  let nextEvent = journal.seen.length;
+  for (const until = clock.now() + forMs; missing.size && clock.now() < until;) {
     await sleep(clock, 200);
-    for (; at < journal.seen.length; at++) {
-      const s = journal.seen[at]!;
-      if (s.k === 'deliver' && s.consumer.startsWith(name)) owed.delete(`${s.topic}\n${s.offset}`);
+    for (; nextEvent < journal.seen.length; nextEvent++) {
+      const s = journal.seen[nextEvent]!;
+      if (s.k === 'deliver' && s.consumer.startsWith(name)) missing.delete(`${s.topic}\n${s.offset}`);
     }
   }
   for (const c of readers) {
--- a/packages/trial/src/fleet.ts
+++ b/packages/trial/src/fleet.ts
@@ -11,101 +11,110 @@
 import { Link } from './link.js';
 import type { Site } from './scenario.js';
 
-/** A process of the fleet under test, as the runner sees it. */
+/** A node's process and its observed state. */
 export interface Proc {
   name: string;
   role: Role;
   config: NodeConfig;
   file: string;
   child?: ChildProcess;
+  /** Its last health check returned 200. */
   well: boolean;
-  /** Its process has been asked for its condition and has answered: it is beyond its start. */
+  /** It has answered a health check since it was started, with any status. */
   answers?: boolean;
   up: boolean;
+  /** Suspended by SIGSTOP. */
   stopped?: boolean;
+  /** Asked to stop by SIGTERM. */
   leaving?: boolean;
+  /** Exit codes of its earlier processes; -1 for a signal. */
   exits: number[];
 }
 
-const program = (role: Role): string => fileURLToPath(new URL(`../../${role}/dist/main.js`, import.meta.url));
+const programPath = (role: Role): string => fileURLToPath(new URL(`../../${role}/dist/main.js`, import.meta.url));
 
 /**
- * Ports the OS says are free; held until all are known so that none comes twice.
+ * Free TCP ports on loopback. All are bound before any is released, so that no port is returned twice.
  * @example
  * const [a, b] = await freePorts(2);
  */
 export async function freePorts(n: number): Promise<number[]> {
-  const held = await Promise.all(
+  const bound = await Promise.all(
     Array.from(
       { length: n },
       () =>
         new Promise<{ port: number; close: () => Promise<void> }>((res, rej) => {
-          const s = createServer();
-          s.on('error', rej);
-          s.listen(0, '127.0.0.1', () =>
-            res({ port: (s.address() as { port: number }).port, close: () => new Promise((r) => s.close(() => r())) }),
+          const server = createServer();
+          server.on('error', rej);
+          server.listen(0, '127.0.0.1', () =>
+            res({
+              port: (server.address() as { port: number }).port,
+              close: () => new Promise((r) => server.close(() => r())),
+            }),
           );
         }),
     ),
   );
-  await Promise.all(held.map((h) => h.close()));
-  return held.map((h) => h.port);
+  await Promise.all(bound.map((h) => h.close()));
+  return bound.map((h) => h.port);
 }
 
 /**
- * A fleet of real processes on loopback.
+ * A fleet of node processes on loopback.
  * @example
- * const f = await Fleet.of(SINE_SALOUM, '/tmp/day'); f.startAll();
+ * const fleet = await Fleet.create(SINE_SALOUM, '/tmp/fleet'); fleet.startAll();
  */
 export class Fleet {
   readonly procs: Proc[] = [];
   private agent = new Agent({ connections: 256, pipelining: 1 });
   private http = new HttpAgent({ keepAlive: false, maxSockets: Infinity });
+  /** Resets each open client stream. */
   private conns = new Set<() => void>();
   private polling = true;
-  /** Callers' links, by client address; where there is one, callers go through it. */
+  /** Proxies in front of relays, by client address; clients connect through them. */
   readonly links = new Map<string, Link>();
 
+  /** Allocates ports, writes the configuration files of a deployment and begins health checks; starts no process. */
   static async of(site: Site, folder: string): Promise<Fleet> {
-    const f = new Fleet();
+    const fleet = new Fleet();
     mkdirSync(folder, { recursive: true });
     const total = site.stores + site.relays;
     const ports = await freePorts(total * 2);
     const make = (role: Role, i: number, disk: boolean): void => {
       const name = `${role}${i + 1}`;
-      const k = f.procs.length;
+      const index = fleet.procs.length;
       const config: NodeConfig = {
         role,
         domain: site.domains[i % site.domains.length]!,
-        peer: `127.0.0.1:${ports[2 * k]}`,
-        client: `127.0.0.1:${ports[2 * k + 1]}`,
+        peer: `127.0.0.1:${ports[2 * index]}`,
+        client: `127.0.0.1:${ports[2 * index + 1]}`,
         seeds: [],
         ...(disk ? { data: join(folder, name) } : {}),
       };
-      f.procs.push({ name, role, config, file: join(folder, `${name}.json`), well: false, up: false, exits: [] });
+      fleet.procs.push({ name, role, config, file: join(folder, `${name}.json`), well: false, up: false, exits: [] });
     };
     for (let i = 0; i < site.stores; i++) make('store', i, true);
     for (let i = 0; i < site.relays; i++) make('relay', i, i < site.relayDisks);
-    const seeds = f.procs.slice(0, 3).map((p) => p.config.peer);
-    for (const p of f.procs) {
+    const seeds = fleet.procs.slice(0, 3).map((p) => p.config.peer);
+    for (const p of fleet.procs) {
       p.config.seeds = seeds;
-      f.writeConfig(p);
+      fleet.writeConfig(p);
     }
-    void f.poll();
-    return f;
+    void fleet.poll();
+    return fleet;
   }
 
-  /** Another machine for the fleet; it is started apart. */
+  /** Adds a node to the fleet without starting it. */
   async add(role: Role, domain: string): Promise<Proc> {
-    const [a, b] = await freePorts(2);
-    const n = this.procs.filter((p) => p.role === role).length + 1;
+    const [peerPort, clientPort] = await freePorts(2);
+    const ordinal = this.procs.filter((p) => p.role === role).length + 1;
     const folder = dirname(this.procs[0]!.file);
-    const name = `${role}${n}`;
+    const name = `${role}${ordinal}`;
     const config: NodeConfig = {
       role,
       domain,
-      peer: `127.0.0.1:${a}`,
-      client: `127.0.0.1:${b}`,
+      peer: `127.0.0.1:${peerPort}`,
+      client: `127.0.0.1:${clientPort}`,
       seeds: this.procs[0]!.config.seeds,
       ...(role === 'store' ? { data: join(folder, name) } : {}),
     };
@@ -115,11 +124,11 @@
     return p;
   }
 
-  /** Puts a link in front of every access machine. */
+  /** Puts a proxy in front of every relay. */
   async linked(): Promise<void> {
     for (const p of this.relays) this.links.set(p.config.client, await Link.before(p.config.client));
   }
-  private front(node: string): string {
+  private clientAddress(node: string): string {
     return this.links.get(node)?.address ?? node;
   }
 
@@ -137,7 +146,9 @@
   start(p: Proc): void {
     if (p.up) return;
     const log = createWriteStream(p.file.replace(/\.json$/, '.log'), { flags: 'a' });
-    const child = spawn(process.execPath, [program(p.role), '--config', p.file], { stdio: ['ignore', 'pipe', 'pipe'] });
+    const child = spawn(process.execPath, [programPath(p.role), '--config', p.file], {
+      stdio: ['ignore', 'pipe', 'pipe'],
+    });
     child.stdout!.pipe(log);
     child.stderr!.pipe(log);
     p.child = child;
@@ -154,11 +165,12 @@
     for (const p of this.procs) this.start(p);
   }
 
-  signal(p: Proc, s: NodeJS.Signals): void {
-    if (s === 'SIGSTOP') p.stopped = true;
-    if (s === 'SIGCONT') p.stopped = false;
-    if (p.up) p.child!.kill(s);
+  signal(p: Proc, signal: NodeJS.Signals): void {
+    if (signal === 'SIGSTOP') p.stopped = true;
+    if (signal === 'SIGCONT') p.stopped = false;
+    if (p.up) p.child!.kill(signal);
   }
+  /** Waits up to `ms` for a process to exit; returns whether it did. */
   async gone(p: Proc, ms: number): Promise<boolean> {
     const until = realClock.now() + ms;
     while (p.up && realClock.now() < until) await sleep(realClock, 20);
@@ -168,17 +180,17 @@
     this.signal(p, 'SIGKILL');
     await this.gone(p, 2_000);
   }
-  /** SIGTERM, and the hard kill 6 s later; gives the ms it took to leave by itself. */
+  /** Sends SIGTERM and kills the process 6 s later. Returns how long it took to exit by itself, in ms, or undefined if it was killed. */
   async stop(p: Proc): Promise<number | undefined> {
-    const t0 = realClock.now();
+    const startedAt = realClock.now();
     p.leaving = true;
     this.signal(p, 'SIGTERM');
-    if (await this.gone(p, 6_000)) return realClock.now() - t0;
+    if (await this.gone(p, 6_000)) return realClock.now() - startedAt;
     await this.kill(p);
     return undefined;
   }
 
-  /** What the callers' platform does: asks each access machine for its condition. */
+  /** Checks the health of all nodes, with pauses of 250 ms, as a load balancer does. */
   private async poll(): Promise<void> {
     while (this.polling) {
       await Promise.all(
@@ -205,15 +217,15 @@
     }
   }
 
-  /** All conns of the stand-ins, or a share of them, are reset. */
+  /** Resets a random share of the client streams; returns how many. */
   resetStreams(share: number): number {
-    let n = 0;
-    for (const f of Array.from(this.conns))
+    let count = 0;
+    for (const reset of Array.from(this.conns))
       if (Math.random() < share) {
-        f();
-        n++;
+        reset();
+        count++;
       }
-    return n;
+    return count;
   }
 
   readonly way: Way = {
@@ -222,41 +234,41 @@
         .filter((p) => p.role === 'relay' && p.up && p.well && (domain === undefined || p.config.domain === domain))
         .map((p) => p.config.client),
     visit: async (node, method, body, timeoutMs) => {
-      const ac = new AbortController();
-      const t = setTimeout(() => ac.abort(), timeoutMs);
+      const abort = new AbortController();
+      const timer = setTimeout(() => abort.abort(), timeoutMs);
       try {
-        const r = await request(`http://${method === 'Node' ? node : this.front(node)}/rpc/${method}`, {
+        const r = await request(`http://${method === 'Node' ? node : this.clientAddress(node)}/rpc/${method}`, {
           method: 'POST',
           headers: { 'content-type': 'application/json' },
           body: JSON.stringify(body),
           dispatcher: this.agent,
-          signal: ac.signal,
+          signal: abort.signal,
         });
         return { status: r.statusCode, body: await r.body.json() };
       } catch {
         return undefined;
       } finally {
-        clearTimeout(t);
+        clearTimeout(timer);
       }
     },
     attach: (node, body, onFrame, onEnd) => {
-      let over = false;
-      const raw = JSON.stringify(body);
-      const req = httpRequest(`http://${this.front(node)}/rpc/Attach`, {
+      let ended = false;
+      const requestJson = JSON.stringify(body);
+      const req = httpRequest(`http://${this.clientAddress(node)}/rpc/Attach`, {
         method: 'POST',
         agent: this.http,
-        headers: { 'content-type': 'application/json', 'content-length': Buffer.byteLength(raw) },
+        headers: { 'content-type': 'application/json', 'content-length': Buffer.byteLength(requestJson) },
       });
       const reset = (): void => {
         req.destroy();
       };
       const end = (): void => {
-        if (over) return;
-        over = true;
+        if (ended) return;
+        ended = true;
         this.conns.delete(reset);
         onEnd();
       };
-      let rest = '';
+      let incompleteLine = '';
       req.on('response', (res) => {
         if (res.statusCode !== 200) {
           res.resume();
@@ -265,10 +277,10 @@
         }
         res.setEncoding('utf8');
         res.on('data', (s: string) => {
-          rest += s;
-          const lines = rest.split('\n');
-          rest = lines.pop()!;
-          for (const l of lines) if (l && !over) onFrame(JSON.parse(l) as Frame);
+          incompleteLine += s;
+          const lines = incompleteLine.split('\n');
+          incompleteLine = lines.pop()!;
+          for (const line of lines) if (line && !ended) onFrame(JSON.parse(line) as Frame);
         });
         res.on('end', end);
         res.on('close', end);
@@ -276,16 +288,17 @@
       });
       req.on('error', end);
       req.on('close', end);
-      req.end(raw);
+      req.end(requestJson);
       this.conns.add(reset);
       return () => {
-        over = true;
+        ended = true;
         this.conns.delete(reset);
         req.destroy();
       };
     },
   };
 
+  /** Stops all processes, killing those that take longer than 6 s, and closes the proxies. */
   async close(): Promise<void> {
     this.polling = false;
     for (const p of this.procs)
@@ -296,6 +309,6 @@
     await Promise.all(this.procs.map((p) => this.gone(p, 6_000)));
     for (const p of this.procs) await this.kill(p);
     await this.agent.destroy();
-    for (const l of this.links.values()) await l.close();
+    for (const link of this.links.values()) await link.close();
   }
 }
--- a/packages/trial/src/journal.ts
+++ b/packages/trial/src/journal.ts
@@ -1,5 +1,6 @@
 import type { Role } from '@harecross/kernel';
-/** A holding as a node tells it: its length now, the most it ever had, and its bound. */
+
+/** A bounded collection as a node reports it: its current length, its highest length so far, and its limit. */
 export interface HoldingSeen {
   name: string;
   length: number;
@@ -8,11 +9,11 @@
 }
 
 /**
- * What callers and operators saw, and what the stage did to the fleet: the oracle judges by this alone.
- * Times are ms of one true clock; nodes are named by their client address.
+ * An event that a client or operator observed, or a change of the fleet's condition. The oracle uses nothing else.
+ * Times are in ms of a single true clock; nodes are named by client address.
  */
 export type Seen =
-  /** `line`: the connection of a sender that has several on the way at once, on which visits arrive in order. */
+  /** `line`: the connection of a sender with several messages in flight; requests on it arrive in order. */
   | {
       k: 'pub.try';
       t: number;
@@ -88,7 +89,7 @@
       config: unknown;
       valid: boolean;
     }
-  /** `overtaken`: a higher revision is in force; this one may have been before, or never. */
+  /** `overtaken`: a higher revision is in effect; this one may or may not have been in effect before. */
   | {
       k: 'cfg.answer';
       t: number;
@@ -108,7 +109,7 @@
       config: unknown;
       last?: boolean;
     }
-  /** `version` is missing where the node says none. */
+  /** A node's reported status; without `version` if it reported none. */
   | {
       k: 'node.says';
       t: number;
@@ -119,36 +120,37 @@
       holdings?: HoldingSeen[];
       kept?: number;
     }
-  /** A node that did not answer a look. */
+  /** A node that did not answer a status query. */
   | { k: 'node.silent'; t: number; asked: number; node: string }
   /**
-   * Whether the topic that only configuration `mark` has was in force at a node, by a publish or a subscription there.
+   * Whether a node accepted a publish or subscription to the marker topic that only configuration `mark` contains.
    */
   | { k: 'mark'; t: number; asked: number; node: string; mark: number; by: 'Publish' | 'Subscribe'; seen: 'in' | 'out' }
   /**
-   * From now on an auditor reads back a topic behind `cursor`; at its end it must have all that was accepted by now.
+   * An auditor starts to read back a topic from `cursor`; by `audit.end` it must have received all messages accepted until now.
    */
   | { k: 'audit'; t: number; consumer: string; topic: string; cursor: number }
   | { k: 'audit.end'; t: number; consumer: string }
   | { k: 'node'; t: number; node: string; domain: string; role: Role }
   /**
-   * What the stage does to the fleet, told when it changes. `well`: up, running, and joined to a majority of the
-   * register's seats. `able`: every shard has a majority of its copies on well machines. `rough`: lossy or slow
-   * anywhere, or a link cut. `poor`: consumers on thin or dead links. `ailing`: nodes that are up and not well.
+   * The fleet's condition, recorded when it changes. `well`: healthy nodes, which are up, not frozen, and connected to a majority of
+   * the register's voters. `able`: every shard has a majority of its replicas on healthy nodes. `rough`: packet loss or slowness
+   * anywhere, or a link cut. `poor`: consumers on slow or half-open links. `ailing`: nodes that are up but not healthy.
    */
   | { k: 'weather'; t: number; well: string[]; ailing: string[]; able: boolean; rough: boolean; poor: string[] }
   | { k: 'closing'; t: number }
   | { k: 'end'; t: number };
 
 /**
- * The journal of a day.
+ * The events of a run, in order of time.
  * @example
  * journal.add({ k: 'closing' });
  */
 export class Journal {
   readonly seen: Seen[] = [];
   constructor(private now: () => number) {}
-  add(s: Seen extends infer S ? (S extends Seen ? Omit<S, 't'> : never) : never): void {
-    this.seen.push({ ...s, t: this.now() } as Seen);
+  /** Appends an event with the current time. */
+  add(event: Seen extends infer S ? (S extends Seen ? Omit<S, 't'> : never) : never): void {
+    this.seen.push({ ...event, t: this.now() } as Seen);
   }
 }
--- a/packages/trial/src/json.ts
+++ b/packages/trial/src/json.ts
@@ -1,6 +1,6 @@
 /**
- * A value as `JSON.parse` gives it. The bodies of answers, configurations to be spoiled and the like are read field by
- * field by tests and simulated clients; a field that is missing fails the test that reads it.
+ * A value returned by `JSON.parse`, such as a response body or a configuration that a test makes invalid. Tests and simulated
+ * clients read single fields of it without validation; a missing field fails the test that reads it.
  */
-// oxlint-disable-next-line typescript/no-explicit-any -- what JSON.parse itself returns; one name for it keeps other uses of any out
+// oxlint-disable-next-line typescript/no-explicit-any -- what JSON.parse itself returns; this alias keeps other uses of any out of the code
 export type Json = any;
--- a/packages/trial/src/link.ts
+++ b/packages/trial/src/link.ts
@@ -2,60 +2,68 @@
 import { parseAddress } from '@harecross/kernel';
 import type { RandomSource } from '@harecross/kernel';
 
-interface Pair {
-  caller: Socket;
+/** A proxied connection: the client's socket and the one to the node. */
+interface ProxiedConnection {
+  client: Socket;
   node: Socket;
+  /** Limit in bytes per second, in each direction. */
   rate?: number;
+  /** Half-open or closed: nothing is forwarded any more. */
   dead: boolean;
-  stalledTo: number;
+  /** Forwarding pauses until this time. */
+  stalledUntil: number;
 }
 
 /**
- * A caller's poor link: a TCP relay in front of a client address, whose connections can be made thin, stall, be reset
- * or die half-open (nothing is passed on any more, and neither side is told).
+ * A TCP proxy in front of a node's client address that simulates a poor network: its connections can be rate-limited, stalled,
+ * reset, or left half-open (nothing is forwarded any more, and neither side is notified).
  * @example
- * const l = await Link.before('127.0.0.1:7004'); l.reset(0.97, random);
+ * const proxy = await LinkProxy.start('127.0.0.1:7004'); proxy.reset(0.97, random);
  */
 export class Link {
   address = '';
-  private pairs = new Set<Pair>();
+  private pairs = new Set<ProxiedConnection>();
   private server!: Server;
 
+  /** Starts a proxy on a free loopback port. */
   static async before(target: string): Promise<Link> {
-    const l = new Link();
-    l.server = createServer({ noDelay: true }, (caller) => l.join(caller, target));
+    const link = new Link();
+    link.server = createServer({ noDelay: true }, (client) => link.join(client, target));
     await new Promise<void>((res, rej) => {
-      l.server.on('error', rej);
-      l.server.listen(0, '127.0.0.1', res);
+      link.server.on('error', rej);
+      link.server.listen(0, '127.0.0.1', res);
     });
-    l.address = `127.0.0.1:${(l.server.address() as { port: number }).port}`;
-    return l;
+    link.address = `127.0.0.1:${(link.server.address() as { port: number }).port}`;
+    return link;
   }
 
-  private join(caller: Socket, target: string): void {
+  private join(client: Socket, target: string): void {
     const node = connect({ ...parseAddress(target), noDelay: true });
-    const p: Pair = { caller, node, dead: false, stalledTo: 0 };
+    const p: ProxiedConnection = { client, node, dead: false, stalledUntil: 0 };
     this.pairs.add(p);
     const end = (): void => {
       if (p.dead) return;
       this.pairs.delete(p);
-      caller.destroy();
+      client.destroy();
       node.destroy();
     };
-    const pass = (from: Socket, to: Socket): void => {
+    const forward = (from: Socket, to: Socket): void => {
       from.on('data', (d) => {
         if (p.dead) {
           from.pause();
           return;
         }
-        const ok = to.write(d);
-        const wait = Math.max(p.rate === undefined ? 0 : (d.length * 1000) / p.rate, p.stalledTo - performance.now());
-        if (wait > 1) {
+        const writable = to.write(d);
+        const waitMs = Math.max(
+          p.rate === undefined ? 0 : (d.length * 1000) / p.rate,
+          p.stalledUntil - performance.now(),
+        );
+        if (waitMs > 1) {
           from.pause();
           setTimeout(() => {
             if (!p.dead) from.resume();
-          }, wait);
-        } else if (!ok) {
+          }, waitMs);
+        } else if (!writable) {
           from.pause();
           to.once('drain', () => {
             if (!p.dead) from.resume();
@@ -63,55 +71,56 @@
         }
       });
     };
-    pass(caller, node);
-    pass(node, caller);
-    for (const s of [caller, node]) {
+    forward(client, node);
+    forward(node, client);
+    for (const s of [client, node]) {
       s.on('error', end);
       s.on('close', end);
     }
   }
 
-  private some(share: number, random: RandomSource): Pair[] {
+  /** A random share of the live connections. */
+  private sample(share: number, random: RandomSource): ProxiedConnection[] {
     return [...this.pairs].filter((p) => !p.dead && random.next() < share);
   }
 
-  /** Resets a share of the connections, on both sides. */
+  /** Resets a random share of the connections, on both sides; returns how many. */
   reset(share: number, random: RandomSource): number {
-    const ps = this.some(share, random);
-    for (const p of ps) {
+    const selected = this.sample(share, random);
+    for (const p of selected) {
       this.pairs.delete(p);
-      p.caller.resetAndDestroy();
+      p.client.resetAndDestroy();
       p.node.resetAndDestroy();
     }
-    return ps.length;
+    return selected.length;
   }
-  /** Nothing more is passed on, and nobody is told. */
+  /** Stops forwarding on a random share of the connections for good, without notifying either side; returns how many. */
   halfOpen(share: number, random: RandomSource): number {
-    const ps = this.some(share, random);
-    for (const p of ps) {
+    const selected = this.sample(share, random);
+    for (const p of selected) {
       p.dead = true;
-      p.caller.pause();
+      p.client.pause();
       p.node.pause();
     }
-    return ps.length;
+    return selected.length;
   }
-  /** Nothing is passed on for a while. */
+  /** Stops forwarding on a random share of the connections for `ms`; returns how many. */
   stall(share: number, random: RandomSource, ms: number): number {
-    const ps = this.some(share, random);
-    for (const p of ps) p.stalledTo = performance.now() + ms;
-    return ps.length;
+    const selected = this.sample(share, random);
+    for (const p of selected) p.stalledUntil = performance.now() + ms;
+    return selected.length;
   }
-  /** So many bytes a second, each way. */
+  /** Limits a random share of the connections to `rate` bytes per second in each direction, or lifts the limit; returns how many. */
   thin(share: number, random: RandomSource, rate: number | undefined): number {
-    const ps = this.some(share, random);
-    for (const p of ps) p.rate = rate;
-    return ps.length;
+    const selected = this.sample(share, random);
+    for (const p of selected) p.rate = rate;
+    return selected.length;
   }
 
   async close(): Promise<void> {
     for (const p of this.pairs) {
       p.dead = true;
-      p.caller.destroy();
+      p.client.destroy();
       p.node.destroy();
     }
     await new Promise<void>((res) => this.server.close(() => res()));
--- a/packages/trial/src/scenario.ts
+++ b/packages/trial/src/scenario.ts
@@ -6,7 +6,7 @@
 import { judge, SETTLE_MS, type Bounds, type Violation } from './oracle.js';
 import { seeded, Sim, type SimNode, type SimOpts } from './sim.js';
 
-/** A deployment's shape. */
+/** Size and traffic of a deployment. */
 export interface Site {
   name: string;
   domains: string[];
@@ -25,7 +25,7 @@
   }[];
 }
 
-/** The two deployments of the brief at full size. */
+/** The two reference deployments at full size. */
 export const SINE_SALOUM: Site = {
   name: 'sine-saloum',
   domains: ['kaolack', 'fatick', 'foundiougne'],
@@ -50,7 +50,7 @@
     { name: 'floods', prefix: 'flood/', topics: 30, urgency: 'urgent', perS: 25, memoryS: 25, patienceMs: 2_000 },
   ],
 };
-/** A site of the same shape, small enough for many seeds. */
+/** A deployment of the same structure, small enough to run with many seeds. */
 export const SMALL: Site = {
   name: 'small',
   domains: ['a', 'b', 'c'],
@@ -65,9 +65,9 @@
 };
 
 /**
- * A site's configuration, with more families if wanted.
+ * The fleet configuration of a deployment, with additional topic families.
  * @example
- * configOf(SMALL, [{ name: 'x', topics: ['x/*'], urgency: 'routine', patienceMs: 2000, memoryS: 30 }])
+ * fleetConfigOf(SMALL, [{ name: 'x', topics: ['x/*'], urgency: 'routine', patienceMs: 2000, memoryS: 30 }])
  */
 export function configOf(site: Site, extra: FleetConfig['families'] = []): FleetConfig {
   return {
@@ -84,10 +84,10 @@
   };
 }
 
-/** Some topics have messages and nobody who follows them. */
-const followed = (topics: number): number => Math.max(1, topics - Math.ceil(topics / 10));
+/** Number of topics with subscribers: the last tenth receives messages but has none. */
+const subscribedTopics = (topics: number): number => Math.max(1, topics - Math.ceil(topics / 10));
 
-/** Stand-ins for a site's callers. */
+/** The simulated clients of a deployment. */
 export interface Crowd {
   consumers: Consumer[];
   senders: (Sender | Pipeliner)[];
@@ -96,48 +96,59 @@
 }
 
 /**
- * The stand-ins of a site: consumers by domain, senders at the site's rates, an operator.
+ * Creates the clients of a deployment: consumers in each domain, senders at the configured rates, and an operator.
  * @example
- * for (const c of crowd(world, SMALL).consumers) c.start();
+ * for (const c of createClients(context, SMALL).consumers) c.start();
  */
-export function crowd(w: World, site: Site, consumerOptions: { staysUntilEnd?: boolean } = {}): Crowd {
+export function crowd(context: World, site: Site, consumerOptions: { staysUntilEnd?: boolean } = {}): Crowd {
   const consumers: Consumer[] = [];
   const senders: (Sender | Pipeliner)[] = [];
   const topics = site.families.flatMap((f) => Array.from({ length: f.topics }, (_, i) => `${f.prefix}${i}`));
   for (let i = 0; i < site.consumers; i++) {
-    const mine = new Set<string>();
-    // A household follows its own feed, a desk several; everyone follows some of the urgent topics.
+    const subscribed = new Set<string>();
+    // Most consumers subscribe to one topic per family, every eighth to several; all share the first topic of each urgent family.
     for (const f of site.families) {
-      mine.add(`${f.prefix}${i % followed(f.topics)}`);
+      subscribed.add(`${f.prefix}${i % subscribedTopics(f.topics)}`);
       if (i % 8 === 0)
-        for (const n of randomSample(w.random, [...Array(followed(f.topics)).keys()], 3)) mine.add(`${f.prefix}${n}`);
-      if (f.urgency === 'urgent') mine.add(`${f.prefix}0`);
+        for (const n of randomSample(context.random, [...Array(subscribedTopics(f.topics)).keys()], 3))
+          subscribed.add(`${f.prefix}${n}`);
+      if (f.urgency === 'urgent') subscribed.add(`${f.prefix}0`);
     }
-    consumers.push(new Consumer(w, `c${i}`, site.domains[i % site.domains.length]!, [...mine], consumerOptions));
+    consumers.push(
+      new Consumer(context, `c${i}`, site.domains[i % site.domains.length]!, [...subscribed], consumerOptions),
+    );
   }
   for (const f of site.families) {
-    const n = Math.max(2, Math.min(20, Math.floor(f.topics / 3)));
-    for (let i = 0; i < n; i++) {
-      // Two senders share a topic here and there; each still numbers its own messages.
-      const own = Array.from({ length: f.topics }, (_, t) => t)
-        .filter((t) => t % n === i || (t % 7 === 0 && t % n === (i + 1) % n))
+    const senderCount = Math.max(2, Math.min(20, Math.floor(f.topics / 3)));
+    for (let i = 0; i < senderCount; i++) {
+      // Every seventh topic has two senders; each numbers its own messages.
+      const ownTopics = Array.from({ length: f.topics }, (_, t) => t)
+        .filter((t) => t % senderCount === i || (t % 7 === 0 && t % senderCount === (i + 1) % senderCount))
         .map((t) => `${f.prefix}${t}`);
       senders.push(
-        new Sender(w, `${f.name}-${i}`, site.domains[i % site.domains.length]!, own, (1000 * n) / f.perS, {
-          triesN: 8,
-          repeats: 0.15,
-        }),
+        new Sender(
+          context,
+          `${f.name}-${i}`,
+          site.domains[i % site.domains.length]!,
+          ownTopics,
+          (1000 * senderCount) / f.perS,
+          {
+            triesN: 8,
+            repeats: 0.15,
+          },
+        ),
       );
     }
-    // Some have several on the way at once on one topic.
+    // Two senders per family publish with several messages in flight on one topic.
     for (const i of [0, 1])
       senders.push(
-        new Pipeliner(w, `${f.name}-pipe${i}`, site.domains[i % site.domains.length]!, `${f.prefix}${i}`, 200),
+        new Pipeliner(context, `${f.name}-pipe${i}`, site.domains[i % site.domains.length]!, `${f.prefix}${i}`, 200),
       );
   }
-  return { consumers, senders, operator: new Operator(w, 'op'), topics };
+  return { consumers, senders, operator: new Operator(context, 'op'), topics };
 }
 
+/** A scenario's run, as its faults see it. */
 export interface Stage {
   sim: Sim;
   world: World;
@@ -145,38 +156,43 @@
   crowd: Crowd;
   stores: SimNode[];
   relays: SimNode[];
+  /** All machines with a disk. */
   disks: SimNode[];
   random: { next(): number };
+  /** Adds a line to the notes and the log of the run. */
   note(s: string): void;
-  /** What is wrong beside what the judge sees in the journal. */
+  /** Reports a violation that the oracle cannot see in the journal. */
   wrong(rule: Violation['rule'], what: string): void;
 }
+/** Result of a scenario's run. */
 export interface Run {
   seen: Seen[];
+  /** Violations that the oracle or the scenario found. */
   bad: Violation[];
   sim: Sim;
   notes: string[];
   counters: Map<string, number>;
 }
 
+/** A deployment, the faults injected into it, and what the oracle tolerates. */
 export interface Scenario {
   site?: Site;
   opts?: SimOpts;
-  /** Clocks of the machines differ by up to this much. */
+  /** Each machine's clock is off by a random amount of up to this much, in either direction. */
   skewMs?: number;
-  /** What goes wrong, while traffic runs. */
+  /** Injects faults while clients send traffic. */
   faults: (s: Stage) => Promise<void>;
-  /** Length of the part with faults. */
+  /** Minimum duration of the fault phase; 20 s by default. */
   forMs?: number;
-  /** Makes and starts the machines; those of the site where left out. */
+  /** Adds and starts the machines; by default those of the deployment. */
   machines?: (sim: Sim, site: Site) => Promise<Machines>;
-  /** Brings the first configuration into force; the site's by one change where left out. */
+  /** Applies the initial configuration; by default the operator submits that of the deployment. */
   first?: (stage: Stage) => Promise<unknown>;
-  /** What the judge allows; the simulator's usual bounds where left out. */
+  /** Limits that the oracle applies; by default those for simulated fleets. */
   bounds?: Bounds;
 }
 
-/** The nodes of a run, by what they are for. */
+/** The nodes of a run by role; `disks` are all nodes with a disk. */
 export interface Machines {
   stores: SimNode[];
   relays: SimNode[];
@@ -184,9 +200,9 @@
 }
 
 /**
- * Builds a site's machines in a simulator and starts them.
+ * Adds the machines of a deployment to a simulator and schedules their start within 1.5 s.
  * @example
- * const { stores, relays, disks } = await build(sim, SMALL);
+ * const { stores, relays, disks } = await createMachines(sim, SMALL);
  */
 export async function build(sim: Sim, site: Site, skewMs = 0): Promise<Machines> {
   const skew = (): number => (skewMs ? Math.round((sim.random.next() * 2 - 1) * skewMs) : 0);
@@ -212,60 +228,71 @@
   return { stores, relays, disks: [...stores, ...relays.filter((r) => r.config.data)] };
 }
 
-/** Sets of replica hosts that have no majority of live members, or might have none after so many more losses; by name. */
+/**
+ * Names of the replica sets without a majority of live members (`broken`), and of those that could lose it after `losses` more
+ * losses (`thin`).
+ */
 export function weakSets(sim: Sim, losses: number): { broken: string[]; thin: string[] } {
-  const v = valueOf(sim);
-  if (!v) return { broken: ['no value'], thin: [] };
+  const value = newestValue(sim);
+  if (!value) return { broken: ['no value'], thin: [] };
   const live = new Set([...sim.nodes.values()].filter((n) => n.up && !n.frozen).map(diskOf));
   const sets: [string, string[]][] = [
-    ['voters', v.voters],
-    ['voters before', v.previousVoters],
-    ...[...v.shards].map(([shard, p]): [string, string[]] => [`shard ${shard}`, p.copies]),
+    ['voters', value.voters],
+    ['voters before', value.previousVoters],
+    ...[...value.shards].map(([shard, p]): [string, string[]] => [`shard ${shard}`, p.copies]),
   ];
-  const alive = (set: string[]): number => set.filter((d) => live.has(d)).length;
+  const liveCount = (set: string[]): number => set.filter((d) => live.has(d)).length;
   return {
-    broken: sets.filter(([, set]) => alive(set) * 2 <= set.length).map(([name]) => name),
-    thin: sets.filter(([, set]) => (alive(set) - losses) * 2 <= set.length).map(([name]) => name),
+    broken: sets.filter(([, set]) => liveCount(set) * 2 <= set.length).map(([name]) => name),
+    thin: sets.filter(([, set]) => (liveCount(set) - losses) * 2 <= set.length).map(([name]) => name),
   };
 }
 
-/** The newest value of the register that any machine has, or had when it went. */
-function valueOf(sim: Sim): FleetValue | undefined {
-  let top: FleetValue | undefined;
+/** The newest register value known to any node, or to an ended process when it ended. */
+function newestValue(sim: Sim): FleetValue | undefined {
+  let newest: FleetValue | undefined;
   for (const n of sim.nodes.values()) {
     const v = n.kernel?.use('register').value;
-    if (v && (!top || v.rev > top.rev)) top = v;
+    if (v && (!newest || v.rev > newest.rev)) newest = v;
   }
-  return top;
+  return newest;
 }
 const diskOf = (n: SimNode): string | undefined => n.kernel?.use('register').disk;
 
-/** A node whose connections were reset counts as not well for this long: two looks of the stage. */
-const RESET_SHOWN_MS = 300;
+/** A node counts as unhealthy for this long after a reset of its connections: at least two of the samples taken every 100 ms see it. */
+const RESET_UNHEALTHY_MS = 300;
 
-/** What the stage knows of its fleet, as the oracle's journal tells it. */
-function weatherOf(sim: Sim): { well: string[]; ailing: string[]; able: boolean; rough: boolean; poor: string[] } {
+/** The condition of the fleet as the journal records it; see the `weather` event there. */
+function fleetConditions(sim: Sim): {
+  well: string[];
+  ailing: string[];
+  able: boolean;
+  rough: boolean;
+  poor: string[];
+} {
   const nodes = [...sim.nodes.values()];
-  const v = valueOf(sim);
-  const wasReset = (n: SimNode): boolean => n.resetAt !== undefined && sim.now - n.resetAt < RESET_SHOWN_MS;
+  const v = newestValue(sim);
+  const wasReset = (n: SimNode): boolean => n.resetAt !== undefined && sim.now - n.resetAt < RESET_UNHEALTHY_MS;
   const up = nodes.filter((n) => n.up && !n.frozen && !wasReset(n) && n.edge !== undefined);
-  const at = new Map(
+  const nodeByDisk = new Map(
     up.flatMap((n) => {
-      const d = diskOf(n);
-      return d === undefined ? [] : [[d, n] as const];
+      const disk = diskOf(n);
+      return disk === undefined ? [] : [[disk, n] as const];
     }),
   );
-  const linked = (a: SimNode, b: SimNode): boolean =>
+  const connected = (a: SimNode, b: SimNode): boolean =>
     a === b || (!sim.cuts.has(`${a.name}>${b.name}`) && !sim.cuts.has(`${b.name}>${a.name}`));
-  const most = (disks: string[], of: (n: SimNode) => boolean): boolean =>
+  const majority = (disks: string[], satisfies: (n: SimNode) => boolean): boolean =>
     disks.filter((d) => {
-      const n = at.get(d);
-      return n !== undefined && of(n);
+      const n = nodeByDisk.get(d);
+      return n !== undefined && satisfies(n);
     }).length *
       2 >
     disks.length;
-  const well = v ? up.filter((n) => [v.voters, v.previousVoters].every((s) => most(s, (m) => linked(n, m)))) : [];
-  const able = v !== undefined && [...v.shards.values()].every((p) => most(p.copies, (n) => well.includes(n)));
+  const well = v
+    ? up.filter((n) => [v.voters, v.previousVoters].every((s) => majority(s, (m) => connected(n, m))))
+    : [];
+  const able = v !== undefined && [...v.shards.values()].every((p) => majority(p.copies, (n) => well.includes(n)));
   const ailing = nodes
     .filter((n) => n.up && !well.includes(n))
     .map((n) => n.config.client)
@@ -279,127 +306,129 @@
   };
 }
 
-/** A machine with a disk that may die now: every shard, and the register, keeps a majority without it. */
-function spare(sim: Sim, random: { next(): number }): SimNode | undefined {
+/** A random node with a disk without which the register and every shard keep a majority. */
+function expendableNode(sim: Sim, random: { next(): number }): SimNode | undefined {
   const nodes = [...sim.nodes.values()];
-  const v = valueOf(sim);
-  const at = new Map(nodes.filter((n) => n.up && !n.frozen).map((n) => [diskOf(n), n]));
+  const v = newestValue(sim);
+  const liveByDisk = new Map(nodes.filter((n) => n.up && !n.frozen).map((n) => [diskOf(n), n]));
   const sets = v ? [v.voters, v.previousVoters, ...[...v.shards.values()].map((p) => p.copies)] : [];
-  const may = [...at].filter(
+  const expendable = [...liveByDisk].filter(
     ([d, n]) =>
       d !== undefined &&
-      sets.every((s) => s.filter((x) => x !== d && at.has(x)).length * 2 > s.length) &&
+      sets.every((s) => s.filter((x) => x !== d && liveByDisk.has(x)).length * 2 > s.length) &&
       n.config.data,
   );
-  return may[Math.floor(random.next() * may.length)]?.[1];
+  return expendable[Math.floor(random.next() * expendable.length)]?.[1];
 }
 
 /**
- * Runs a day: machines up, configuration, traffic, faults, settling, the oracle.
+ * Runs a scenario: starts the machines, applies the configuration, starts the clients, injects faults, audits the messages, kills
+ * one more machine and audits again, waits for the fleet to settle, and checks the journal against the oracle.
  * @example
- * const r = await play(7, { faults: async ({ sim, stores }) => { sim.kill(stores[0]!); } });
+ * const r = await runScenario(7, { faults: async ({ sim, stores }) => { sim.kill(stores[0]!); } });
  */
-export async function play(seed: number, sc: Scenario): Promise<Run> {
-  const site = sc.site ?? SMALL;
-  const sim = new Sim(seed, sc.opts);
-  const m = await (sc.machines ? sc.machines(sim, site) : build(sim, site, sc.skewMs));
+export async function play(seed: number, scenario: Scenario): Promise<Run> {
+  const site = scenario.site ?? SMALL;
+  const sim = new Sim(seed, scenario.opts);
+  const machines = await (scenario.machines ? scenario.machines(sim, site) : build(sim, site, scenario.skewMs));
   const journal = new Journal(() => sim.now);
-  const world: World = { clock: sim.clock, random: seeded(seed ^ 0x5eed), way: sim.outside, journal };
-  const cr = crowd(world, site);
+  const context: World = { clock: sim.clock, random: seeded(seed ^ 0x5eed), way: sim.outside, journal };
+  const clients = crowd(context, site);
   const notes: string[] = [];
-  const wrong: Violation[] = [];
+  const reported: Violation[] = [];
   const stage: Stage = {
     sim,
-    world,
+    world: context,
     site,
-    crowd: cr,
-    ...m,
+    crowd: clients,
+    ...machines,
     random: seeded(seed ^ 0xfa17),
     note: (s) => {
       notes.push(`${(sim.now / 1000).toFixed(3)} ${s}`);
       sim.lines.push(`${(sim.now / 1000).toFixed(3)} ** ${s}`);
     },
-    wrong: (rule, what) => wrong.push({ rule, t: Math.round(sim.now), what }),
+    wrong: (rule, what) => reported.push({ rule, t: Math.round(sim.now), what }),
   };
   await sim.run(6_000);
-  let fault: unknown;
-  /** Lets virtual time pass until a promise is kept, or gives up on it. */
-  const drive = async (p: Promise<unknown>, limitMs: number): Promise<boolean> => {
-    let kept = false;
+  let failure: unknown;
+  /** Advances virtual time until a promise settles or `limitMs` passes; returns whether it settled. */
+  const runUntilSettled = async (p: Promise<unknown>, limitMs: number): Promise<boolean> => {
+    let settled = false;
     p.then(
       () => {
-        kept = true;
+        settled = true;
       },
       (e) => {
-        fault = e;
-        kept = true;
+        failure = e;
+        settled = true;
       },
     );
-    for (const until = sim.now + limitMs; !kept && sim.now < until;) await sim.run(sim.now + 250);
-    return kept;
+    for (const until = sim.now + limitMs; !settled && sim.now < until;) await sim.run(sim.now + 250);
+    return settled;
   };
-  const first = sc.first ? sc.first(stage) : cr.operator.submit('first', configOf(site), true);
+  const first = scenario.first ? scenario.first(stage) : clients.operator.submit('first', configOf(site), true);
   await sim.run(12_000);
-  if (!(await drive(first, 60_000))) notes.push('the first configuration was never answered');
+  if (!(await runUntilSettled(first, 60_000))) notes.push('the first configuration was never answered');
   for (const n of sim.nodes.values())
     journal.add({ k: 'node', node: n.config.client, domain: n.config.domain, role: n.config.role });
-  let told = '';
-  const tell = (): void => {
-    const w = weatherOf(sim);
-    if (JSON.stringify(w) === told) return;
-    told = JSON.stringify(w);
-    journal.add({ k: 'weather', ...w });
+  let lastRecorded = '';
+  const recordConditions = (): void => {
+    const conditions = fleetConditions(sim);
+    if (JSON.stringify(conditions) === lastRecorded) return;
+    lastRecorded = JSON.stringify(conditions);
+    journal.add({ k: 'weather', ...conditions });
   };
-  tell();
-  for (const c of cr.consumers) c.start();
-  for (const s of cr.senders) s.start();
-  let watching = true;
+  recordConditions();
+  for (const c of clients.consumers) c.start();
+  for (const s of clients.senders) s.start();
+  let observing = true;
   void (async () => {
-    while (watching) {
+    while (observing) {
       await sleep(sim.clock, 100);
-      tell();
+      recordConditions();
     }
   })();
   void (async () => {
-    while (watching) {
+    while (observing) {
       await sleep(sim.clock, 400);
-      void cr.operator.look([...sim.nodes.values()].map((n) => n.config.client));
+      void clients.operator.look([...sim.nodes.values()].map((n) => n.config.client));
     }
   })();
   void (async () => {
-    while (watching) {
+    while (observing) {
       await sleep(sim.clock, 500);
-      void cr.operator.count(cr.topics[Math.floor(world.random.next() * cr.topics.length)]!);
+      void clients.operator.count(clients.topics[Math.floor(context.random.next() * clients.topics.length)]!);
     }
   })();
   await sim.run(17_000);
-  const from = sim.now;
-  if (!(await drive(sc.faults(stage), (sc.forMs ?? 20_000) + 120_000))) notes.push('the faults never ended');
-  if (fault) throw fault;
-  await sim.run(Math.max(sim.now, from + (sc.forMs ?? 20_000)));
+  const faultsBegan = sim.now;
+  if (!(await runUntilSettled(scenario.faults(stage), (scenario.forMs ?? 20_000) + 120_000)))
+    notes.push('the faults never ended');
+  if (failure) throw failure;
+  await sim.run(Math.max(sim.now, faultsBegan + (scenario.forMs ?? 20_000)));
   await sim.run(sim.now + 3_000);
-  for (const s of cr.senders) s.stop();
+  for (const s of clients.senders) s.stop();
   await sim.run(sim.now + 2_000);
-  const v = valueOf(sim);
-  if (v) await drive(audit(world, 'audit', v.config), 20_000);
+  const v = newestValue(sim);
+  if (v) await runUntilSettled(audit(context, 'audit', v.config), 20_000);
   else notes.push('the fleet never had a value again');
-  const victim = spare(sim, stage.random);
+  const victim = expendableNode(sim, stage.random);
   if (v && victim) {
     notes.push(`${(sim.now / 1000).toFixed(3)} after the day ${victim.name} dies`);
     sim.kill(victim);
     await sim.run(sim.now + 4_000);
-    await drive(audit(world, 'second audit', v.config), 20_000);
+    await runUntilSettled(audit(context, 'second audit', v.config), 20_000);
   }
   await sim.run(sim.now + SETTLE_MS);
-  watching = false;
-  if (!(await drive(cr.operator.read(true), 90_000))) notes.push('the last read was never answered');
+  observing = false;
+  if (!(await runUntilSettled(clients.operator.read(true), 90_000))) notes.push('the last read was never answered');
   journal.add({ k: 'end' });
-  const bad = [...judge(journal.seen, sc.bounds), ...wrong];
+  const violations = [...judge(journal.seen, scenario.bounds), ...reported];
   const counters = new Map<string, number>();
   for (const n of sim.nodes.values())
     for (const [k, v] of n.kernel?.counters ?? []) counters.set(k, (counters.get(k) ?? 0) + v);
-  for (const n of notes.filter((x) => x.includes('never'))) bad.push({ rule: 'unanswered', t: 0, what: n });
-  for (const e of sim.errors) bad.push({ rule: 'served', t: 0, what: `unexpected error: ${e}` });
+  for (const n of notes.filter((x) => x.includes('never'))) violations.push({ rule: 'unanswered', t: 0, what: n });
+  for (const e of sim.errors) violations.push({ rule: 'served', t: 0, what: `unexpected error: ${e}` });
   sim.close();
-  return { seen: journal.seen, bad, sim, notes, counters };
+  return { seen: journal.seen, bad: violations, sim, notes, counters };
 }
--- a/packages/trial/src/sim-disk.ts
+++ b/packages/trial/src/sim-disk.ts
@@ -1,105 +1,106 @@
 /**
- * A simulated machine's disk, on which the product's own disk code runs: real SQLite files in a folder, whose syncs take virtual
- * time. It knows what each sync covered, so that a loss of power can keep, drop or tear what came later.
+ * A simulated machine's disk for the production disk code: real SQLite files in a directory, whose syncs take virtual time. It
+ * tracks what each sync covered, so that a power loss can keep, drop or tear later writes.
  */
 import { copyFileSync, existsSync, fstatSync, mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { openDb, type Clock, type SyncedDatabase, type Log, type RandomSource } from '@harecross/kernel';
 
-/** What a disk writes at once; a loss of power keeps or drops whole ones, or tears one. */
+/** Size of one disk write. A power loss keeps or drops each block, or tears it, so that only its beginning is written. */
 const BLOCK_BYTES = 4_096;
-/** Share of losses of power after which every write since the last sync is gone. */
+/** Share of power losses that drop every write since the last sync. */
 const ALL_LOST_SHARE = 0.3;
-/** Share of the unsynced blocks that are torn, where not all are lost. */
+/** Share of torn blocks among the unsynced blocks that are not dropped. */
 const TORN_SHARE = 0.1;
 
 const DATA = 'state.db';
 const LOG = 'state.db-wal';
 
-/** What the disk needs of its machine. */
+/** What the disk requires of the simulator. */
 export interface DiskSurroundings {
-  /** Runs `fn` once a sync that begins now is done. */
+  /** Runs `fn` when a sync that starts now completes. */
   afterSync(fn: () => void): void;
 }
 
 /**
- * One machine's disk. A process opens it; between two lives of the process it keeps its files.
+ * One machine's disk. Each process that starts on it opens the files that the process before it left.
  * @example
  * const db = disk.open(clock, log, onFault, '10.0.0.1:7100'); disk.losePower(random);
  */
 export class SimDisk {
-  private life = 0;
+  /** Number of the current process; it names the directory of the files. */
+  private generation = 0;
   private db?: SyncedDatabase;
-  /** The database file as its last sync found it. */
+  /** Content of the database file at its last sync. */
   private syncedData = Buffer.alloc(0);
-  /** Bytes of the log that its last sync covered. */
+  /** Length of the write-ahead log at its last sync. */
   private syncedLogBytes = 0;
-  /** The log as it was before it was emptied, while that is not synced. */
-  private logBefore?: Buffer;
+  /** The log before its truncation, until the truncation is synced. */
+  private untruncatedLog?: Buffer;
 
   constructor(
     private readonly root: string,
-    private readonly surroundings: DiskSurroundings,
+    private readonly environment: DiskSurroundings,
   ) {}
 
-  private folder(life = this.life): string {
-    return join(this.root, String(life));
+  private directory(generation = this.generation): string {
+    return join(this.root, String(generation));
   }
 
-  /** Opens the database as the product does; throws when that fails. */
+  /** Opens the database with the production code; throws if that fails. */
   open(clock: Clock, log: Log, onFault: (e: Error) => void, self: string): SyncedDatabase {
-    const folder = this.folder();
-    mkdirSync(folder, { recursive: true });
-    const db = openDb(folder, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
-    // Opening syncs both files, and the folder once the log is made: SQLite does so at the first commit.
-    this.syncedData = readFileSync(join(folder, DATA));
-    this.syncedLogBytes = readFileSync(join(folder, LOG)).length;
-    this.logBefore = undefined;
+    const directory = this.directory();
+    mkdirSync(directory, { recursive: true });
+    const db = openDb(directory, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
+    // Opening syncs both files and, once the log exists, the directory: SQLite does so at the first commit.
+    this.syncedData = readFileSync(join(directory, DATA));
+    this.syncedLogBytes = readFileSync(join(directory, LOG)).length;
+    this.untruncatedLog = undefined;
     this.db = db;
     return db;
   }
 
   private sync(fd: number, file: string): Promise<void> {
-    const { life } = this;
-    const covered = this.covered(fd, file);
+    const { generation } = this;
+    const markSynced = this.captureSync(fd, file);
     return new Promise((resolve) => {
-      this.surroundings.afterSync(() => {
-        if (this.life !== life) return;
-        covered();
+      this.environment.afterSync(() => {
+        if (this.generation !== generation) return;
+        markSynced();
         resolve();
       });
     });
   }
 
-  /** Notes what a sync that begins now makes durable; the result puts it in force. */
-  private covered(fd: number, file: string): () => void {
+  /** Captures what a sync that starts now will make durable; the returned function records it as synced. */
+  private captureSync(fd: number, file: string): () => void {
     if (file.endsWith(DATA)) {
       const data = readFileSync(file);
-      const log = readFileSync(join(this.folder(), LOG));
+      const log = readFileSync(join(this.directory(), LOG));
       return () => {
         this.syncedData = data;
-        this.logBefore = log;
+        this.untruncatedLog = log;
       };
     }
     const bytes = fstatSync(fd).size;
     return () => {
       this.syncedLogBytes = bytes;
-      this.logBefore = undefined;
+      this.untruncatedLog = undefined;
     };
   }
 
-  /** The process died: its files stay as it left them. */
+  /** The process ended: the files keep all of its writes. */
   endProcess(): void {
-    this.nextLife((from, to) => {
+    this.startGeneration((from, to) => {
       for (const name of [DATA, LOG]) if (existsSync(join(from, name))) copyFileSync(join(from, name), join(to, name));
     });
   }
 
-  /** Power was lost: what was synced stays, and each later write is kept, dropped or torn; or all of them are dropped. */
+  /** Power loss: synced data is kept; each later write is kept, dropped or torn, or all of them are dropped. */
   losePower(random: RandomSource): void {
-    this.nextLife((from, to) => {
+    this.startGeneration((from, to) => {
       if (!existsSync(join(from, LOG))) {
-        // Closed in good order: all is in the database, and synced.
+        // After a clean close, everything is in the database file and synced.
         copyFileSync(join(from, DATA), join(to, DATA));
         return;
       }
@@ -112,23 +113,24 @@
   }
 
   private logAfterPowerLoss(log: Buffer, keepShare: number, random: RandomSource): Buffer {
-    if (this.logBefore === undefined)
+    if (this.untruncatedLog === undefined)
       return afterPowerLoss(log.subarray(0, this.syncedLogBytes), log, keepShare, random);
-    // It was emptied, and that may have come to last or not.
-    return random.next() < keepShare ? log : this.logBefore;
+    // The log was truncated, which may or may not have become durable.
+    return random.next() < keepShare ? log : this.untruncatedLog;
   }
 
-  /** The disk is gone with all that is on it; an empty one takes its place. */
+  /** Replaces the disk by an empty one. */
   wipe(): void {
-    this.nextLife(() => undefined);
+    this.startGeneration(() => undefined);
   }
 
-  private nextLife(carry: (from: string, to: string) => void): void {
-    const from = this.folder();
-    const to = this.folder(this.life + 1);
+  /** Closes the database and moves the files, as `transfer` copies them, to the directory of the next process. */
+  private startGeneration(transfer: (from: string, to: string) => void): void {
+    const from = this.directory();
+    const to = this.directory(this.generation + 1);
     mkdirSync(to, { recursive: true });
-    if (existsSync(join(from, DATA))) carry(from, to);
-    this.life++;
+    if (existsSync(join(from, DATA))) transfer(from, to);
+    this.generation++;
     this.db?.drop();
     if (this.db?.sql.open) this.db.close();
     this.db = undefined;
@@ -136,24 +138,24 @@
   }
 }
 
-/** A file of which each block written since the last sync was kept, dropped or torn. */
+/** The content of a file after a power loss: each block written since the last sync is kept, dropped or torn. */
 function afterPowerLoss(synced: Buffer, written: Buffer, keepShare: number, random: RandomSource): Buffer {
-  const out = Buffer.alloc(Math.max(synced.length, written.length));
-  synced.copy(out);
+  const result = Buffer.alloc(Math.max(synced.length, written.length));
+  synced.copy(result);
   let length = synced.length;
-  for (let at = 0; at < written.length; at += BLOCK_BYTES) {
-    const end = Math.min(at + BLOCK_BYTES, written.length);
-    const block = written.subarray(at, end);
-    if (end <= synced.length && block.equals(synced.subarray(at, end))) continue;
+  for (let offset = 0; offset < written.length; offset += BLOCK_BYTES) {
+    const end = Math.min(offset + BLOCK_BYTES, written.length);
+    const block = written.subarray(offset, end);
+    if (end <= synced.length && block.equals(synced.subarray(offset, end))) continue;
     const kept = keptBytes(block.length, keepShare, random);
     if (!kept) continue;
-    block.copy(out, at, 0, kept);
-    length = Math.max(length, at + kept);
+    block.copy(result, offset, 0, kept);
+    length = Math.max(length, offset + kept);
   }
-  return out.subarray(0, length);
+  return result.subarray(0, length);
 }
 
-/** How much of a block that was not synced is found after a loss of power. */
+/** Number of bytes of an unsynced block that survive a power loss. */
 function keptBytes(bytes: number, keepShare: number, random: RandomSource): number {
   if (random.next() >= keepShare) return 0;
   return random.next() < TORN_SHARE ? Math.floor(bytes * random.next()) : bytes;
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -22,9 +22,9 @@
 import { SimDisk } from './sim-disk.js';
 
 /**
- * A small seeded generator (mulberry32).
+ * A deterministic pseudo-random generator (mulberry32): the same seed yields the same sequence.
  * @example
- * seeded(7).next(); // the same number every time
+ * seededRandom(7).next(); // the same number every time
  */
 export function seeded(seed: number): RandomSource {
   let a = seed >>> 0;
@@ -39,79 +39,82 @@
   };
 }
 
-/** Machines' clocks begin at some time of the year 2026. */
+/** Node clocks start at this Unix time, in the year 2026. */
 const EPOCH_MS = 1_790_000_000_000;
 
-interface Ev {
+interface ScheduledEvent {
   at: number;
-  n: number;
+  /** Orders events due at the same time by when they were scheduled. */
+  sequence: number;
   fn: () => void;
+  /** Cancelled: skipped when it comes due. */
   off: boolean;
 }
 
-class Heap {
-  private a: Ev[] = [];
+/** Binary min-heap of scheduled events, ordered by time and then by sequence. */
+class EventQueue {
+  private events: ScheduledEvent[] = [];
   get size(): number {
-    return this.a.length;
+    return this.events.length;
   }
-  get top(): Ev | undefined {
-    return this.a[0];
+  get top(): ScheduledEvent | undefined {
+    return this.events[0];
   }
   private less(i: number, j: number): boolean {
-    const x = this.a[i]!,
-      y = this.a[j]!;
-    return x.at < y.at || (x.at === y.at && x.n < y.n);
-  }
-  push(e: Ev): void {
-    const a = this.a;
-    a.push(e);
-    let i = a.length - 1;
+    const x = this.events[i]!,
+      y = this.events[j]!;
+    return x.at < y.at || (x.at === y.at && x.sequence < y.sequence);
+  }
+  push(event: ScheduledEvent): void {
+    const events = this.events;
+    events.push(event);
+    let i = events.length - 1;
     while (i > 0) {
-      const p = (i - 1) >> 1;
-      if (!this.less(i, p)) break;
-      [a[i], a[p]] = [a[p]!, a[i]!];
-      i = p;
+      const parent = (i - 1) >> 1;
+      if (!this.less(i, parent)) break;
+      [events[i], events[parent]] = [events[parent]!, events[i]!];
+      i = parent;
     }
   }
-  pop(): Ev {
-    const a = this.a;
-    const top = a[0]!;
-    const end = a.pop()!;
-    if (a.length) {
-      a[0] = end;
+  pop(): ScheduledEvent {
+    const events = this.events;
+    const top = events[0]!;
+    const last = events.pop()!;
+    if (events.length) {
+      events[0] = last;
       let i = 0;
       for (;;) {
-        const l = 2 * i + 1,
-          r = l + 1;
-        let m = i;
-        if (l < a.length && this.less(l, m)) m = l;
-        if (r < a.length && this.less(r, m)) m = r;
-        if (m === i) break;
-        [a[i], a[m]] = [a[m]!, a[i]!];
-        i = m;
+        const left = 2 * i + 1,
+          right = left + 1;
+        let smallest = i;
+        if (left < events.length && this.less(left, smallest)) smallest = left;
+        if (right < events.length && this.less(right, smallest)) smallest = right;
+        if (smallest === i) break;
+        [events[i], events[smallest]] = [events[smallest]!, events[i]!];
+        i = smallest;
       }
     }
     return top;
   }
 }
 
-/** What frames cost a machine, so that one that is sent too many falls behind. */
+/** CPU and bandwidth of a machine: frames queue for both, so that an overloaded machine falls behind. */
 export interface Load {
-  /** The machine's share of a core: a frame that comes or goes takes `FRAME_CORE_MS` of it and more for its length. */
+  /** Share of a CPU core. Each frame sent or received costs `FRAME_CORE_MS` of core time plus `FRAME_CORE_MS_PER_KIB` for its length. */
   coreShare: number;
-  /** Bytes that its link carries in a millisecond, each way. */
+  /** Bandwidth in bytes per millisecond, in each direction. */
   linkBytesPerMs: number;
 }
 
 /**
- * Time of a whole core that a frame takes, sent or received, and that each KiB of it adds. Processes that have just begun, and whose code
- * is not compiled yet, were seen to take 0.65 to 1.2 ms.
+ * Core time per frame sent or received, and per KiB of it. Newly started processes, whose code the JIT has not compiled yet, were
+ * measured at 0.65 to 1.2 ms per frame.
  */
 const FRAME_CORE_MS = 0.5;
 const FRAME_CORE_MS_PER_KIB = 0.1;
 
-/** What a loaded machine is busy with, and for how long yet. */
-interface Busy {
+/** Times until which a machine's core and each direction of its link are occupied. */
+interface Occupancy {
   coreUntil: number;
   inUntil: number;
   outUntil: number;
@@ -121,37 +124,41 @@
   name: string;
   config: NodeConfig;
   skewMs: number;
-  /** What lasts: only what was committed is in it. */
+  /** Durable state: holds only what was committed. */
   sql?: Database.Database;
-  /** With `SimOpts.files`: its files, as the product's own disk code writes them. */
+  /** With `SimOpts.files`: the node's files, written by the production disk code. */
   disk?: SimDisk;
+  /** Incremented at each start and end of the process, so that callbacks of an earlier process are ignored. */
   life: number;
   up: boolean;
   frozen: boolean;
-  /** Work put off while frozen. */
+  /** Callbacks deferred while frozen. */
   frozenWork: (() => void)[];
+  /** Upper bound of the extra random delay added to each timer and message of the node. */
   slowMs: number;
+  /** Mean duration of a disk sync; also the time to open the database. */
   diskMs: number;
-  /** Frames cost nothing where left out. */
+  /** Without it, frames take no CPU time or bandwidth. */
   load?: Load;
-  busy: Busy;
-  /** Frames sent and received, and their bytes, requests and answers; counted while `measure` is set. */
+  busy: Occupancy;
+  /** Frames sent and received, both requests and responses, and their bytes; counted while `measureTraffic` is set. */
   frames: { n: number; bytes: number };
-  /** Syncs that stop the whole loop, for a time between these. */
+  /** If set, each disk sync blocks the event loop for a random time in this range. */
   stallMs?: [number, number];
-  /** Rate of its clock (see setRate), and what its wall clock was corrected by while running. */
+  /** Rate of the node's clock (see setRate), and the total step applied to its wall clock while running. */
   rate: number;
   stepMs: number;
   handle?: (f: string) => Promise<string>;
   kernel?: Kernel;
   edge?: Edge;
   db?: SyncedDatabase;
-  /** When connections of it were last reset. */
+  /** When connections of this node were last reset. */
   resetAt?: number;
-  /** The disk takes no more: the process is expected to notice and end. */
+  /** The disk is full: the process is expected to detect this and exit. */
   fullDisk?: boolean;
-  /** Calls under way at this node; they break when it dies. */
+  /** Resets each request in flight at this node; called when the process ends. */
   calls: Set<() => void>;
+  /** Resets each open client stream. */
   streams: Set<() => void>;
 }
 
@@ -159,13 +166,13 @@
   delayMs?: [number, number];
   loss?: number;
   log?: boolean;
-  /** Disks are files that the product's own disk code opens and syncs, so that a loss of power can take what was not synced. */
+  /** Uses real files, opened and synced by the production disk code, so that a power loss can discard unsynced writes. */
   files?: boolean;
 }
 
 /**
- * A fleet of the real code in virtual time. One seed, one run. What is not real: the clock, the net, the random
- * numbers, the time a disk takes, and HTTP.
+ * Runs a fleet of production nodes in virtual time, deterministically by seed. Simulated are the clock, the network, the random
+ * numbers, the duration of disk operations, and HTTP.
  * @example
  * const sim = new Sim(7); await sim.start(sim.add('s1', { role: 'store', domain: 'a' })); await sim.run(5_000);
  */
@@ -173,29 +180,34 @@
   now = 0;
   readonly random: RandomSource;
   readonly nodes = new Map<string, SimNode>();
+  /** Log lines of all nodes. */
   readonly lines: string[] = [];
+  /** Number of events processed. */
   events = 0;
+  /** Range of the one-way network delay in ms. */
   delay: [number, number];
+  /** Probability that a packet is lost. */
   loss: number;
-  /** Consumers whose link takes only so many bytes a second. */
+  /** Bandwidth limits of consumer links, in bytes per second, by consumer name. */
   readonly thin = new Map<string, number>();
-  /** Consumers whose stream of now is half-open: nothing on it arrives, and neither side is told. */
+  /** Consumers whose current stream is half-open: nothing sent on it arrives, and neither side is notified. */
   readonly deaf = new Set<string>();
-  /** Directed pairs between which nothing arrives. */
+  /** Directed pairs `from>to` of node names between which no message arrives. */
   readonly cuts = new Set<string>();
-  private heap = new Heap();
-  private n = 0;
-  private byPeer = new Map<string, SimNode>();
-  private byClient = new Map<string, SimNode>();
-  /** Peer visits and their bytes, by method; filled when `measure` is set. */
+  private eventQueue = new EventQueue();
+  private nextSequence = 0;
+  private nodesByPeerAddress = new Map<string, SimNode>();
+  private nodesByClientAddress = new Map<string, SimNode>();
+  /** Peer requests and their bytes, by method; recorded while `measureTraffic` is set. */
   readonly traffic = new Map<string, { n: number; bytes: number }>();
-  /** Bytes of the answers to them. */
+  /** Bytes of the responses to peer requests, by method. */
   readonly answers = new Map<string, number>();
+  /** Records `requestTraffic`, `responseBytes` and the `frames` of each node. */
   measure = false;
-  /** Unexpected errors of node code. */
+  /** Unexpected errors raised by node code. */
   readonly errors: string[] = [];
-  /** Where the machines' files are, with `files`. */
-  private readonly folder?: string;
+  /** Directory of the nodes' files, with `SimOpts.files`. */
+  private readonly directory?: string;
 
   constructor(
     readonly seed: number,
@@ -204,52 +216,54 @@
     this.random = seeded(seed);
     this.delay = opts.delayMs ?? [0.5, 6];
     this.loss = opts.loss ?? 0;
-    if (opts.files) this.folder = mkdtempSync(join(tmpdir(), 'harecross-sim-'));
+    if (opts.files) this.directory = mkdtempSync(join(tmpdir(), 'harecross-sim-'));
   }
 
+  /** Schedules a callback after a delay in virtual time; returns a function that cancels it. */
   private at(ms: number, fn: () => void): () => void {
-    const e: Ev = { at: this.now + Math.max(0, ms), n: this.n++, fn, off: false };
-    this.heap.push(e);
+    const event: ScheduledEvent = { at: this.now + Math.max(0, ms), sequence: this.nextSequence++, fn, off: false };
+    this.eventQueue.push(event);
     return () => {
-      e.off = true;
+      event.off = true;
     };
   }
 
-  /** The clock of the outside world. */
+  /** True time, as the simulated clients see it. */
   readonly clock: Clock = { now: () => this.now, wall: () => this.now, after: (ms, fn) => this.at(ms, fn) };
 
-  /** Runs until the given time. */
+  /** Advances virtual time to `until`, running all events due by then. */
   async run(until: number): Promise<void> {
-    // What was begun outside of an event goes first.
+    // Lets promises started outside of an event settle first.
     await new Promise<void>((r) => setImmediate(r));
     for (;;) {
-      const e = this.heap.top;
-      if (!e || e.at > until) break;
-      this.heap.pop();
-      if (e.off) continue;
-      this.now = Math.max(this.now, e.at);
+      const event = this.eventQueue.top;
+      if (!event || event.at > until) break;
+      this.eventQueue.pop();
+      if (event.off) continue;
+      this.now = Math.max(this.now, event.at);
       this.events++;
-      e.fn();
+      event.fn();
       await new Promise<void>((r) => setImmediate(r));
     }
     this.now = until;
   }
 
-  add(name: string, x: { role: Role; domain: string; disk?: boolean; skewMs?: number }): SimNode {
+  /** Adds a machine with addresses of its own; `start` starts its process. */
+  add(name: string, options: { role: Role; domain: string; disk?: boolean; skewMs?: number }): SimNode {
     const i = this.nodes.size + 1;
     const peer = `10.0.${i >> 8}.${i & 255}:7100`;
     const config: NodeConfig = {
-      role: x.role,
-      domain: x.domain,
+      role: options.role,
+      domain: options.domain,
       peer,
       client: peer.replace('7100', '7000'),
       seeds: [],
-      ...(x.disk ? { data: name } : {}),
+      ...(options.disk ? { data: name } : {}),
     };
     const node: SimNode = {
       name,
       config,
-      skewMs: x.skewMs ?? 0,
+      skewMs: options.skewMs ?? 0,
       life: 0,
       up: false,
       frozen: false,
@@ -264,51 +278,54 @@
       streams: new Set(),
     };
     this.nodes.set(name, node);
-    this.byPeer.set(peer, node);
-    this.byClient.set(config.client, node);
+    this.nodesByPeerAddress.set(peer, node);
+    this.nodesByClientAddress.set(config.client, node);
     return node;
   }
 
   get(name: string): SimNode {
     const n = this.nodes.get(name);
-    if (!n) throw new Error(`no node ${name}`);
+    if (!n) throw new Error(`unknown node ${name}`);
     return n;
   }
 
-  private work(n: SimNode, life: number, fn: () => void): void {
-    if (!n.up || n.life !== life) return;
+  /** Runs a callback in a node's process: dropped if that process has ended, deferred while it is frozen. */
+  private runOnNode(n: SimNode, incarnation: number, fn: () => void): void {
+    if (!n.up || n.life !== incarnation) return;
     if (n.frozen) {
-      n.frozenWork.push(() => this.work(n, life, fn));
+      n.frozenWork.push(() => this.runOnNode(n, incarnation, fn));
       return;
     }
     fn();
   }
 
-  /** The way there (or back) takes this long; a lost packet is sent again after 200 ms and more. */
-  private way(slow = 0): number {
-    let d = this.delay[0] + (this.delay[1] - this.delay[0]) * this.random.next() + slow * this.random.next();
-    for (let back = 200; this.random.next() < this.loss && back < 4_000; back *= 2) d += back;
-    return d;
+  /** Draws a one-way delay. A lost packet is retransmitted after 200 ms, doubled with each further loss. */
+  private drawDelayMs(extraMs = 0): number {
+    let delayMs = this.delay[0] + (this.delay[1] - this.delay[0]) * this.random.next() + extraMs * this.random.next();
+    for (let retransmitMs = 200; this.random.next() < this.loss && retransmitMs < 4_000; retransmitMs *= 2)
+      delayMs += retransmitMs;
+    return delayMs;
   }
 
-  /** When the last frame on each connection arrives: peers have one to each other each way, and what is written to it keeps its order. */
+  /** Arrival time of the last frame on each connection. Each pair of peers has one connection per direction, which preserves order. */
   private arrivals = new Map<string, number>();
-  private inOrder(conn: string, way: number): number {
-    const at = Math.max(this.now + way, this.arrivals.get(conn) ?? 0);
-    this.arrivals.set(conn, at);
-    return at - this.now;
+  /** The delay after which a frame arrives, at the earliest with the frame before it on the connection. */
+  private orderedDelayMs(conn: string, delayMs: number): number {
+    const arrivesAt = Math.max(this.now + delayMs, this.arrivals.get(conn) ?? 0);
+    this.arrivals.set(conn, arrivesAt);
+    return arrivesAt - this.now;
   }
 
-  /** Puts a frame through a machine's link and processor; gives how long it takes from now, after what came before it. */
-  private through(n: SimNode, bytes: number, direction: 'inUntil' | 'outUntil'): number {
+  /** Queues a frame on a machine's link and CPU; returns the time until it has passed both, behind earlier frames. */
+  private queueFrameMs(n: SimNode, bytes: number, direction: 'inUntil' | 'outUntil'): number {
     if (this.measure) {
       n.frames.n++;
       n.frames.bytes += bytes;
     }
     const { load, busy } = n;
     if (!load) return 0;
-    const core = (FRAME_CORE_MS + (FRAME_CORE_MS_PER_KIB * bytes) / 1024) / load.coreShare;
-    busy.coreUntil = Math.max(this.now, busy.coreUntil) + core;
+    const coreMs = (FRAME_CORE_MS + (FRAME_CORE_MS_PER_KIB * bytes) / 1024) / load.coreShare;
+    busy.coreUntil = Math.max(this.now, busy.coreUntil) + coreMs;
     busy[direction] = Math.max(this.now, busy[direction]) + bytes / load.linkBytesPerMs;
     return Math.max(busy.coreUntil, busy[direction]) - this.now;
   }
@@ -316,19 +333,21 @@
   private isCut(a: string, b: string): boolean {
     return this.cuts.has(`${a}>${b}`);
   }
-  /** Nothing arrives from a at b (and from b at a). */
+  /** Drops all messages from a to b and, with `both`, from b to a. */
   cut(a: string, b: string, both = true): void {
     this.cuts.add(`${a}>${b}`);
     if (both) this.cuts.add(`${b}>${a}`);
   }
+  /** Removes the cuts between a and b. */
   mend(a: string, b: string): void {
     this.cuts.delete(`${a}>${b}`);
     this.cuts.delete(`${b}>${a}`);
   }
+  /** Removes all cuts. */
   heal(): void {
     this.cuts.clear();
   }
-  /** Whether some machine or way is worse than it should be. */
+  /** Whether any machine or link is degraded: loss, cuts, high delay, or a slow or stalling disk. */
   rough(): boolean {
     return (
       this.loss > 0 ||
@@ -340,79 +359,79 @@
 
   async start(n: SimNode): Promise<void> {
     if (n.up) return;
-    const life = ++n.life;
+    const incarnation = ++n.life;
     n.up = true;
     n.frozen = false;
     n.frozenWork = [];
     const random = seeded(Math.floor(this.random.next() * 2 ** 32));
-    // A wrong rate begins where the clock stands; timers run at it too.
+    // Timers run at the clock's rate too; setRate keeps the clock continuous when it changes.
     const clock: Clock = {
       now: () => EPOCH_MS + this.now * n.rate + n.skewMs,
       wall: () => clock.now() + n.stepMs,
-      after: (ms, fn) => this.at(ms / n.rate + n.slowMs * random.next(), () => this.work(n, life, fn)),
+      after: (ms, fn) => this.at(ms / n.rate + n.slowMs * random.next(), () => this.runOnNode(n, incarnation, fn)),
     };
     const net: Net = {
       serve: async (h) => {
         n.handle = h;
       },
-      call: (peer, frame, timeoutMs) => this.call(n, life, peer, frame, timeoutMs),
+      call: (peer, frame, timeoutMs) => this.call(n, incarnation, peer, frame, timeoutMs),
       close: async () => {
         n.handle = undefined;
       },
     };
-    const note =
-      (kind: string) =>
+    const logger =
+      (prefix: string) =>
       (line: string, data?: Record<string, unknown>): void => {
-        const s = `${(this.now / 1000).toFixed(3)} ${n.name} ${kind}${line} ${data ? JSON.stringify(data) : ''}`;
-        this.lines.push(s);
-        if (this.opts.log) process.stdout.write(s + '\n');
-        if (data && (data.fault as { tag?: string } | undefined)?.tag === 'internal') this.errors.push(s);
+        const entry = `${(this.now / 1000).toFixed(3)} ${n.name} ${prefix}${line} ${data ? JSON.stringify(data) : ''}`;
+        this.lines.push(entry);
+        if (this.opts.log) process.stdout.write(entry + '\n');
+        if (data && (data.fault as { tag?: string } | undefined)?.tag === 'internal') this.errors.push(entry);
       };
     const host: Host = {
       clock,
       random,
       net,
       config: n.config,
-      log: { info: note(''), warn: note('! ') },
+      log: { info: logger(''), warn: logger('! ') },
       terminate: () => this.kill(n),
     };
     if (n.config.data && n.disk !== undefined && n.fullDisk) {
-      // The product's programs: a relay goes on without a disk until there is room again, others end.
+      // As in production: a relay runs without its disk until there is space again; other roles exit.
       if (n.config.role !== 'relay') {
         this.kill(n);
         return;
       }
     } else if (n.config.data) {
-      n.db = host.db = this.openDisk(n, this.blocking(n, life, clock, random), random, host.log);
+      n.db = host.db = this.openDisk(n, this.blockingClock(n, incarnation, clock, random), random, host.log);
     }
     const { kernel, edge } = await startNode(host);
     n.kernel = kernel;
     n.edge = edge;
   }
 
-  /** A node's clock under which a sync may stop the whole loop: nothing else of it runs meanwhile, and only then is it done. */
-  private blocking(n: SimNode, life: number, clock: Clock, random: RandomSource): Clock {
+  /** A node's clock for disk syncs that, with `syncStallMs`, freezes the node's event loop until the sync is done. */
+  private blockingClock(n: SimNode, incarnation: number, clock: Clock, random: RandomSource): Clock {
     return {
       ...clock,
       after: (ms, fn) =>
         clock.after(ms, () => {
-          const by = n.stallMs;
-          if (!by) {
+          const range = n.stallMs;
+          if (!range) {
             fn();
             return;
           }
           n.frozen = true;
-          this.at(by[0] + (by[1] - by[0]) * random.next(), () => {
-            if (!n.up || n.life !== life) return;
+          this.at(range[0] + (range[1] - range[0]) * random.next(), () => {
+            if (!n.up || n.life !== incarnation) return;
             n.frozen = false;
             fn();
-            this.runFrozen(n);
+            this.runDeferredWork(n);
           });
         }),
     };
   }
 
-  /** Opens a node's disk. */
+  /** Opens a node's database: in memory, or on a simulated disk with `SimOpts.files`. */
   private openDisk(n: SimNode, clock: Clock, random: RandomSource, log: Log): SyncedDatabase | undefined {
     const onFault = (e: Error): void => {
       this.lines.push(`${(this.now / 1000).toFixed(3)} ${n.name} disk fault: ${e.message}`);
@@ -420,13 +439,13 @@
       this.kill(n);
     };
     const syncMs = (): number => n.diskMs * (0.5 + random.next());
-    if (this.folder === undefined) {
+    if (this.directory === undefined) {
       n.sql ??= new Database(':memory:');
       const db = new SyncedDatabase(n.sql, clock, syncMs, onFault, n.config.peer);
       db.openMs = n.diskMs;
       return db;
     }
-    n.disk ??= new SimDisk(join(this.folder, n.name), {
+    n.disk ??= new SimDisk(join(this.directory, n.name), {
       afterSync: (fn) => void this.at(n.diskMs * (0.5 + this.random.next()), fn),
     });
     const db = n.disk.open(clock, log, onFault, n.config.peer);
@@ -435,7 +454,10 @@
     return db;
   }
 
-  /** Ends the process at once. In memory what was not synced is lost, so that it serves for a loss of power too; files stay. */
+  /**
+   * Kills the process. An in-memory database loses what was not synced, so that this simulates a power loss too; files keep all
+   * writes.
+   */
   kill(n: SimNode): void {
     if (!n.up) return;
     n.up = false;
@@ -452,38 +474,38 @@
     n.streams.clear();
   }
 
-  /** The machine loses power: what its disk had not synced may be gone. */
+  /** Power loss: the process ends, and unsynced writes of its disk may be lost. */
   losePower(n: SimNode): void {
     if (n.up) n.disk?.losePower(this.random);
     this.kill(n);
   }
 
-  /** SIGTERM, and the hard kill 6 s later. Gives whether it left by itself. */
+  /** Sends SIGTERM and kills the process 6 s later. Returns whether it stopped by itself. */
   async stop(n: SimNode): Promise<boolean> {
-    const life = n.life;
-    let left = false;
-    const hard = this.at(6_000, () => {
-      if (n.life === life) this.kill(n);
+    const incarnation = n.life;
+    let stopped = false;
+    const cancelKill = this.at(6_000, () => {
+      if (n.life === incarnation) this.kill(n);
     });
-    const k = n.kernel!;
+    const kernel = n.kernel!;
     const sql = n.sql;
-    // The process's own bound, as in the program.
+    // Gives up waiting once the process has been killed, as the production program does.
     await Promise.race([
       (async () => {
-        await (n.disk ? k.stop() : stopButDisk(k));
-        left = true;
+        await (n.disk ? kernel.stop() : stopKeepingDatabase(kernel));
+        stopped = true;
       })(),
       new Promise<void>((r) => {
         this.at(6_001, r);
       }),
     ]);
-    hard();
-    if (n.life === life) this.kill(n);
+    cancelKill();
+    if (n.life === incarnation) this.kill(n);
     n.sql = sql;
-    return left;
+    return stopped;
   }
 
-  /** The disk dies with all that is on it; the machine comes back with an empty one, if at all. */
+  /** Kills the process and erases its disk; a later start finds an empty one. */
   loseDisk(n: SimNode): void {
     this.kill(n);
     n.disk?.wipe();
@@ -491,87 +513,94 @@
     n.sql = undefined;
   }
 
-  /** No more room on the disk, or room again. */
+  /** Makes the disk full, or frees space on it again. */
   fillDisk(n: SimNode, full: boolean): void {
     n.fullDisk = full;
-    const runsWithout = n.up && n.config.data !== undefined && n.kernel !== undefined && !n.kernel.host.db;
-    if (!full && runsWithout) void this.stop(n).then(() => this.start(n));
+    const runsWithoutDisk = n.up && n.config.data !== undefined && n.kernel !== undefined && !n.kernel.host.db;
+    if (!full && runsWithoutDisk) void this.stop(n).then(() => this.start(n));
     if (n.sql?.open)
       n.sql.pragma(`max_page_count = ${full ? Number(n.sql.pragma('page_count', { simple: true })) : 1_073_741_823}`);
   }
 
+  /** Suspends the process, like SIGSTOP. */
   freeze(n: SimNode): void {
     if (n.up) n.frozen = true;
   }
+  /** Resumes a suspended process. */
   thaw(n: SimNode): void {
     if (!n.frozen) return;
     n.frozen = false;
-    this.runFrozen(n);
+    this.runDeferredWork(n);
   }
-  private runFrozen(n: SimNode): void {
-    const w = n.frozenWork;
+  private runDeferredWork(n: SimNode): void {
+    const deferred = n.frozenWork;
     n.frozenWork = [];
-    for (const f of w) this.at(this.random.next(), f);
+    for (const fn of deferred) this.at(this.random.next(), fn);
   }
-  /** From now on the node's clock runs at this rate; it goes on from where it stands. */
+  /** Sets the rate of the node's clock; its current reading does not jump. */
   setRate(n: SimNode, rate: number): void {
     n.skewMs += this.now * (n.rate - rate);
     n.rate = rate;
   }
 
-  private call(from: SimNode, life: number, peer: string, frame: string, timeoutMs: number): Promise<string> {
-    const to = this.byPeer.get(peer);
-    let m = '';
+  private call(from: SimNode, incarnation: number, peer: string, frame: string, timeoutMs: number): Promise<string> {
+    const to = this.nodesByPeerAddress.get(peer);
+    let method = '';
     if (this.measure) {
-      m = /^(\w+) /.exec(frame)?.[1] ?? '?';
-      const t = this.traffic.get(m) ?? { n: 0, bytes: 0 };
-      this.traffic.set(m, { n: t.n + 1, bytes: t.bytes + frame.length });
+      method = /^(\w+) /.exec(frame)?.[1] ?? '?';
+      const t = this.traffic.get(method) ?? { n: 0, bytes: 0 };
+      this.traffic.set(method, { n: t.n + 1, bytes: t.bytes + frame.length });
     }
     return new Promise((res, rej) => {
-      let over = false;
-      let broken = (): void => {};
-      const end = (fn: () => void): void => {
-        if (over) return;
-        over = true;
-        stop();
-        to?.calls.delete(broken);
-        this.work(from, life, fn);
+      let settled = false;
+      let reset = (): void => {};
+      const settle = (fn: () => void): void => {
+        if (settled) return;
+        settled = true;
+        cancelTimeout();
+        to?.calls.delete(reset);
+        this.runOnNode(from, incarnation, fn);
       };
-      const stop = this.at(timeoutMs, () => end(() => rej(new HarecrossError({ tag: 'timeout', step: 'call', peer }))));
+      const cancelTimeout = this.at(timeoutMs, () =>
+        settle(() => rej(new HarecrossError({ tag: 'timeout', step: 'call', peer }))),
+      );
       if (!to) {
         this.at(1, () =>
-          end(() => rej(new HarecrossError({ tag: 'unreachable', step: 'call', peer, detail: 'no route' }))),
+          settle(() => rej(new HarecrossError({ tag: 'unreachable', step: 'call', peer, detail: 'no route' }))),
         );
         return;
       }
-      const conn = `${from.name}/${life}>${to.name}/${to.life}`;
-      const leaves = this.through(from, frame.length, 'outUntil');
-      this.at(this.inOrder(conn, leaves + this.way(from.slowMs + to.slowMs)), () => {
-        if (this.isCut(from.name, to.name)) return; // silence until the time limit
+      const conn = `${from.name}/${incarnation}>${to.name}/${to.life}`;
+      const sendMs = this.queueFrameMs(from, frame.length, 'outUntil');
+      this.at(this.orderedDelayMs(conn, sendMs + this.drawDelayMs(from.slowMs + to.slowMs)), () => {
+        if (this.isCut(from.name, to.name)) return; // the message is lost; the caller times out
         if (!to.up || !to.handle) {
-          this.at(this.way(), () =>
-            end(() => rej(new HarecrossError({ tag: 'unreachable', step: 'call', peer, detail: 'refused' }))),
+          this.at(this.drawDelayMs(), () =>
+            settle(() => rej(new HarecrossError({ tag: 'unreachable', step: 'call', peer, detail: 'refused' }))),
           );
           return;
         }
-        const toLife = to.life;
-        broken = () => {
-          this.at(this.way(), () => {
+        const receiverIncarnation = to.life;
+        reset = () => {
+          this.at(this.drawDelayMs(), () => {
             if (!this.isCut(to.name, from.name))
-              end(() => rej(new HarecrossError({ tag: 'cut', step: 'call', peer, detail: 'reset' })));
+              settle(() => rej(new HarecrossError({ tag: 'cut', step: 'call', peer, detail: 'reset' })));
           });
         };
-        to.calls.add(broken);
-        this.loaded(to, frame.length, () =>
-          this.work(to, toLife, () => {
+        to.calls.add(reset);
+        this.whenReceived(to, frame.length, () =>
+          this.runOnNode(to, receiverIncarnation, () => {
             to.handle!(frame).then(
               (s) => {
-                if (m) this.answers.set(m, (this.answers.get(m) ?? 0) + s.length);
-                if (!to.up || to.life !== toLife) return;
-                const answered = this.through(to, s.length, 'outUntil');
-                this.at(this.inOrder(`${conn} back`, answered + this.way(from.slowMs + to.slowMs)), () => {
-                  if (!this.isCut(to.name, from.name)) this.loaded(from, s.length, () => end(() => res(s)));
-                });
+                if (method) this.answers.set(method, (this.answers.get(method) ?? 0) + s.length);
+                if (!to.up || to.life !== receiverIncarnation) return;
+                const responseSendMs = this.queueFrameMs(to, s.length, 'outUntil');
+                this.at(
+                  this.orderedDelayMs(`${conn} back`, responseSendMs + this.drawDelayMs(from.slowMs + to.slowMs)),
+                  () => {
+                    if (!this.isCut(to.name, from.name)) this.whenReceived(from, s.length, () => settle(() => res(s)));
+                  },
+                );
               },
               (e) => {
                 this.errors.push(`${to.name} handler: ${e}`);
@@ -583,14 +612,14 @@
     });
   }
 
-  /** Does something with a frame that has arrived, once the machine has come to it; at once where frames cost nothing. */
-  private loaded(n: SimNode, bytes: number, fn: () => void): void {
-    const ms = this.through(n, bytes, 'inUntil');
+  /** Runs a callback once a machine has processed an incoming frame; at once if it has no `capacity`. */
+  private whenReceived(n: SimNode, bytes: number, fn: () => void): void {
+    const ms = this.queueFrameMs(n, bytes, 'inUntil');
     if (ms > 0) this.at(ms, fn);
     else fn();
   }
 
-  /** The outside's way in. `outside` is the name cuts use for it. */
+  /** How simulated clients reach the fleet. */
   readonly outside: Way = {
     nodes: (domain) =>
       [...this.nodes.values()]
@@ -605,55 +634,58 @@
         .map((n) => n.config.client),
     visit: (node, method, body, timeoutMs, line) =>
       new Promise((res) => {
-        const to = this.byClient.get(node)!;
-        const life = to.life;
-        let over = false;
-        const end = (x: { status: number; body: Json } | undefined): void => {
-          if (!over) {
-            over = true;
-            stop();
-            to.calls.delete(broken);
-            res(x);
+        const to = this.nodesByClientAddress.get(node)!;
+        const incarnation = to.life;
+        let settled = false;
+        const settle = (response: { status: number; body: Json } | undefined): void => {
+          if (!settled) {
+            settled = true;
+            cancelTimeout();
+            to.calls.delete(reset);
+            res(response);
           }
         };
-        const broken = (): void => {
-          this.at(this.way(), () => end(undefined));
+        const reset = (): void => {
+          this.at(this.drawDelayMs(), () => settle(undefined));
         };
-        const stop = this.at(timeoutMs, () => end(undefined));
-        const sent = JSON.stringify(body);
-        let way = this.way(to.slowMs);
-        // What is written to one connection arrives in order.
+        const cancelTimeout = this.at(timeoutMs, () => settle(undefined));
+        const requestJson = JSON.stringify(body);
+        let delayMs = this.drawDelayMs(to.slowMs);
+        // Requests on one connection arrive in order.
         if (line) {
-          way = Math.max(way, line.at - this.now);
-          line.at = this.now + way;
+          delayMs = Math.max(delayMs, line.at - this.now);
+          line.at = this.now + delayMs;
         }
-        const back = (w: number): number => (line ? this.inOrder(`${node} ${line.name} back`, w) : w);
-        this.at(way, () => {
-          if (!to.up || to.life !== life || !to.edge) {
-            end(undefined);
+        const responseDelayMs = (ms: number): number =>
+          line ? this.orderedDelayMs(`${node} ${line.name} back`, ms) : ms;
+        this.at(delayMs, () => {
+          if (!to.up || to.life !== incarnation || !to.edge) {
+            settle(undefined);
             return;
           }
-          to.calls.add(broken);
-          const taken = (): void => {
-            void to.edge!.visit(method, JSON.parse(sent)).then((r) => {
-              if (!to.up || to.life !== life) return;
-              const raw = JSON.stringify(r.body);
-              this.at(back(this.way(to.slowMs)), () => end({ status: r.status, body: JSON.parse(raw) }));
+          to.calls.add(reset);
+          const handleRequest = (): void => {
+            void to.edge!.visit(method, JSON.parse(requestJson)).then((r) => {
+              if (!to.up || to.life !== incarnation) return;
+              const responseJson = JSON.stringify(r.body);
+              this.at(responseDelayMs(this.drawDelayMs(to.slowMs)), () =>
+                settle({ status: r.status, body: JSON.parse(responseJson) }),
+              );
             });
           };
-          line?.waiting.push(taken);
-          // Work of a node that stood still is done in any order, but a connection is read from its beginning.
-          this.work(to, life, () => {
-            (line ? line.waiting.shift()! : taken)();
+          line?.waiting.push(handleRequest);
+          // Deferred work of a frozen node runs in any order, but the requests of one connection must be read in order.
+          this.runOnNode(to, incarnation, () => {
+            (line ? line.waiting.shift()! : handleRequest)();
           });
         });
       }),
     attach: (node, body, onFrame, onEnd) => {
-      const to = this.byClient.get(node)!;
-      const life = to.life;
+      const to = this.nodesByClientAddress.get(node)!;
+      const incarnation = to.life;
       let closed = false;
       let id = '';
-      let last = 0;
+      let lastArrival = 0;
       const ended = (): void => {
         if (closed) return;
         closed = true;
@@ -661,50 +693,50 @@
         onEnd();
       };
       const reset = (): void => {
-        this.at(this.way(), ended);
+        this.at(this.drawDelayMs(), ended);
       };
-      const name = (body as { consumer?: string }).consumer ?? '';
-      this.deaf.delete(name);
-      // One stream is one TCP connection: what is written arrives in order.
+      const consumer = (body as { consumer?: string }).consumer ?? '';
+      this.deaf.delete(consumer);
+      // A stream is one TCP connection, so frames arrive in order.
       const toClient = (fn: () => void): void => {
-        const t = Math.max(last, this.now + this.way(to.slowMs));
-        last = t;
-        this.at(t - this.now, fn);
+        const arrivesAt = Math.max(lastArrival, this.now + this.drawDelayMs(to.slowMs));
+        lastArrival = arrivesAt;
+        this.at(arrivesAt - this.now, fn);
       };
-      this.at(this.way(to.slowMs), () => {
+      this.at(this.drawDelayMs(to.slowMs), () => {
         if (closed) return;
-        if (!to.up || to.life !== life || !to.edge) {
+        if (!to.up || to.life !== incarnation || !to.edge) {
           ended();
           return;
         }
         to.streams.add(reset);
-        this.work(to, life, () => {
+        this.runOnNode(to, incarnation, () => {
           if (closed) return;
-          const rate = this.thin.get(name);
+          const rate = this.thin.get(consumer);
           let backlog = 0;
           const r = to.edge!.attach(body, {
             write: (frames) => {
               const s = serializeFrames(frames);
               if (rate !== undefined) {
                 backlog += s.length;
-                last = Math.max(last, this.now) + (s.length / rate) * 1000;
+                lastArrival = Math.max(lastArrival, this.now) + (s.length / rate) * 1000;
                 toClient(() => {
-                  const was = backlog;
+                  const backlogBefore = backlog;
                   backlog -= s.length;
-                  if (was > 65_536 && backlog <= 65_536)
-                    this.work(to, life, () => {
+                  if (backlogBefore > 65_536 && backlog <= 65_536)
+                    this.runOnNode(to, incarnation, () => {
                       if (id) to.edge!.drained(id);
                     });
                 });
               }
               toClient(() => {
                 for (const line of s.split('\n'))
-                  if (line && !closed && !this.deaf.has(name)) onFrame(JSON.parse(line) as Frame);
+                  if (line && !closed && !this.deaf.has(consumer)) onFrame(JSON.parse(line) as Frame);
               });
               return backlog <= 65_536;
             },
             close: () => {
-              // The machine's system still sends what was written before a close, also when the process ends right after it.
+              // The operating system still sends what was written before the close, even if the process ends right after it.
               to.streams.delete(reset);
               toClient(ended);
             },
@@ -717,9 +749,9 @@
         if (closed) return;
         closed = true;
         to.streams.delete(reset);
-        // The node sees the close unless it is gone; frozen ones see it later.
-        this.at(this.way(), () =>
-          this.work(to, life, () => {
+        // The node is notified of the close unless its process has ended; a frozen node once it resumes.
+        this.at(this.drawDelayMs(), () =>
+          this.runOnNode(to, incarnation, () => {
             if (id) to.edge!.gone(id);
           }),
         );
@@ -727,7 +759,7 @@
     },
   };
 
-  /** Resets conns of callers; the callers come back by themselves. */
+  /** Resets a random share of the client streams; clients reconnect by themselves. */
   resetStreams(share: number): void {
     for (const n of this.nodes.values())
       for (const f of Array.from(n.streams))
@@ -737,17 +769,18 @@
         }
   }
 
+  /** Kills all nodes and removes their files. */
   close(): void {
     for (const n of this.nodes.values()) {
       this.kill(n);
       if (n.sql?.open) n.sql.close();
     }
-    if (this.folder !== undefined) rmSync(this.folder, { recursive: true, force: true });
+    if (this.directory !== undefined) rmSync(this.directory, { recursive: true, force: true });
   }
 }
 
-/** Stops a kernel but leaves its database open for the next life. */
-async function stopButDisk(kernel: Kernel): Promise<void> {
+/** Stops a kernel but keeps its database open for the next start. */
+async function stopKeepingDatabase(kernel: Kernel): Promise<void> {
   const db = kernel.host.db;
   (kernel.host as { db?: SyncedDatabase }).db = undefined;
   await kernel.stop();
--- a/packages/trial/src/storm.ts
+++ b/packages/trial/src/storm.ts
@@ -3,60 +3,60 @@
 import { configOf, type Scenario, type Site, type Stage } from './scenario.js';
 import { seeded, type SimNode } from './sim.js';
 
-/** One fault of a storm: when it begins, what it is, and the number by which it picks its victims. */
+/** A scheduled fault: its start in ms, its name in `FAULTS`, and the random seed that selects its targets. */
 export interface Step {
   at: number;
   fault: string;
   pick: number;
 }
 
-const pause = (s: Stage, ms: number): Promise<void> => sleep(s.sim.clock, ms);
-const ups = (ns: SimNode[]): SimNode[] => ns.filter((n) => n.up && !n.frozen);
-/** A machine with a disk that may go for a while: one at a time, so that a majority of everything stays. */
-const free = (s: Stage, ns: SimNode[]): SimNode[] => {
+const wait = (s: Stage, ms: number): Promise<void> => sleep(s.sim.clock, ms);
+const running = (nodes: SimNode[]): SimNode[] => nodes.filter((n) => n.up && !n.frozen);
+/** The running nodes that may be taken down now: none while two or more nodes with a disk are down, so that majorities remain. */
+const expendable = (s: Stage, nodes: SimNode[]): SimNode[] => {
   const down = s.disks.filter((n) => !n.up || n.frozen).length;
-  return down >= 2 ? [] : ups(ns);
+  return down >= 2 ? [] : running(nodes);
 };
 
 type Fault = (s: Stage, random: { next(): number }) => Promise<void>;
-const any = <T>(random: { next(): number }, xs: T[]): T | undefined => xs[Math.floor(random.next() * xs.length)];
-/** The configuration as the day has it: faults that change it must not undo each other's families for good. */
-const extra = (s: Stage, name: string) =>
+const pickRandom = <T>(random: { next(): number }, xs: T[]): T | undefined => xs[Math.floor(random.next() * xs.length)];
+/** The deployment's configuration with one more family. It keeps the deployment's own families, so that overlapping faults do not remove them for good. */
+const withFamily = (s: Stage, name: string) =>
   configOf(s.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
 
-/** One of these machines is killed and comes back. */
-async function killed(s: Stage, random: { next(): number }, ns: SimNode[]): Promise<void> {
-  const n = any(random, free(s, ns));
+/** Kills one of these nodes and restarts it after 0.5 to 5.5 s. */
+async function killAndRestart(s: Stage, random: { next(): number }, nodes: SimNode[]): Promise<void> {
+  const n = pickRandom(random, expendable(s, nodes));
   if (!n) return;
   s.note(`kill ${n.name}`);
   s.sim.kill(n);
-  await pause(s, 500 + 5_000 * random.next());
+  await wait(s, 500 + 5_000 * random.next());
   await s.sim.start(n);
 }
 
-/** Faults that may come at once; each ends by itself and leaves the fleet whole. */
+/** Faults that may overlap. Each one ends by itself and leaves the fleet intact. */
 export const FAULTS = new Map<string, Fault>([
-  ['kill-store', (s, random) => killed(s, random, s.stores)],
-  ['kill-relay', (s, random) => killed(s, random, s.relays)],
+  ['kill-store', (s, random) => killAndRestart(s, random, s.stores)],
+  ['kill-relay', (s, random) => killAndRestart(s, random, s.relays)],
   [
     'lose-disk',
     async (s, random) => {
-      const n = any(random, free(s, s.stores));
+      const n = pickRandom(random, expendable(s, s.stores));
       if (!n) return;
       s.note(`disk of ${n.name} dies`);
       s.sim.loseDisk(n);
-      await pause(s, 2_000 + 3_000 * random.next());
+      await wait(s, 2_000 + 3_000 * random.next());
       await s.sim.start(n);
     },
   ],
   [
     'restart',
     async (s, random) => {
-      const n = any(random, free(s, [...s.stores, ...s.relays]));
+      const n = pickRandom(random, expendable(s, [...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`stop ${n.name}`);
       await s.sim.stop(n);
-      await pause(s, 1_500);
+      await wait(s, 1_500);
       await s.sim.start(n);
     },
   ],
@@ -64,75 +64,75 @@
     'roll',
     async (s, random) => {
       for (const n of [...s.stores].sort(() => random.next() - 0.5)) {
-        if (!n.up || n.frozen || !free(s, [n]).length) continue;
+        if (!n.up || n.frozen || !expendable(s, [n]).length) continue;
         s.note(`roll ${n.name}`);
         await s.sim.stop(n);
-        await pause(s, 1_500);
+        await wait(s, 1_500);
         await s.sim.start(n);
-        await pause(s, 3_000);
+        await wait(s, 3_000);
       }
     },
   ],
   [
     'freeze',
     async (s, random) => {
-      const n = any(random, free(s, [...s.stores, ...s.relays]));
+      const n = pickRandom(random, expendable(s, [...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`freeze ${n.name}`);
       s.sim.freeze(n);
-      await pause(s, 1_000 + 6_000 * random.next());
+      await wait(s, 1_000 + 6_000 * random.next());
       s.sim.thaw(n);
     },
   ],
   [
     'slow',
     async (s, random) => {
-      const n = any(random, ups([...s.stores, ...s.relays]));
+      const n = pickRandom(random, running([...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`${n.name} is slow in bursts`);
       for (let i = 0; i < 4; i++) {
         n.slowMs = 200;
         n.diskMs = 150;
-        await pause(s, 300 + 1_500 * random.next());
+        await wait(s, 300 + 1_500 * random.next());
         n.slowMs = 0;
         n.diskMs = 2;
-        await pause(s, 300 + 700 * random.next());
+        await wait(s, 300 + 700 * random.next());
       }
     },
   ],
   [
     'stall',
     async (s, random) => {
-      const n = any(random, ups(s.disks));
+      const n = pickRandom(random, running(s.disks));
       if (!n) return;
       s.note(`syncs of ${n.name} stop its loop`);
       n.stallMs = [1_000, 3_000];
-      await pause(s, 6_000);
+      await wait(s, 6_000);
       n.stallMs = undefined;
     },
   ],
   [
     'cut',
     async (s, random) => {
-      const n = any(random, free(s, [...s.stores, ...s.relays]));
+      const n = pickRandom(random, expendable(s, [...s.stores, ...s.relays]));
       if (!n) return;
       s.note(`cut off ${n.name}`);
       const both = random.next() < 0.5;
       const others = [...s.sim.nodes.values()].filter((o) => o !== n);
       for (const o of others) s.sim.cut(n.name, o.name, both);
-      await pause(s, 2_000 + 6_000 * random.next());
+      await wait(s, 2_000 + 6_000 * random.next());
       for (const o of others) s.sim.mend(n.name, o.name);
     },
   ],
   [
     'link',
     async (s, random) => {
-      const r = any(random, ups(s.relays));
-      const d = any(random, ups(s.stores));
+      const r = pickRandom(random, running(s.relays));
+      const d = pickRandom(random, running(s.stores));
       if (!r || !d) return;
       s.note(`the link between ${r.name} and ${d.name} breaks`);
       s.sim.cut(r.name, d.name);
-      await pause(s, 8_000);
+      await wait(s, 8_000);
       s.sim.mend(r.name, d.name);
     },
   ],
@@ -140,21 +140,21 @@
     'loss',
     async (s) => {
       s.note('links lose packets');
-      const was = s.sim.loss;
+      const lossBefore = s.sim.loss;
       s.sim.loss = 0.05;
-      await pause(s, 6_000);
-      s.sim.loss = was;
+      await wait(s, 6_000);
+      s.sim.loss = lossBefore;
     },
   ],
   [
     'power',
     async (s) => {
       s.note('all power fails');
-      const here = [...s.sim.nodes.values()].filter((n) => n.up);
-      for (const n of here) s.sim.kill(n);
-      await pause(s, 1_500);
-      for (const n of here) await s.sim.start(n);
-      await pause(s, 4_000);
+      const powered = [...s.sim.nodes.values()].filter((n) => n.up);
+      for (const n of powered) s.sim.kill(n);
+      await wait(s, 1_500);
+      for (const n of powered) await s.sim.start(n);
+      await wait(s, 4_000);
     },
   ],
   [
@@ -162,93 +162,93 @@
     async (s) => {
       for (let i = 0; i < 6; i++) {
         s.sim.resetStreams(0.1);
-        await pause(s, 400);
+        await wait(s, 400);
       }
       s.note('mass reset');
       s.sim.resetStreams(0.97);
-      await pause(s, 2_000);
+      await wait(s, 2_000);
     },
   ],
   [
     'crowd',
     async (s, random) => {
       s.note('a crowd arrives at once');
-      const k = s.sim.now.toFixed(0);
-      const more = Array.from(
+      const suffix = s.sim.now.toFixed(0);
+      const newConsumers = Array.from(
         { length: 150 },
         (_, i) =>
           new Consumer(
             s.world,
-            `crowd${k}-${i}`,
-            any(random, s.site.domains)!,
+            `crowd${suffix}-${i}`,
+            pickRandom(random, s.site.domains)!,
             [s.crowd.topics[i % s.crowd.topics.length]!],
             { jitterMs: 50 },
           ),
       );
-      for (const c of more) c.start();
-      await pause(s, 6_000);
-      for (const c of more) c.stop();
+      for (const c of newConsumers) c.start();
+      await wait(s, 6_000);
+      for (const c of newConsumers) c.stop();
     },
   ],
   [
     'move',
     async (s, random) => {
-      const [from, to] = [any(random, s.site.domains)!, any(random, s.site.domains)!];
+      const [from, to] = [pickRandom(random, s.site.domains)!, pickRandom(random, s.site.domains)!];
       s.note(`the callers of ${from} move to ${to}`);
       for (const c of s.crowd.consumers)
         if (c.domain === from) {
           c.domain = to;
           c.drop('moved');
         }
-      await pause(s, 3_000);
+      await wait(s, 3_000);
     },
   ],
   [
     'vanish',
     async (s, random) => {
       s.note('phones vanish without closing');
-      const gone = s.crowd.consumers.filter(() => random.next() < 0.3);
-      for (const c of gone) c.vanish();
-      await pause(s, 3_000 + 6_000 * random.next());
-      for (const c of gone) c.start();
+      const vanished = s.crowd.consumers.filter(() => random.next() < 0.3);
+      for (const c of vanished) c.vanish();
+      await wait(s, 3_000 + 6_000 * random.next());
+      for (const c of vanished) c.start();
     },
   ],
   [
     'operators',
     async (s, random) => {
-      const op = s.crowd.operator;
-      const k = s.sim.now.toFixed(0);
+      const operator = s.crowd.operator;
+      const suffix = s.sim.now.toFixed(0);
       for (let i = 0; i < 2; i++) {
-        const v = await op.read();
+        const version = await operator.read();
         await Promise.all([
-          op.submit(`a${k}-${i}`, extra(s, `a${i}`), true, v),
-          op.submit(`b${k}-${i}`, extra(s, `b${i}`), true, v),
-          op.submit(`bad${k}-${i}`, { families: [{ name: random.next() }] }, false),
+          operator.submit(`a${suffix}-${i}`, withFamily(s, `a${i}`), true, version),
+          operator.submit(`b${suffix}-${i}`, withFamily(s, `b${i}`), true, version),
+          operator.submit(`bad${suffix}-${i}`, { families: [{ name: random.next() }] }, false),
         ]);
-        await pause(s, 800);
+        await wait(s, 800);
       }
-      await op.submit(`a${k}-0`, extra(s, 'a0'), true);
+      await operator.submit(`a${suffix}-0`, withFamily(s, 'a0'), true);
     },
   ],
   [
     'remove',
     async (s) => {
-      const k = s.sim.now.toFixed(0);
+      const suffix = s.sim.now.toFixed(0);
       const all = configOf(s.site).families;
-      await s.crowd.operator.submit(`remove${k}`, { families: all.slice(0, 1) }, true);
-      await pause(s, 5_000);
-      await s.crowd.operator.submit(`again${k}`, { families: all }, true);
+      await s.crowd.operator.submit(`remove${suffix}`, { families: all.slice(0, 1) }, true);
+      await wait(s, 5_000);
+      await s.crowd.operator.submit(`again${suffix}`, { families: all }, true);
     },
   ],
   [
     'empty',
     async (s, random) => {
-      const n = any(random, ups(s.disks));
+      const n = pickRandom(random, running(s.disks));
       const disk = n?.kernel?.use('register').disk;
       if (!n || !disk) return;
       s.note(`empty the disk of ${n.name}`);
       await s.crowd.operator.ask('EmptyDisk', { disk });
-      await pause(s, 6_000);
+      await wait(s, 6_000);
       await s.crowd.operator.ask('CancelEmpty', { disk });
     },
   ],
@@ -257,31 +257,31 @@
     async (s, random) => {
       const n = s.sim.add(`new${s.sim.nodes.size}`, {
         role: 'store',
-        domain: any(random, s.site.domains)!,
+        domain: pickRandom(random, s.site.domains)!,
         disk: true,
       });
       n.config.seeds = s.stores.slice(0, 3).map((x) => x.config.peer);
       s.note(`${n.name} joins`);
       await s.sim.start(n);
-      await pause(s, 6_000);
+      await wait(s, 6_000);
     },
   ],
   [
     'clock',
     async (s, random) => {
-      const n = any(random, ups([...s.stores, ...s.relays]));
+      const n = pickRandom(random, running([...s.stores, ...s.relays]));
       if (!n) return;
-      const by = (random.next() < 0.5 ? -1 : 1) * (1_000 + 600_000 * random.next());
-      s.note(`the clock of ${n.name} is corrected by ${Math.round(by)} ms and runs 3 % off`);
-      n.stepMs += by;
+      const stepMs = (random.next() < 0.5 ? -1 : 1) * (1_000 + 600_000 * random.next());
+      s.note(`the clock of ${n.name} is corrected by ${Math.round(stepMs)} ms and runs 3 % off`);
+      n.stepMs += stepMs;
       s.sim.setRate(n, random.next() < 0.5 ? 0.97 : 1.03);
-      await pause(s, 8_000);
+      await wait(s, 8_000);
     },
   ],
 ]);
 
-/** Pairs that every sweep begins with; behind them the seed chooses. */
-const FIRST: [string, string][] = [
+/** Pairs for the first seeds, from 1; higher seeds choose at random. */
+const FIXED_PAIRS: [string, string][] = [
   ['lose-disk', 'restart'],
   ['operators', 'roll'],
   ['crowd', 'move'],
@@ -295,15 +295,15 @@
 ];
 
 /**
- * Two faults that overlap, by the seed.
+ * Two overlapping faults, determined by the seed.
  * @example
- * pairOf(1); // a lost disk while another machine restarts
+ * faultPair(1); // a lost disk while another machine restarts
  */
 export function pairOf(seed: number): Step[] {
   const random = seeded(seed ^ 0x9a1e5);
   const names = [...FAULTS.keys()];
-  const two = FIRST[seed - 1] ?? [any(random, names)!, any(random, names)!];
-  return two.map((fault, i) => ({
+  const pair = FIXED_PAIRS[seed - 1] ?? [pickRandom(random, names)!, pickRandom(random, names)!];
+  return pair.map((fault, i) => ({
     at: i * Math.round(3_000 * random.next()),
     fault,
     pick: Math.floor(random.next() * 2 ** 31),
@@ -311,27 +311,28 @@
 }
 
 /**
- * Several faults within some twenty seconds, by the seed.
+ * A schedule of n random faults, determined by the seed, whose starts are spread over 3 s per fault.
  * @example
- * planOf(7, 4)
+ * randomFaults(7, 4)
  */
 export function planOf(seed: number, n: number): Step[] {
   const random = seeded(seed ^ 0x570e3);
   const names = [...FAULTS.keys()];
   return Array.from({ length: n }, () => ({
     at: Math.round(5_000 * n * random.next() * 0.6),
-    fault: any(random, names)!,
+    fault: pickRandom(random, names)!,
     pick: Math.floor(random.next() * 2 ** 31),
   })).sort((a, b) => a.at - b.at);
 }
 
+/** The schedule as one line of text. */
 export const showPlan = (steps: Step[]): string =>
   steps.map((x) => `${x.fault} at +${(x.at / 1000).toFixed(1)} s`).join(', ');
 
 /**
- * A day with these faults.
+ * A scenario that injects these faults.
  * @example
- * await play(7, storm(planOf(7, 4)));
+ * await runScenario(7, scheduleScenario(randomFaults(7, 4)));
  */
 export function storm(steps: Step[], site?: Site): Scenario {
   return {
@@ -340,32 +341,32 @@
     faults: async (s) => {
       await Promise.all(
         steps.map(async (x) => {
-          await pause(s, x.at);
+          await wait(s, x.at);
           await FAULTS.get(x.fault)!(s, seeded(x.pick));
         }),
       );
-      // What changed the configuration may have ended in any order: the day ends with all families.
+      // Faults that change the configuration may end in any order, so all families are restored at the end.
       await s.crowd.operator.submit('whole again', configOf(s.site), true);
-      await pause(s, 6_000);
+      await wait(s, 6_000);
     },
   };
 }
 
 /**
- * The fewest of these faults with which a run still breaks the rule.
+ * Removes faults one by one while a run with the rest still violates the rule; returns those that remain.
  * @example
- * await shrink(steps, async (some) => (await play(seed, storm(some))).bad.map((v) => v.rule), 'lost');
+ * await minimizeFaults(faults, async (some) => (await runScenario(seed, scheduleScenario(some))).violations.map((v) => v.rule), 'lost');
  */
 export async function shrink(
   steps: Step[],
   rulesOf: (some: Step[]) => Promise<string[]>,
   rule: string,
 ): Promise<Step[]> {
-  let now = steps;
-  for (let i = 0; i < now.length && now.length > 1;) {
-    const less = now.filter((_, j) => j !== i);
-    if ((await rulesOf(less)).includes(rule)) now = less;
+  let remaining = steps;
+  for (let i = 0; i < remaining.length && remaining.length > 1;) {
+    const fewer = remaining.filter((_, j) => j !== i);
+    if ((await rulesOf(fewer)).includes(rule)) remaining = fewer;
     else i++;
   }
-  return now;
+  return remaining;
 }
--- a/packages/trial/src/weather.ts
+++ b/packages/trial/src/weather.ts
@@ -1,92 +1,98 @@
 import type { Seen } from './journal.js';
 
-type Weather = Extract<Seen, { k: 'weather' }>;
+type ConditionsEvent = Extract<Seen, { k: 'weather' }>;
 
-/** Between two looks of the stage at its fleet; what it did in between is known this late. */
-const GRAIN_MS = 150;
+/** Upper bound of the interval between two recorded samples of the fleet: a change is recorded at most this late. */
+const SAMPLE_INTERVAL_MS = 150;
 
 /**
- * What the stage did to the fleet, by time. Where a journal tells nothing of it, no node counts as well, so that checks
- * which ask for a well node judge nothing.
+ * The condition of the fleet over time, from the `weather` events of a journal. In a journal without them no node counts as
+ * healthy, so that checks that require a healthy node do not apply.
  * @example
- * new Sky(seen).well('10.0.0.4:7000', t - 3_000, t);
+ * new FleetConditions(seen).wasHealthy('10.0.0.4:7000', t - 3_000, t);
  */
 export class Sky {
-  private ws: Weather[] = [];
-  private spans = new Map<string, [number, number][]>();
+  private samples: ConditionsEvent[] = [];
+  /** Intervals during which each node was healthy. */
+  private healthySpans = new Map<string, [number, number][]>();
 
   constructor(seen: readonly Seen[]) {
     const open = new Map<string, number>();
     for (const s of seen) {
       if (s.k !== 'weather') continue;
-      this.ws.push(s);
+      this.samples.push(s);
       const now = new Set(s.well);
       for (const [n, from] of Array.from(open)) {
         if (now.has(n)) continue;
-        this.spans.set(n, [...(this.spans.get(n) ?? []), [from, s.t]]);
+        this.healthySpans.set(n, [...(this.healthySpans.get(n) ?? []), [from, s.t]]);
         open.delete(n);
       }
       for (const n of now) if (!open.has(n)) open.set(n, s.t);
     }
-    for (const [n, from] of open) this.spans.set(n, [...(this.spans.get(n) ?? []), [from, Infinity]]);
+    for (const [n, from] of open) this.healthySpans.set(n, [...(this.healthySpans.get(n) ?? []), [from, Infinity]]);
   }
 
-  /** Whether a node was well all the time from a to b. */
+  /** Whether a node was healthy throughout the interval from a to b. */
   well(node: string, a: number, b: number): boolean {
-    return this.spans.get(node)?.some(([from, to]) => from <= a - GRAIN_MS && to >= b + GRAIN_MS) ?? false;
+    return (
+      this.healthySpans
+        .get(node)
+        ?.some(([from, to]) => from <= a - SAMPLE_INTERVAL_MS && to >= b + SAMPLE_INTERVAL_MS) ?? false
+    );
   }
 
-  /** The times at which some node was well again. */
+  /** The times at which a node became healthy again. */
   returns(): number[] {
-    return [...this.spans.values()].flatMap((l) => l.slice(1).map(([from]) => from));
+    return [...this.healthySpans.values()].flatMap((spans) => spans.slice(1).map(([from]) => from));
   }
 
-  private over(a: number, b: number): Weather[] {
-    let first = -1;
-    const out: Weather[] = [];
-    this.ws.forEach((w, i) => {
-      if (w.t <= a - GRAIN_MS) first = i;
-      else if (w.t <= b + GRAIN_MS) out.push(w);
+  /** The samples that describe the interval from a to b, beginning with the last one before it. */
+  private samplesDuring(a: number, b: number): ConditionsEvent[] {
+    let lastBefore = -1;
+    const out: ConditionsEvent[] = [];
+    this.samples.forEach((w, i) => {
+      if (w.t <= a - SAMPLE_INTERVAL_MS) lastBefore = i;
+      else if (w.t <= b + SAMPLE_INTERVAL_MS) out.push(w);
     });
-    return first >= 0 ? [this.ws[first]!, ...out] : out;
+    return lastBefore >= 0 ? [this.samples[lastBefore]!, ...out] : out;
   }
 
-  /** Whether every shard could be served all the time from a to b. */
+  /** Whether every shard had a majority of its replicas on healthy nodes throughout the interval from a to b. */
   able(a: number, b: number): boolean {
-    const ws = this.over(a, b);
-    return ws.length > 0 && ws[0]!.t <= a && ws.every((w) => w.able);
+    const samples = this.samplesDuring(a, b);
+    return samples.length > 0 && samples[0]!.t <= a && samples.every((w) => w.able);
   }
 
-  /** Whether nothing was done to the fleet from a to b, and it was neither lossy nor slow. */
+  /** Whether the fleet's condition did not change from a to b, all shards were available, and nothing was degraded. */
   calm(a: number, b: number): boolean {
-    const ws = this.over(a, b);
-    return ws.length === 1 && ws[0]!.t <= a && !ws[0]!.rough && ws[0]!.able;
+    const samples = this.samplesDuring(a, b);
+    return samples.length === 1 && samples[0]!.t <= a && !samples[0]!.rough && samples[0]!.able;
   }
 
-  /** Whether some caller's link was thin or dead at some time from a to b. */
+  /** Whether any consumer had a slow or half-open link at some time from a to b. */
   anyPoor(a: number, b: number): boolean {
-    return this.over(a, b).some((w) => w.poor.length > 0);
+    return this.samplesDuring(a, b).some((w) => w.poor.length > 0);
   }
 
-  /** Whether a consumer had a thin link at some time from a to b. */
+  /** Whether this consumer had a slow or half-open link at some time from a to b. */
   poor(consumer: string, a: number, b: number): boolean {
-    return this.over(a, b).some((w) => w.poor.includes(consumer));
+    return this.samplesDuring(a, b).some((w) => w.poor.includes(consumer));
   }
 
-  /** Whether some node was up and not well at some time from a to b. */
+  /** Whether any node was up but unhealthy at some time from a to b. */
   ailing(a: number, b: number): boolean {
-    return this.over(a, b).some((w) => w.ailing.length > 0);
+    return this.samplesDuring(a, b).some((w) => w.ailing.length > 0);
   }
 
-  /** The last time up to t at which the set of well nodes changed. */
+  /** The last time, up to t, at which the set of healthy nodes changed. */
   changedAt(t: number): number {
     let last = -Infinity;
-    let was = '';
-    for (const w of this.ws) {
+    let previous = '';
+    for (const w of this.samples) {
       if (w.t > t) break;
-      const s = w.well.join();
-      if (s !== was) {
-        was = s;
+      const healthy = w.well.join();
+      if (healthy !== previous) {
+        previous = healthy;
         last = w.t;
       }
     }
