--- a/packages/control/src/operators/operator-answers.ts
+++ b/packages/control/src/operators/operator-answers.ts
@@ -3,7 +3,7 @@
  * at all where it may have lain in a buffer.
  */
 import { HarecrossError, REGISTER, withTimeout, type Kernel } from '@harecross/kernel';
-import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
+import { notReadyError, type ConsensusRegister } from '../consensus/consensus-register.js';
 import type { FleetValue } from '../value/fleet-value.js';
 
 /**
@@ -19,7 +19,7 @@
 
   /** Turns away an order that may have lain in a buffer for long: its sender, if it still wants it, sends it again. */
   rejectIfStale(step: string): void {
-    if (this.kernel.resumedRecently()) throw notReady(this.kernel, step);
+    if (this.kernel.resumedRecently()) throw notReadyError(this.kernel, step);
   }
 
   /**
@@ -35,7 +35,7 @@
     if (got) return got.out;
     if (this.register.confirmedSince(askedAt)) return work;
     work.catch(() => this.kernel.incrementCounter('orders.failed_later'));
-    throw this.register.value ? this.noMajority(step) : notReady(this.kernel, step);
+    throw this.register.value ? this.noMajority(step) : notReadyError(this.kernel, step);
   }
 
   /**
@@ -43,7 +43,7 @@
    * that stood still meanwhile does not answer by what it heard before.
    */
   async confirmedValue(step: string): Promise<FleetValue> {
-    if (!this.register.value) throw notReady(this.kernel, step);
+    if (!this.register.value) throw notReadyError(this.kernel, step);
     const { clock } = this.kernel.host;
     const askedAt = clock.now();
     const value = await withTimeout(clock, REGISTER.operatorAnswerMs, this.currentValue());
--- a/packages/control/src/operators/operators.ts
+++ b/packages/control/src/operators/operators.ts
@@ -3,15 +3,15 @@
 import { configFaults, type FleetConfig, type Move, type PathFault } from '@harecross/schema';
 import type { MembershipTable } from '../membership/membership-table.js';
 import {
-  reasonToStay,
+  departureBlocker,
   replicaCountOn,
   findDisk,
   isDrainOrdered,
-  holdsNothing,
+  isDiskUnused,
   moveKey,
 } from '../value/fleet-queries.js';
 import { OperatorAnswers } from './operator-answers.js';
-import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
+import { notReadyError, type ConsensusRegister } from '../consensus/consensus-register.js';
 import { Submissions, overloaded, type RevisionResult } from './submissions.js';
 import {
   withConfig,
@@ -96,7 +96,7 @@
     make: (value: FleetValue) => { config: unknown; document?: string },
   ): Promise<{ version: number }> {
     this.answers.rejectIfStale(step);
-    if (!this.register.value) throw notReady(this.kernel, step);
+    if (!this.register.value) throw notReadyError(this.kernel, step);
     if (this.changesInFlight >= REGISTER.concurrentChangeLimit) throw overloaded(this.kernel, step);
     this.changesInFlight++;
     try {
@@ -196,9 +196,9 @@
    * Begins or takes back the emptying of a disk. An order that was taken is answered again, whatever has become of the disk since. With a
    * change id, an order that was carried out is not carried out again, however late its repeat comes: another may have been given since.
    */
-  async setDisk(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
+  async setDiskState(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
     this.answers.rejectIfStale(step);
-    if (!this.register.value) throw notReady(this.kernel, step);
+    if (!this.register.value) throw notReadyError(this.kernel, step);
     const changed = this.register.change((value) => this.setDiskOnce(value, disk, state, changeId), REGISTER.submitMs);
     const outcome = await this.answers.withinAnswerTime(step, changed);
     const peer = this.kernel.self;
@@ -210,7 +210,7 @@
       case 'refused':
         throw new HarecrossError({ tag: 'wont_hold', step, peer, detail: outcome.why });
       case 'unclear':
-        throw notReady(this.kernel, step);
+        throw notReadyError(this.kernel, step);
     }
   }
 
@@ -246,7 +246,7 @@
       if (repeated) return { out: { tag: 'done', told: { ...told, state: found.state } } };
       return { out: { tag: 'refused', why: `disk ${disk} is lost` } };
     }
-    const bar = state === 'emptying' ? reasonToStay(value, { kind: 'empty' }, found, this.membership) : undefined;
+    const bar = state === 'emptying' ? departureBlocker(value, { kind: 'empty' }, found, this.membership) : undefined;
     // Taken before, for a disk that was replaced since: it is begun again as soon as that holds.
     if (bar !== undefined) return { out: repeated ? { tag: 'unclear' } : { tag: 'refused', why: bar } };
     const emptyingTaken = state === 'emptying' ? true : undefined;
@@ -262,7 +262,7 @@
     const { id } = d;
     return {
       disk: id,
-      state: d.state === 'emptying' && holdsNothing(v, id) ? 'emptied' : d.state,
+      state: d.state === 'emptying' && isDiskUnused(v, id) ? 'emptied' : d.state,
       copies: replicaCountOn(v, id),
       seat: v.voters.includes(id),
     };
--- a/packages/control/src/placement/durability.ts
+++ b/packages/control/src/placement/durability.ts
@@ -3,14 +3,14 @@
   REGISTER,
   SHARD,
   faultToleranceOf,
-  setSizeFor,
+  minimumSetSize,
   type DiskUse,
   type FaultTolerance,
   type NodeConfig,
 } from '@harecross/kernel';
 import { isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
-import { copyDisks, quickOf } from './placement.js';
-import { roomFor } from './spread.js';
+import { replicaDisks, fastDiskIds } from './placement.js';
+import { maxPlaceableMembers } from './spread.js';
 
 /** Fewest voters of a fleet: one may be lost. */
 const LEAST_VOTERS = 3;
@@ -27,7 +27,7 @@
   const tolerance = faultToleranceOf(config);
   if (!tolerance) return { copies: SHARD.replicaCount, votersWanted: REGISTER.voterCount };
   const sizeFor = (least: number): number => {
-    const size = setSizeFor(tolerance, config.domains, least);
+    const size = minimumSetSize(tolerance, config.domains, least);
     if (size === undefined) throw new Error('the config of a process was not checked');
     return size;
   };
@@ -44,13 +44,13 @@
   if (!tolerance) return undefined;
   const forReplicas = usableFor(disks, 'copies');
   return (
-    shortfallFor('replicas', copies, copyDisks(forReplicas, quickOf(forReplicas)), tolerance) ??
+    shortfallFor('replicas', copies, replicaDisks(forReplicas, fastDiskIds(forReplicas)), tolerance) ??
     shortfallFor('voters', votersWanted ?? REGISTER.voterCount, usableFor(disks, 'seat'), tolerance)
   );
 }
 
 function shortfallFor(what: string, size: number, disks: DiskRecord[], tolerance: FaultTolerance): string | undefined {
-  const room = roomFor(size, disks, tolerance);
+  const room = maxPlaceableMembers(size, disks, tolerance);
   if (room >= size) return undefined;
   const { machines, domains, regions } = tolerance;
   const asked = `the loss of ${machines} machines, or ${domains} failure domains, or ${regions} regions`;
--- a/packages/control/src/placement/placement.ts
+++ b/packages/control/src/placement/placement.ts
@@ -8,7 +8,7 @@
  * @example
  * copiesFor(5, 4); // 3
  */
-export function copiesFor(copies: number, disks: number): number {
+export function oddReplicaCount(copies: number, disks: number): number {
   const n = Math.min(copies, disks);
   return n > 1 && n % 2 === 0 ? n - 1 : n;
 }
@@ -18,7 +18,7 @@
  * @example
  * wantedCopies({ families: [], copies: 5 }, 7); // 5
  */
-export function wantedCopies(c: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
+export function desiredReplicaCount(c: FleetConfig, shard: number, copies: number = SHARD.replicaCount): number {
   return c.placement?.find((p) => p.shard === shard)?.nodes.length ?? c.copies ?? copies;
 }
 
@@ -27,7 +27,7 @@
  * @example
  * quickOf(disks) // none, unless the stores' disks are slow
  */
-export function quickOf(disks: DiskRecord[]): Set<string> {
+export function fastDiskIds(disks: DiskRecord[]): Set<string> {
   const ms = disks
     .filter((d) => isPrimarilyFor(d, 'copies') && d.ms !== undefined)
     .map((d) => d.ms!)
@@ -36,7 +36,7 @@
   return new Set(
     typical === undefined
       ? []
-      : disks.filter((d) => d.ms !== undefined && d.ms * PLACEMENT.quickDiskFactor <= typical).map((d) => d.id),
+      : disks.filter((d) => d.ms !== undefined && d.ms * PLACEMENT.fastDiskFactor <= typical).map((d) => d.id),
   );
 }
 
@@ -45,7 +45,7 @@
  * @example
  * copyDisks(active, quickOf(active)).length
  */
-export function copyDisks(disks: DiskRecord[], quick: Set<string>): DiskRecord[] {
+export function replicaDisks(disks: DiskRecord[], quick: Set<string>): DiskRecord[] {
   const out = disks.filter((d) => isPrimarilyFor(d, 'copies') || quick.has(d.id));
   return out.length ? out : disks;
 }
@@ -56,7 +56,7 @@
  * majoritiesMeet(['a', 'b', 'c'], ['a', 'b', 'c', 'd']); // true
  * majoritiesMeet(['a', 'b', 'c'], ['b', 'c', 'd']); // false: a, b and c, d
  */
-export function majoritiesMeet(one: string[], other: string[]): boolean {
+export function majoritiesIntersect(one: string[], other: string[]): boolean {
   const union = new Set([...one, ...other]).size;
   return Math.floor(one.length / 2) + 1 + (Math.floor(other.length / 2) + 1) > union;
 }
@@ -70,7 +70,7 @@
  * @example
  * fenceQuorum({ gen: 2, copies: ['b', 'c', 'd'], previous: ['a', 'b', 'c'] }, [{ disk: 'c', generation: 1 }, { disk: 'd', generation: 0 }]); // false
  */
-export function fenceQuorum(placement: Placement, promises: { disk: string; generation: number }[]): boolean {
+export function hasFenceQuorum(placement: Placement, promises: { disk: string; generation: number }[]): boolean {
   const promised = new Set(promises.map((promise) => promise.disk));
   const majorityOf = (set: string[]): boolean => set.filter((disk) => promised.has(disk)).length * 2 > set.length;
   if (!majorityOf(placement.copies)) return false;
@@ -84,15 +84,15 @@
  * @example
  * matchCopies(disks, 5).get(3); // ['disk-a', 'disk-f', ...]
  */
-export function matchCopies(
+export function assignReplicas(
   all: DiskRecord[],
   copies: number,
   shardCount: number = SHARD.shardCount,
   tolerance?: FaultTolerance,
 ): Map<number, string[]> {
-  const quick = quickOf(all);
-  const disks = copyDisks(all, quick);
-  const n = copiesFor(copies, disks.length);
+  const quick = fastDiskIds(all);
+  const disks = replicaDisks(all, quick);
+  const n = oddReplicaCount(copies, disks.length);
   const most = Math.floor(n / 2) + 1;
   const cap = Math.ceil(((shardCount * n) / Math.max(1, disks.length)) * SHARD.replicaSlack);
   const weight = new Map<string, number>();
@@ -125,7 +125,7 @@
  * @example
  * matchOwners(value.shards, (d) => live.has(d)).get(3); // 'disk-f'
  */
-export function matchOwners(shards: Map<number, Placement>, able: (disk: string) => boolean): Map<number, string> {
+export function assignOwners(shards: Map<number, Placement>, able: (disk: string) => boolean): Map<number, string> {
   const disks = new Set([...new Set([...shards.values()].flatMap((p) => p.copies))].filter(able));
   const cap = Math.ceil((shards.size / Math.max(1, disks.size)) * SHARD.ownerSlack);
   const weight = new Map<string, number>();
@@ -149,20 +149,20 @@
  * @example
  * targetsOf(value.config, activeDisks).get(3);
  */
-export function targetsOf(
+export function targetReplicas(
   c: FleetConfig,
   active: DiskRecord[],
   copies: number = SHARD.replicaCount,
   tolerance?: FaultTolerance,
 ): Map<number, string[]> {
-  const out = matchCopies(active, c.copies ?? copies, SHARD.shardCount, tolerance);
+  const out = assignReplicas(active, c.copies ?? copies, SHARD.shardCount, tolerance);
   const at = new Map(active.map((d) => [d.peer, d.id]));
   for (const p of c.placement ?? []) {
     const found = p.nodes.map((n) => at.get(n)).filter((d) => d !== undefined);
     const fill = rendezvousOrder(`copy/${p.shard}`, active, (d) => d.id)
       .map((d) => d.id)
       .filter((d) => !found.includes(d));
-    if (out.has(p.shard)) out.set(p.shard, [...found, ...fill].slice(0, copiesFor(p.nodes.length, active.length)));
+    if (out.has(p.shard)) out.set(p.shard, [...found, ...fill].slice(0, oddReplicaCount(p.nodes.length, active.length)));
   }
   return out;
 }
@@ -173,9 +173,9 @@
  * @example
  * awaitsSuccessor(value, value.seats, 3); // true with three voters of which one is lost
  */
-export function awaitsSuccessor(value: FleetValue, set: string[], wanted: number): boolean {
+export function isAwaitingReplacement(value: FleetValue, set: string[], wanted: number): boolean {
   const there = set.filter((disk) => value.disks.get(disk)?.state !== 'lost');
   return (
-    there.length < set.length && there.length < Math.min(copiesFor(set.length, set.length), copiesFor(wanted, wanted))
+    there.length < set.length && there.length < Math.min(oddReplicaCount(set.length, set.length), oddReplicaCount(wanted, wanted))
   );
 }
--- a/packages/control/src/placement/spread.ts
+++ b/packages/control/src/placement/spread.ts
@@ -1,5 +1,5 @@
 /** Spreads the members of a replicated set over failure domains and regions, so that a majority outlives what may be lost at once. */
-import { roomUnder, spreadLimits, type FaultTolerance, type SpreadLimits } from '@harecross/kernel';
+import { maxMembersWithin, spreadLimits, type FaultTolerance, type SpreadLimits } from '@harecross/kernel';
 import type { DiskRecord } from '../value/fleet-value.js';
 
 /**
@@ -31,21 +31,21 @@
 
   /** Whether one more member there keeps the limits. */
   fits(disk: DiskRecord): boolean {
-    return this.membersIn(disk) < this.limits.perDomain && this.regionalMembers(disk) < this.limits.perRegion;
+    return this.membersInDomain(disk) < this.limits.perDomain && this.membersInRegion(disk) < this.limits.perRegion;
   }
 
   /** Whether there are more members in the disk's domain or region than may be lost with it. */
   exceeds(disk: DiskRecord): boolean {
-    return this.membersIn(disk) > this.limits.perDomain || this.regionalMembers(disk) > this.limits.perRegion;
+    return this.membersInDomain(disk) > this.limits.perDomain || this.membersInRegion(disk) > this.limits.perRegion;
   }
 
   /** Members in the disk's failure domain. */
-  membersIn(disk: DiskRecord): number {
+  membersInDomain(disk: DiskRecord): number {
     return this.inDomain.get(disk.domain) ?? 0;
   }
 
   /** Members in the disk's region; 0 where no region may be lost, so that regions don't matter. */
-  regionalMembers(disk: DiskRecord): number {
+  membersInRegion(disk: DiskRecord): number {
     return this.tolerance?.regions ? (this.inRegion.get(regionOf(disk)) ?? 0) : 0;
   }
 
@@ -53,10 +53,10 @@
   leastCrowded(disks: DiskRecord[]): DiskRecord[] {
     const fitting = disks.filter((disk) => this.fits(disk));
     const able = fitting.length ? fitting : disks;
-    const leastInRegion = Math.min(...able.map((disk) => this.regionalMembers(disk)));
-    const near = able.filter((disk) => this.regionalMembers(disk) === leastInRegion);
-    const leastInDomain = Math.min(...near.map((disk) => this.membersIn(disk)));
-    return near.filter((disk) => this.membersIn(disk) === leastInDomain);
+    const leastInRegion = Math.min(...able.map((disk) => this.membersInRegion(disk)));
+    const near = able.filter((disk) => this.membersInRegion(disk) === leastInRegion);
+    const leastInDomain = Math.min(...near.map((disk) => this.membersInDomain(disk)));
+    return near.filter((disk) => this.membersInDomain(disk) === leastInDomain);
   }
 
   private count(disk: DiskRecord, by: number): void {
@@ -72,7 +72,7 @@
  * @example
  * roomFor(3, disks, value.tolerance) >= 3 // whether the disks bear what is asked of them
  */
-export function roomFor(size: number, disks: DiskRecord[], tolerance: FaultTolerance | undefined): number {
+export function maxPlaceableMembers(size: number, disks: DiskRecord[], tolerance: FaultTolerance | undefined): number {
   const places = disks.map(({ domain, region }) => ({ domain, region, count: 1 }));
-  return roomUnder(places, spreadLimits(size, tolerance));
+  return maxMembersWithin(places, spreadLimits(size, tolerance));
 }
--- a/packages/control/src/reconcile/controller.ts
+++ b/packages/control/src/reconcile/controller.ts
@@ -13,7 +13,7 @@
 import { planDepartures } from './plan-departures.js';
 import { planDisks } from './plan-disks.js';
 import { planMoves } from './plan-moves.js';
-import type { FleetView, Planner, Step } from './planner.js';
+import type { FleetView, Planner, PlannedStep } from './planner.js';
 import { planReplicas } from './plan-replicas.js';
 import { planVoters } from './plan-voters.js';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
@@ -129,7 +129,7 @@
     const made = await this.register.repair((value) => {
       const step = this.plan(value);
       return { next: step?.next, out: step?.why };
-    }, MEMBERSHIP.callMs * 3);
+    }, MEMBERSHIP.callTimeoutMs * 3);
     if (made === undefined) return false;
     this.kernel.incrementCounter('keeper.steps');
     this.kernel.host.log.info(`keeper: ${made}`);
@@ -137,12 +137,12 @@
   }
 
   /** The next step from this value, if one is due. */
-  private plan(value: FleetValue): Step | undefined {
+  private plan(value: FleetValue): PlannedStep | undefined {
     const { clock } = this.kernel.host;
     const fleet: FleetView = {
       membership: this.membership,
       now: clock.now(),
-      wall: clock.wall(),
+      wallTime: clock.wall(),
       startedAt: this.kernel.startedAt,
     };
     for (const planner of this.planners) {
--- a/packages/control/src/reconcile/durability-planner.ts
+++ b/packages/control/src/reconcile/durability-planner.ts
@@ -2,7 +2,7 @@
 import { REGISTER, type Kernel } from '@harecross/kernel';
 import { durabilityOf, shortfallOf, type Durability } from '../placement/durability.js';
 import type { FleetValue } from '../value/fleet-value.js';
-import type { Step } from './planner.js';
+import type { PlannedStep } from './planner.js';
 
 /**
  * Takes what the config of this process asks for into the agreed value. What the disks have no room for is reported and not begun.
@@ -15,7 +15,7 @@
 
   constructor(private readonly kernel: Kernel) {}
 
-  step(value: FleetValue): Step | undefined {
+  step(value: FleetValue): PlannedStep | undefined {
     const wanted = durabilityOf(this.kernel.host.config);
     if (!wanted.tolerance || isSame(wanted, value)) return undefined;
     const shortfall = shortfallOf(
--- a/packages/control/src/reconcile/forget-planner.ts
+++ b/packages/control/src/reconcile/forget-planner.ts
@@ -5,8 +5,8 @@
 import { PLACEMENT, type Kernel } from '@harecross/kernel';
 import type { DurableState } from '@harecross/state';
 import type { MembershipTable } from '../membership/membership-table.js';
-import type { Step } from './planner.js';
-import { holdsNothing } from '../value/fleet-queries.js';
+import type { PlannedStep } from './planner.js';
+import { isDiskUnused } from '../value/fleet-queries.js';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
 import type { DiskRecord, FleetValue } from '../value/fleet-value.js';
 
@@ -23,7 +23,7 @@
  */
 export function isForgettable(value: FleetValue, disk: DiskRecord): boolean {
   if (disk.state === 'active') return false;
-  if (!holdsNothing(value, disk.id)) return false;
+  if (!isDiskUnused(value, disk.id)) return false;
   return !(value.config.moves ?? []).some((move) => move.node === disk.peer);
 }
 
@@ -57,7 +57,7 @@
   }
 
   /** What is due as a step of the controller. */
-  step(value: FleetValue): Step | undefined {
+  step(value: FleetValue): PlannedStep | undefined {
     const due = this.plan(value);
     return due && { next: due.next, why: `records of ${due.forgotten.join(', ')} are forgotten` };
   }
@@ -81,7 +81,7 @@
  * A disk keeps by itself that it was emptied, and its member says so: long after its record was forgotten it joins as an emptied disk,
  * which takes no replica and no vote, until an operator takes the emptying back. Follows the agreed value.
  */
-export function rememberEmptied(
+export function persistEmptiedState(
   kernel: Kernel,
   membership: MembershipTable,
   register: ConsensusRegister,
--- a/packages/control/src/reconcile/plan-departures.ts
+++ b/packages/control/src/reconcile/plan-departures.ts
@@ -1,6 +1,6 @@
 /** Disks whose process is stopping: what they have goes to others before they are gone, where a successor is there. */
 import { isInPlannedRestart } from '../value/fleet-queries.js';
-import { liveMember, type FleetView, type Step } from './planner.js';
+import { liveMember, type FleetView, type PlannedStep } from './planner.js';
 import { isStopping, successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
 
@@ -8,7 +8,7 @@
  * Marks disks that leave, that have left, and that are back after all, in one step. A machine with no successor can only be restarting,
  * and one in a planned restart is: both keep their votes and replicas.
  */
-export function planDepartures(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planDepartures(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const disks = new Map(value.disks);
   const said: string[] = [];
   for (const disk of value.disks.values()) {
--- a/packages/control/src/reconcile/plan-disks.ts
+++ b/packages/control/src/reconcile/plan-disks.ts
@@ -1,13 +1,13 @@
 /** Lets disks into the fleet, and declares those lost whose machine is gone. */
 import { PLACEMENT } from '@harecross/kernel';
 import type { Member } from '../membership/member.js';
-import { hasSameUses, holdsNothing, plannedJoinTime } from '../value/fleet-queries.js';
-import { liveMember, silentFor, type FleetView, type Step } from './planner.js';
+import { hasSameUses, isDiskUnused, plannedJoinTime } from '../value/fleet-queries.js';
+import { liveMember, silenceMs, type FleetView, type PlannedStep } from './planner.js';
 import { successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
 
 /** Disks that joined, came back or were lost, in one step. */
-export function planDisks(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planDisks(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const disks = new Map(value.disks);
   const said: string[] = [];
   letIn(value, fleet, disks, said);
@@ -19,7 +19,7 @@
 function letIn(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
   for (const member of fleet.membership.liveMembers()) {
     if (!member.disk || fleet.now - member.liveSince < PLACEMENT.joinAfterMs) continue;
-    if (fleet.wall < plannedJoinTime(value, member.peer)) continue;
+    if (fleet.wallTime < plannedJoinTime(value, member.peer)) continue;
     const known = disks.get(member.disk);
     if (!known) {
       disks.set(member.disk, {
@@ -64,9 +64,9 @@
 function giveUpLost(value: FleetValue, fleet: FleetView, disks: Map<string, DiskRecord>, said: string[]): void {
   for (const disk of value.disks.values()) {
     if (disk.state !== 'active' || disks.get(disk.id)!.state === 'lost') continue;
-    const silent = silentFor(fleet, disk);
+    const silent = silenceMs(fleet, disk);
     if (silent === 0) continue;
-    const spare = holdsNothing(value, disk.id) ? undefined : spareFor(value, fleet, disk, disks, silent);
+    const spare = isDiskUnused(value, disk.id) ? undefined : spareFor(value, fleet, disk, disks, silent);
     if (spare !== undefined) {
       disks.set(disk.id, { ...disk, state: 'lost' });
       said.push(`disk ${disk.id} gives its place to ${spare}`);
@@ -92,11 +92,11 @@
     (disk) =>
       disk.state === 'active' &&
       hasSameUses(disk, gone) &&
-      holdsNothing(value, disk.id) &&
+      isDiskUnused(value, disk.id) &&
       fleet.membership.memberOfDisk(disk.id)?.state === 'live',
   );
   const waiting = [...disks.values()].filter(
-    (disk) => disk.state === 'lost' && hasSameUses(disk, gone) && !holdsNothing(value, disk.id),
+    (disk) => disk.state === 'lost' && hasSameUses(disk, gone) && !isDiskUnused(value, disk.id),
   );
   if (spares.length <= waiting.length)
     return silent > PLACEMENT.spareAfterMs ? successorOf(value, fleet, gone)?.id : undefined;
--- a/packages/control/src/reconcile/plan-moves.ts
+++ b/packages/control/src/reconcile/plan-moves.ts
@@ -1,11 +1,11 @@
 /** Begins and ends the moves of the calendar. A move runs once: its state is in the agreed value. */
 import type { Move } from '@harecross/schema';
-import { reasonToStay, replicaCountOn, holdsNothing, moveKey } from '../value/fleet-queries.js';
-import type { FleetView, Step } from './planner.js';
+import { departureBlocker, replicaCountOn, isDiskUnused, moveKey } from '../value/fleet-queries.js';
+import type { FleetView, PlannedStep } from './planner.js';
 import type { DiskRecord, MoveRecord, MoveState, FleetValue } from '../value/fleet-value.js';
 
 /** The first move of the calendar that begins or ends now. */
-export function planMoves(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planMoves(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   for (const move of value.config.moves ?? []) {
     const record = value.moves.get(moveKey(move));
     const disk = [...value.disks.values()].find((d) => d.peer === move.node && d.state !== 'lost');
@@ -15,7 +15,7 @@
   return undefined;
 }
 
-function turn(value: FleetValue, move: Move, state: MoveState, why: string, disk?: DiskRecord): Step {
+function turn(value: FleetValue, move: Move, state: MoveState, why: string, disk?: DiskRecord): PlannedStep {
   const disks = disk ? new Map(value.disks).set(disk.id, disk) : value.disks;
   return {
     next: { ...value, disks, moves: new Map(value.moves).set(moveKey(move), { state, why }) },
@@ -23,12 +23,12 @@
   };
 }
 
-function begins(value: FleetValue, fleet: FleetView, move: Move, disk: DiskRecord | undefined): Step | undefined {
-  if (fleet.wall < move.from) return undefined;
-  if (fleet.wall >= move.until) return turn(value, move, 'missed', 'its time passed before it could begin');
+function begins(value: FleetValue, fleet: FleetView, move: Move, disk: DiskRecord | undefined): PlannedStep | undefined {
+  if (fleet.wallTime < move.from) return undefined;
+  if (fleet.wallTime >= move.until) return turn(value, move, 'missed', 'its time passed before it could begin');
   if (move.kind === 'add') return turn(value, move, 'running', '');
   // What stands against it is looked at again until its time has passed.
-  if (reasonToStay(value, move, disk, fleet.membership)) return undefined;
+  if (departureBlocker(value, move, disk, fleet.membership)) return undefined;
   if (move.kind === 'restart') return turn(value, move, 'running', '');
   if (!disk) return turn(value, move, 'refused', `${move.node} has no disk`);
   return turn(value, move, 'running', '', { ...disk, state: 'emptying' });
@@ -40,13 +40,13 @@
   move: Move,
   record: MoveRecord,
   disk: DiskRecord | undefined,
-): Step | undefined {
+): PlannedStep | undefined {
   if (record.state !== 'running' && record.state !== 'late') return undefined;
-  const over = fleet.wall >= move.until;
+  const over = fleet.wallTime >= move.until;
   switch (move.kind) {
     case 'empty':
       if (!disk || disk.state !== 'emptying') return turn(value, move, 'refused', 'the emptying was taken back');
-      if (holdsNothing(value, disk.id)) return turn(value, move, 'done', '');
+      if (isDiskUnused(value, disk.id)) return turn(value, move, 'done', '');
       if (record.state === 'running' && over)
         return turn(value, move, 'late', `${replicaCountOn(value, disk.id)} copies are still there`);
       return undefined;
--- a/packages/control/src/reconcile/plan-replicas.ts
+++ b/packages/control/src/reconcile/plan-replicas.ts
@@ -4,8 +4,8 @@
  */
 import { PLACEMENT } from '@harecross/kernel';
 import type { ShardOwnerRecord } from './controller.js';
-import { awaitsSuccessor, majoritiesMeet, targetsOf, wantedCopies } from '../placement/placement.js';
-import { liveMember, type FleetView, type Step } from './planner.js';
+import { isAwaitingReplacement, majoritiesIntersect, targetReplicas, desiredReplicaCount } from '../placement/placement.js';
+import { liveMember, type FleetView, type PlannedStep } from './planner.js';
 import { isUsedFor, type Placement, type FleetValue } from '../value/fleet-value.js';
 
 /** A shard with what its owner says, and where its copies should be. */
@@ -18,10 +18,10 @@
 }
 
 /** The steps of all shards that are due now, in one change. */
-export function planReplicas(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planReplicas(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const active = [...value.disks.values()].filter((disk) => disk.state === 'active' && isUsedFor(disk, 'copies'));
   if (!active.length) return undefined;
-  const targets = targetsOf(value.config, active, value.copies, value.tolerance);
+  const targets = targetReplicas(value.config, active, value.copies, value.tolerance);
   const planner = new ReplicaPlanner(value, fleet);
   const shards = new Map(value.shards);
   let steps = 0;
@@ -133,8 +133,8 @@
   /** A copy that is one too many; a lost one's place is kept while there is none to fill it. */
   private remove(view: ShardView, gone: string): Placement | undefined {
     const { shard, placement, target } = view;
-    const wanted = wantedCopies(this.value.config, shard, this.value.copies);
-    if (awaitsSuccessor(this.value, placement.copies, wanted) || !this.inSync(view, target)) return undefined;
+    const wanted = desiredReplicaCount(this.value.config, shard, this.value.copies);
+    if (isAwaitingReplacement(this.value, placement.copies, wanted) || !this.inSync(view, target)) return undefined;
     return this.successor(
       placement,
       placement.copies.filter((disk) => disk !== gone),
@@ -144,7 +144,7 @@
 
   private successor(placement: Placement, copies: string[], retained: string[]): Placement {
     const next: Placement = { gen: placement.gen + 1, copies };
-    if (!majoritiesMeet(placement.copies, copies)) next.previous = placement.copies;
+    if (!majoritiesIntersect(placement.copies, copies)) next.previous = placement.copies;
     if (retained.length) next.retained = retained;
     return next;
   }
--- a/packages/control/src/reconcile/plan-voters.ts
+++ b/packages/control/src/reconcile/plan-voters.ts
@@ -1,10 +1,10 @@
 /** Keeps as many voters as are wanted, on disks that are active: a lost or leaving one is replaced in one step. */
 import { REGISTER, rendezvousOrder } from '@harecross/kernel';
-import { awaitsSuccessor } from '../placement/placement.js';
+import { isAwaitingReplacement } from '../placement/placement.js';
 import { Spread } from '../placement/spread.js';
 import { hasSameUses } from '../value/fleet-queries.js';
-import { liveMember, type FleetView, type Step } from './planner.js';
-import { isStaying, joinedLater } from './successor.js';
+import { liveMember, type FleetView, type PlannedStep } from './planner.js';
+import { canTakeOver, joinedLater } from './successor.js';
 import { isPrimarilyFor, isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
 /** Seeds the rendezvous order of candidates. All nodes of a fleet agree on it, also those of earlier versions. */
@@ -14,7 +14,7 @@
  * The next change of the voters. Each needs a majority of the voters before and of those after, until the next change is agreed; so each
  * is followed at once by one that changes nothing, after which the voters that went are needed no more.
  */
-export function planVoters(value: FleetValue, fleet: FleetView): Step | undefined {
+export function planVoters(value: FleetValue, fleet: FleetView): PlannedStep | undefined {
   const bad = value.voters.filter((disk) => value.disks.get(disk)?.state !== 'active');
   const goodCount = value.voters.length - bad.length;
   const wanted = votersWanted(value);
@@ -38,7 +38,7 @@
  * A vote goes to the disk whose machine joined the domain last: where a machine is replaced by plan, the new one comes first, and the old one may
  * then be removed at the moment of the next loss.
  */
-function moveToLaterDisk(value: FleetValue, fleet: FleetView, bad: string[]): Step | undefined {
+function moveToLaterDisk(value: FleetValue, fleet: FleetView, bad: string[]): PlannedStep | undefined {
   if (bad.length) return undefined;
   for (const voter of value.voters) {
     const later = laterDiskWithoutVote(value, fleet, value.disks.get(voter)!);
@@ -56,13 +56,13 @@
         joinedLater(disk, voter) &&
         hasSameUses(disk, voter) &&
         !value.voters.includes(disk.id) &&
-        isStaying(fleet, disk),
+        canTakeOver(fleet, disk),
     )
     .at(-1);
 }
 
 /** A vote leaves a failure domain or region that has more of them than may be lost with it: the first voters are the seeds, wherever they are. */
-function spreadVoters(value: FleetValue, fleet: FleetView, bad: string[]): Step | undefined {
+function spreadVoters(value: FleetValue, fleet: FleetView, bad: string[]): PlannedStep | undefined {
   if (bad.length) return undefined;
   const crowding = value.voters.filter((voter) => spreadOf(value).exceeds(value.disks.get(voter)!));
   for (const voter of crowding) {
@@ -101,21 +101,21 @@
 /** Disks that may become voters, the best first. */
 function candidatesFor(value: FleetValue, fleet: FleetView, spread: Spread): DiskRecord[] {
   const able = [...value.disks.values()].filter(
-    (disk) => isUsedFor(disk, 'seat') && isStaying(fleet, disk) && !value.voters.includes(disk.id),
+    (disk) => isUsedFor(disk, 'seat') && canTakeOver(fleet, disk) && !value.voters.includes(disk.id),
   );
   // Disks that are for nothing else first: voters are asked by every node, and copies have work of their own.
   return rendezvousOrder(VOTER_HASH_KEY, able, (disk) => disk.id).sort(
     (one, other) =>
       Number(spread.fits(other)) - Number(spread.fits(one)) ||
       Number(isPrimarilyFor(one, 'copies')) - Number(isPrimarilyFor(other, 'copies')) ||
-      spread.regionalMembers(one) - spread.regionalMembers(other) ||
-      spread.membersIn(one) - spread.membersIn(other),
+      spread.membersInRegion(one) - spread.membersInRegion(other) ||
+      spread.membersInDomain(one) - spread.membersInDomain(other),
   );
 }
 
 /** A voter to be given up without another in its place; none while the place of a lost one is kept for it. */
 function toDrop(value: FleetValue, fleet: FleetView, bad: string[], wanted: number): string | undefined {
-  if (awaitsSuccessor(value, value.voters, value.votersWanted ?? REGISTER.voterCount)) return undefined;
+  if (isAwaitingReplacement(value, value.voters, value.votersWanted ?? REGISTER.voterCount)) return undefined;
   if (bad.length) return bad[0];
   if (value.voters.length <= wanted) return undefined;
   const live = (disk: string): number => Number(liveMember(fleet, disk) !== undefined);
@@ -123,7 +123,7 @@
 }
 
 /** Until the next change a majority of the voters before is needed too: that change is made now. */
-function settle(value: FleetValue): Step | undefined {
+function settle(value: FleetValue): PlannedStep | undefined {
   if (value.voters.join() === value.previousVoters.join()) return undefined;
   return { next: { ...value }, why: 'voters are settled' };
 }
--- a/packages/control/src/reconcile/planner.ts
+++ b/packages/control/src/reconcile/planner.ts
@@ -7,19 +7,19 @@
 export interface FleetView {
   membership: MembershipTable;
   now: number;
-  wall: number;
+  wallTime: number;
   /** When the controller's process started: who was not seen since then has been away for as long at least. */
   startedAt: number;
 }
 
 /** One change of the agreed value, and what the log says of it. */
-export interface Step {
+export interface PlannedStep {
   next: FleetValue;
   why: string;
 }
 
 /** Gives the next step of its kind, or nothing while none is due. */
-export type Planner = (value: FleetValue, fleet: FleetView) => Step | undefined;
+export type Planner = (value: FleetValue, fleet: FleetView) => PlannedStep | undefined;
 
 /** The member that has this disk, if it is live. */
 export function liveMember(fleet: FleetView, disk: string): Member | undefined {
@@ -28,7 +28,7 @@
 }
 
 /** For how long the disk's machine has not been heard of (ms); 0 while it is live. */
-export function silentFor(fleet: FleetView, disk: DiskRecord): number {
+export function silenceMs(fleet: FleetView, disk: DiskRecord): number {
   const member = fleet.membership.memberOfDisk(disk.id);
   if (!member) return fleet.now - fleet.startedAt;
   return member.state === 'live' ? 0 : fleet.now - member.seenAt;
--- a/packages/control/src/reconcile/successor.ts
+++ b/packages/control/src/reconcile/successor.ts
@@ -1,8 +1,8 @@
 /** Finds the disk that is there in the place of another: where a machine is replaced by plan, the new one comes before the old one goes. */
 import { REGISTER, SHARD } from '@harecross/kernel';
-import { roomFor } from '../placement/spread.js';
+import { maxPlaceableMembers } from '../placement/spread.js';
 import type { MembershipTable } from '../membership/membership-table.js';
-import { hasSameUses, holdsNothing, replicaCountOn } from '../value/fleet-queries.js';
+import { hasSameUses, isDiskUnused, replicaCountOn } from '../value/fleet-queries.js';
 import { isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
 /** What of the fleet a successor is looked for in. */
@@ -19,10 +19,10 @@
 export function successorOf(value: FleetValue, view: MembershipView, disk: DiskRecord): DiskRecord | undefined {
   if (!hasRoomWithout(value, disk)) return undefined;
   const candidates = [...value.disks.values()].filter(
-    (other) => other.id !== disk.id && hasSameUses(other, disk) && isStaying(view, other),
+    (other) => other.id !== disk.id && hasSameUses(other, disk) && canTakeOver(view, other),
   );
   return (
-    candidates.find((other) => joinedLater(other, disk)) ?? candidates.find((other) => holdsNothing(value, other.id))
+    candidates.find((other) => joinedLater(other, disk)) ?? candidates.find((other) => isDiskUnused(value, other.id))
   );
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** Whether a disk is in use and its machine is live and not about to leave. */
-export function isStaying(view: MembershipView, disk: DiskRecord): boolean {
+export function canTakeOver(view: MembershipView, disk: DiskRecord): boolean {
   const member = view.membership.memberOfDisk(disk.id);
   if (member === undefined || !view.membership.isLive(member.peer)) return false;
   return disk.state === 'active' && !isStopping(view, disk);
@@ -53,10 +53,10 @@
   if (replicaCountOn(value, disk.id) > 0) {
     const wanted = value.config.copies ?? value.copies ?? SHARD.replicaCount;
     const forReplicas = others.filter((other) => hasSameUses(other, disk));
-    if (roomFor(wanted, forReplicas, value.tolerance) < wanted) return false;
+    if (maxPlaceableMembers(wanted, forReplicas, value.tolerance) < wanted) return false;
   }
   if (!value.voters.includes(disk.id)) return true;
   const wanted = Math.min(value.votersWanted ?? REGISTER.voterCount, value.voters.length);
   const forVotes = others.filter((other) => isUsedFor(other, 'seat'));
-  return roomFor(wanted, forVotes, value.tolerance) >= wanted;
+  return maxPlaceableMembers(wanted, forVotes, value.tolerance) >= wanted;
 }
--- a/packages/control/src/value/fleet-queries.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -6,7 +6,7 @@
 import type { Move } from '@harecross/schema';
 import type { MembershipTable } from '../membership/membership-table.js';
 import { shortfallOf } from '../placement/durability.js';
-import { copiesFor, copyDisks, quickOf } from '../placement/placement.js';
+import { oddReplicaCount, replicaDisks, fastDiskIds } from '../placement/placement.js';
 import { moveKey, isUsedFor, type DiskRecord, type FleetValue } from './fleet-value.js';
 
 /** A disk by its id, or by the name of the machine it is in. */
@@ -26,7 +26,7 @@
 export const isDrainOrdered = (v: FleetValue, x: string): boolean =>
   [...v.disks.values()].some((d) => (d.id === x || d.name === x) && (d.emptyingTaken ?? d.state === 'emptying'));
 /** Whether nothing of the fleet is left on a disk: it is in no majority that is still needed, and has no copy. */
-export const holdsNothing = (v: FleetValue, disk: string): boolean =>
+export const isDiskUnused = (v: FleetValue, disk: string): boolean =>
   replicaCountOn(v, disk) === 0 && !v.voters.includes(disk) && !v.previousVoters.includes(disk);
 /** Whether two disks are for the same things: one may stand in for the other. */
 export const hasSameUses = (one: DiskRecord, other: DiskRecord): boolean =>
@@ -58,7 +58,7 @@
   );
 
 /** What keeps a machine from leaving now: a majority that would break, or copies that would have no place. */
-export function reasonToStay(
+export function departureBlocker(
   v: FleetValue,
   m: Pick<Move, 'kind'>,
   disk: DiskRecord | undefined,
@@ -74,8 +74,8 @@
   for (const [s, p] of v.shards) if (short(p.copies)) return `shard ${s} would lose its majority`;
   if (m.kind === 'restart') return undefined;
   const all = [...v.disks.values()].filter((d) => d.state === 'active' && isUsedFor(d, 'copies'));
-  const active = copyDisks(all, quickOf(all));
-  const now = copiesFor(v.config.copies ?? v.copies ?? SHARD.replicaCount, active.length);
+  const active = replicaDisks(all, fastDiskIds(all));
+  const now = oddReplicaCount(v.config.copies ?? v.copies ?? SHARD.replicaCount, active.length);
   const left = active.filter((d) => d.id !== disk.id && live(d.id));
   if (left.length < now) return `${left.length} active live disks would be left for ${now} copies`;
   const usable = [...v.disks.values()].filter((d) => d.state === 'active');
--- a/packages/data/src/ownership/shard-assignment.ts
+++ b/packages/data/src/ownership/shard-assignment.ts
@@ -1,5 +1,5 @@
 /** Assignment of shards to disks, computed from the membership that this node sees; nodes with the same view compute the same assignment. */
-import { matchOwners, type ConsensusRegister, type Member, type MembershipTable } from '@harecross/control';
+import { assignOwners, type ConsensusRegister, type Member, type MembershipTable } from '@harecross/control';
 
 /** Assigns shards to the disks of available members. */
 export class ShardAssignment {
@@ -19,10 +19,10 @@
     const { shards } = this.register.value!;
     const isCandidate = (disk: string): boolean =>
       disk !== without && (this.availablePeer(disk) !== undefined || (includeStarting && this.isStarting(disk)));
-    const owners = matchOwners(shards, isCandidate);
+    const owners = assignOwners(shards, isCandidate);
     if (owners.size === shards.size) return owners;
     // Where no replica's node is available, assign the shard to a live node that reports itself unhealthy.
-    const fallback = matchOwners(shards, (disk) => disk !== without && this.isUnhealthy(disk));
+    const fallback = assignOwners(shards, (disk) => disk !== without && this.isUnhealthy(disk));
     for (const [shard, disk] of fallback) if (!owners.has(shard)) owners.set(shard, disk);
     return owners;
   }
--- a/packages/data/src/ownership/shard-election.ts
+++ b/packages/data/src/ownership/shard-election.ts
@@ -2,7 +2,7 @@
  * Election of a shard's owner. A candidate has a quorum of replicas promise a fencing token higher than all before, adopts the longest
  * valid history among them, and owns the shard once a majority has its first entry, the barrier.
  */
-import { fenceQuorum, type ConsensusRegister, type Placement } from '@harecross/control';
+import { hasFenceQuorum, type ConsensusRegister, type Placement } from '@harecross/control';
 import { SHARD, collectUntil, sleep, toErrorDetails, withTimeout, type Kernel } from '@harecross/kernel';
 import { lastFence, lastIdx, makeFence, parseFence, type Fence, type Replica } from '@harecross/state';
 import type { FenceAnswer, FetchAnswer, ReplicaStore } from '../replication/replica-store.js';
@@ -98,7 +98,7 @@
     const promises = answers
       .filter((answer) => answer.ok)
       .map((answer) => ({ disk: answer.disk, generation: parseFence(answer.lastFence).gen }));
-    return promises.some((promise) => promise.disk === this.replicas.disk) && fenceQuorum(placement, promises);
+    return promises.some((promise) => promise.disk === this.replicas.disk) && hasFenceQuorum(placement, promises);
   }
 
   private async requestFenceFrom(disk: string, shardId: number, fence: Fence): Promise<FenceAnswer> {
@@ -134,7 +134,7 @@
     const barrier = shard.appendBarrier(now);
     this.shards.setPhase(shard, 'confirming');
     this.replication.replicate(shard, true);
-    await withTimeout(this.kernel.host.clock, SHARD.appendMs, this.shards.awaitCommit(shard, barrier));
+    await withTimeout(this.kernel.host.clock, SHARD.appendTimeoutMs, this.shards.awaitCommit(shard, barrier));
     const isConfirmed = (shard.phase as OwnershipPhase) === 'confirming' && shard.fence === fence;
     if (!isConfirmed || shard.commitIndex < barrier) return;
     this.shards.setPhase(shard, 'owner');
@@ -149,7 +149,7 @@
     const from = Math.min(lastIdx(own), best.lastIdx);
     const request = { disk: best.disk, shard: shard.id, from, fromFence: fenceAtIndex(own, from) };
     const peer = this.register.peerOf(best.disk)!;
-    const fetched = await this.kernel.call<FetchAnswer>(peer, 'Fetch', request, SHARD.snapshotMs);
+    const fetched = await this.kernel.call<FetchAnswer>(peer, 'Fetch', request, SHARD.snapshotTimeoutMs);
     return this.replicas.adoptHistory(shard.id, fence, fetched, from);
   }
 }
--- a/packages/trial/src/capacity-virtual.ts
+++ b/packages/trial/src/capacity-virtual.ts
@@ -1,5 +1,5 @@
 import type { DiskRecord, Placement, FleetValue } from '@harecross/control';
-import { deserializeValue, matchCopies, matchOwners, serializeValue } from '@harecross/control';
+import { deserializeValue, assignReplicas, assignOwners, serializeValue } from '@harecross/control';
 import type { ShardTable } from '@harecross/data';
 import { REGISTER, SHARD, randomSample } from '@harecross/kernel';
 import { build as buildHistogram } from 'hdr-histogram-js';
@@ -118,12 +118,12 @@
         if (held.shards.size !== n) throw new Error(`${held.shards.size} of ${n} shards came back`);
       }
       t0 = cpuMs();
-      matchOwners(v.shards, () => true);
+      assignOwners(v.shards, () => true);
       owners.points.push({ x: n, y: cpuMs() - t0 });
       if (n > 4_000) continue;
       const some = [...v.disks.values()].slice(0, 110);
       t0 = cpuMs();
-      matchCopies(some, SHARD.replicaCount, n);
+      assignReplicas(some, SHARD.replicaCount, n);
       copies.points.push({ x: n, y: cpuMs() - t0 });
     }
     say(`value of ${n} shards: ${weigh.points.at(-1)!.y.toFixed(1)} KiB, ${packing.points.at(-1)!.y.toFixed(1)} ms to pack and unpack, \
@@ -805,7 +805,7 @@
   const region = one('placement-region', 'Shards with a majority left when the worse of two regions goes');
   for (const n of sizes) {
     const v = valueOf(n, 110);
-    const at = matchCopies([...v.disks.values()], SHARD.replicaCount, n);
+    const at = assignReplicas([...v.disks.values()], SHARD.replicaCount, n);
     const left = (gone: (zone: string) => boolean): number =>
       ([...at.values()].filter((c) => c.filter((d) => !gone(v.disks.get(d)!.domain)).length * 2 > c.length).length /
         n) *
--- a/packages/trial/src/sim-disk.ts
+++ b/packages/trial/src/sim-disk.ts
@@ -4,7 +4,7 @@
  */
 import { copyFileSync, existsSync, fstatSync, mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { openDb, type Clock, type SyncedDatabase, type Log, type RandomSource } from '@harecross/kernel';
+import { openDatabase, type Clock, type SyncedDatabase, type Log, type RandomSource } from '@harecross/kernel';
 
 /** Size of one disk write. A power loss keeps or drops each block, or tears it, so that only its beginning is written. */
 const BLOCK_BYTES = 4_096;
@@ -51,7 +51,7 @@
   open(clock: Clock, log: Log, onFault: (e: Error) => void, self: string): SyncedDatabase {
     const directory = this.directory();
     mkdirSync(directory, { recursive: true });
-    const db = openDb(directory, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
+    const db = openDatabase(directory, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
     // Opening syncs both files and, once the log exists, the directory: SQLite does so at the first commit.
     this.syncedData = readFileSync(join(directory, DATA));
     this.syncedLogBytes = readFileSync(join(directory, LOG)).length;
@@ -131,7 +131,7 @@
     mkdirSync(to, { recursive: true });
     if (existsSync(join(from, DATA))) transfer(from, to);
     this.generation++;
-    this.db?.drop();
+    this.db?.discardUnsynced();
     if (this.db?.sql.open) this.db.close();
     this.db = undefined;
     rmSync(from, { recursive: true, force: true });
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -462,7 +462,7 @@
     if (!n.up) return;
     n.up = false;
     n.life++;
-    n.db?.drop();
+    n.db?.discardUnsynced();
     n.kernel?.stopLoops();
     n.disk?.endProcess();
     n.handle = undefined;
@@ -665,7 +665,7 @@
           }
           to.calls.add(reset);
           const handleRequest = (): void => {
-            void to.edge!.visit(method, JSON.parse(requestJson)).then((r) => {
+            void to.edge!.handle(method, JSON.parse(requestJson)).then((r) => {
               if (!to.up || to.life !== incarnation) return;
               const responseJson = JSON.stringify(r.body);
               this.at(responseDelayMs(this.drawDelayMs(to.slowMs)), () =>
@@ -752,7 +752,7 @@
         // The node is notified of the close unless its process has ended; a frozen node once it resumes.
         this.at(this.drawDelayMs(), () =>
           this.runOnNode(to, incarnation, () => {
-            if (id) to.edge!.gone(id);
+            if (id) to.edge!.disconnected(id);
           }),
         );
       };
--- a/packages/trial/src/test/config.test.ts
+++ b/packages/trial/src/test/config.test.ts
@@ -1,8 +1,8 @@
 import {
   incarnationOf,
-  incarnationsAfter,
+  nextIncarnations,
   deserializeValue,
-  shareText,
+  shareCachedText,
   cachedText,
   serializeValue,
   type TopicIncarnations,
@@ -116,7 +116,7 @@
         const before = want;
         want = new Map();
         for (const x of all) if (familyOf({ families: fs }, x)) want.set(x, before.get(x) ?? i + 1);
-        eras = incarnationsAfter(eras, { families: fs }, i + 1);
+        eras = nextIncarnations(eras, { families: fs }, i + 1);
         for (const [x, era] of want) {
           if (incarnationOf(eras, x) !== era) return false;
           if (era <= i) kept++;
@@ -135,7 +135,7 @@
 
 test('regions that nothing needs any more are let go', (t) => {
   const after = (eras: TopicIncarnations, version: number, ...patterns: string[]): TopicIncarnations =>
-    incarnationsAfter(eras, { families: patterns.length ? [family('f', patterns)] : [] }, version);
+    nextIncarnations(eras, { families: patterns.length ? [family('f', patterns)] : [] }, version);
   let e = after(new Map(), 1, 'a.*', 'b');
   t.deepEqual(
     [...e],
@@ -772,5 +772,5 @@
   const next = { ...read, rev: 2 };
   t.is(cachedText(next), undefined);
   t.is(deserializeValue(serializeValue(next)).rev, 2);
-  t.is(cachedText(shareText({ ...read, config: value.config }, read)), text);
+  t.is(cachedText(shareCachedText({ ...read, config: value.config }, read)), text);
 });
--- a/packages/trial/src/test/fault-tolerance.test.ts
+++ b/packages/trial/src/test/fault-tolerance.test.ts
@@ -1,13 +1,13 @@
 /** Failure domains and regions that may be lost at once: how many replicas and voters that takes, where they are, and what is refused. */
 import {
-  faultInTolerance,
-  roomUnder,
-  setSizeFor,
+  findToleranceError,
+  maxMembersWithin,
+  minimumSetSize,
   spreadLimits,
   type FaultTolerance,
   type NodeConfig,
 } from '@harecross/kernel';
-import { matchCopies, roomFor, type DiskRecord } from '@harecross/control';
+import { assignReplicas, maxPlaceableMembers, type DiskRecord } from '@harecross/control';
 import { Sim, type SimNode } from '../sim.js';
 import test from 'ava';
 import fc from 'fast-check';
@@ -123,7 +123,7 @@
       const disks = set.map((disk) => value.disks.get(disk)!);
       t.true(set.length >= value.copies, name);
       t.is(
-        roomFor(set.length, disks, value.tolerance),
+        maxPlaceableMembers(set.length, disks, value.tolerance),
         set.length,
         `${name}: ${disks.map((disk) => disk.domain).join()}`,
       );
@@ -223,7 +223,7 @@
     data: 'data',
     losses: 1,
   };
-  const told = (more: Partial<NodeConfig>): string | undefined => faultInTolerance({ ...config, ...more });
+  const told = (more: Partial<NodeConfig>): string | undefined => findToleranceError({ ...config, ...more });
   t.is(told({}), undefined);
   t.is(told({ domainLosses: 0, regionLosses: 0 }), undefined);
   t.is(told({ domainLosses: 1, domains: THREE_ZONES }), undefined);
@@ -269,7 +269,7 @@
             Array.from({ length: zones }, (_, i) => [`z${region}.${i}`, `r${region}`]),
           ),
         );
-        const size = setSizeFor(bears, domains);
+        const size = minimumSetSize(bears, domains);
         if (size === undefined) return;
         const disks: DiskRecord[] = Object.entries(domains).flatMap(([domain, region]) =>
           Array.from({ length: size }, (_, i) => ({
@@ -281,7 +281,7 @@
           })),
         );
         const byId = new Map(disks.map((disk) => [disk.id, disk]));
-        for (const copies of matchCopies(disks, size, 8, bears).values()) {
+        for (const copies of assignReplicas(disks, size, 8, bears).values()) {
           const set = copies.map((id) => byId.get(id)!);
           const outlives = (isLost: (disk: DiskRecord) => boolean): boolean =>
             set.filter((disk) => !isLost(disk)).length * 2 > set.length;
@@ -308,7 +308,7 @@
     { domain: 'b', region: 'r', count: 3 },
     { domain: 'c', region: 's', count: 1 },
   ];
-  t.is(roomUnder(places, { perDomain: Infinity, perRegion: Infinity }), 7);
-  t.is(roomUnder(places, { perDomain: 2, perRegion: Infinity }), 5);
-  t.is(roomUnder(places, { perDomain: 2, perRegion: 3 }), 4);
+  t.is(maxMembersWithin(places, { perDomain: Infinity, perRegion: Infinity }), 7);
+  t.is(maxMembersWithin(places, { perDomain: 2, perRegion: Infinity }), 5);
+  t.is(maxMembersWithin(places, { perDomain: 2, perRegion: 3 }), 4);
 });
--- a/packages/trial/src/test/gossip.test.ts
+++ b/packages/trial/src/test/gossip.test.ts
@@ -5,7 +5,7 @@
   compressList,
   decompressList,
   valueAnswer,
-  valueIn,
+  valueFromAnswer,
   valueRequest,
 } from '@harecross/control';
 import type { Clock } from '@harecross/kernel';
@@ -137,14 +137,14 @@
   const answer = valueAnswer(valueRequest(own), newer);
   t.is(typeof answer, 'object');
   t.false(JSON.stringify(answer).includes('family-2'));
-  t.deepEqual(valueIn(answer, own), newer);
+  t.deepEqual(valueFromAnswer(answer, own), newer);
   // Our own configuration changed meanwhile: what came is of no use.
-  t.is(valueIn(answer, value(10, 3)), undefined);
+  t.is(valueFromAnswer(answer, value(10, 3)), undefined);
   // Another version, nothing at all, or an older node that says nothing of what it has: whole.
   for (const has of [value(4, 1), undefined]) {
     const whole = valueAnswer(valueRequest(has), newer);
     t.is(typeof whole, 'string');
-    t.deepEqual(valueIn(whole, has), newer);
+    t.deepEqual(valueFromAnswer(whole, has), newer);
   }
   t.is(valueAnswer(valueRequest(newer), newer), undefined);
   t.is(valueAnswer(valueRequest(value(10, 3)), newer), undefined);
--- a/packages/trial/src/test/placement.test.ts
+++ b/packages/trial/src/test/placement.test.ts
@@ -1,4 +1,4 @@
-import { copiesFor, matchCopies, matchOwners, type DiskRecord, type Placement } from '@harecross/control';
+import { oddReplicaCount, assignReplicas, assignOwners, type DiskRecord, type Placement } from '@harecross/control';
 import { SHARD } from '@harecross/kernel';
 import test from 'ava';
 import fc from 'fast-check';
@@ -18,8 +18,8 @@
     fc.assert(
       fc.property(fleets, ({ ids, domains, copies }) => {
         const disks = disksOf(ids, domains);
-        const n = copiesFor(copies, disks.length);
-        const all = matchCopies(disks, copies);
+        const n = oddReplicaCount(copies, disks.length);
+        const all = assignReplicas(disks, copies);
         const inDomain = (ds: string[], z: string): number =>
           ds.filter((d) => disks.find((x) => x.id === d)!.domain === z).length;
         const zs = [...new Set(disks.map((d) => d.domain))];
@@ -49,7 +49,7 @@
     [60, 6],
   ] as const) {
     const weight = new Map<string, number>();
-    for (const got of matchCopies(
+    for (const got of assignReplicas(
       disksOf(
         Array.from({ length: n }, (_, i) => i),
         z,
@@ -74,7 +74,7 @@
       Array.from({ length: n }, (_, i) => i),
       z,
     );
-    for (const got of matchCopies(disks, 5).values())
+    for (const got of assignReplicas(disks, 5).values())
       for (let d = 0; d < z; d++)
         t.true(got.filter((x) => disks.find((y) => y.id === x)!.domain !== `z${d}`).length * 2 > got.length);
   }
@@ -88,11 +88,11 @@
     fc.property(fleets, ({ ids, domains, copies }) => {
       const disks = disksOf(ids, domains);
       const shards = new Map(
-        [...matchCopies(disks, copies)].map(([s, c]) => [s, { gen: 1, copies: c }] as [number, Placement]),
+        [...assignReplicas(disks, copies)].map(([s, c]) => [s, { gen: 1, copies: c }] as [number, Placement]),
       );
-      const all = matchOwners(shards, () => true);
+      const all = assignOwners(shards, () => true);
       const gone = disks[0]!.id;
-      const left = matchOwners(shards, (d) => d !== gone);
+      const left = assignOwners(shards, (d) => d !== gone);
       for (const [s, o] of left) {
         if (o === gone || !shards.get(s)!.copies.includes(o)) return false;
         if (all.get(s) !== gone && all.get(s) !== o) others++;
@@ -125,7 +125,7 @@
 ];
 
 test('slow stores: a majority of each shard is on quick disks, the others on stores, domains in turn; no copies there otherwise', (t) => {
-  for (const copies of matchCopies(fleet(4, 80), 5).values()) {
+  for (const copies of assignReplicas(fleet(4, 80), 5).values()) {
     t.is(copies.filter((d) => d.startsWith('c')).length, 3);
     t.is(
       new Set(copies.filter((d) => d.startsWith('s')).map((d) => Number(d.slice(1)) % 3)).size,
@@ -137,18 +137,18 @@
     [4, 5],
     [4, 9],
   ] as const)
-    for (const copies of matchCopies(fleet(a, b), 5).values()) t.true(copies.every((d) => d.startsWith('s')));
+    for (const copies of assignReplicas(fleet(a, b), 5).values()) t.true(copies.every((d) => d.startsWith('s')));
   // One quick disk is gone: what is left of them, and a store instead.
-  for (const copies of matchCopies(
+  for (const copies of assignReplicas(
     fleet(4, 80).filter((d) => d.id !== 'c1'),
     5,
   ).values())
     t.is(copies.filter((d) => d.startsWith('c')).length, 2);
   // Owners are spread all the same.
   const shards = new Map(
-    [...matchCopies(fleet(4, 80), 5)].map(([s, c]) => [s, { gen: 1, copies: c }] as [number, Placement]),
+    [...assignReplicas(fleet(4, 80), 5)].map(([s, c]) => [s, { gen: 1, copies: c }] as [number, Placement]),
   );
   const most = new Map<string, number>();
-  for (const d of matchOwners(shards, () => true).values()) most.set(d, (most.get(d) ?? 0) + 1);
+  for (const d of assignOwners(shards, () => true).values()) most.set(d, (most.get(d) ?? 0) + 1);
   t.true(Math.max(...most.values()) <= 4, [...most].join(' '));
 });
--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -10,7 +10,7 @@
   PublishHandler,
   ShardOwner,
   Replication,
-  Route,
+  ShardRouter,
   Sessions,
 } from '@harecross/data';
 import { SHARD, SyncedDatabase, HarecrossError } from '@harecross/kernel';
@@ -556,7 +556,7 @@
   },
   {
     what: 'a relay that holds a rejection to the deadline',
-    proto: Route.prototype,
+    proto: ShardRouter.prototype,
     sc: 'overload',
     seeds: [1, 2],
     rules: ['held'],
--- a/packages/trial/src/test/platform-management.test.ts
+++ b/packages/trial/src/test/platform-management.test.ts
@@ -1,6 +1,6 @@
 import { connect } from 'node:net';
 import {
-  faultInConfiguration,
+  configurationError,
   fleetConfigOf,
   serveManagement,
   serveReadiness,
@@ -316,7 +316,7 @@
   }
   t.is((await s.http('POST', a.management + REPLACE, whole, 'text/html')).status, 415);
   const large = shown(50, (c) => {
-    c.pad = 'x'.repeat(REQUEST.accessSkipBytes);
+    c.pad = 'x'.repeat(REQUEST.accessDiscardBytes);
   });
   t.is((await s.http('POST', a.management + REPLACE, large)).status, 413);
   t.is((await s.http('GET', a.management + REPLACE)).status, 404);
@@ -392,7 +392,7 @@
 
 test('whatever is right by the pages is right by the product; spoilt in one place it is refused by one of them', (t) => {
   const refused = (c: Configuration): boolean =>
-    faultInConfiguration(c) !== undefined || configFaults(fleetConfigOf(c)).length > 0;
+    configurationError(c) !== undefined || configFaults(fleetConfigOf(c)).length > 0;
   fc.assert(
     fc.property(right, (raw) => {
       const c = JSON.parse(JSON.stringify(raw)) as Configuration;
