--- a/packages/trial/src/storm.ts
+++ b/packages/trial/src/fault-schedule.ts
@@ -1,31 +1,31 @@
 import { sleep } from '@harecross/kernel';
-import { Consumer } from './actors.js';
-import { configOf, type Scenario, type Site, type Stage } from './scenario.js';
-import { seeded, type SimNode } from './sim.js';
+import { Consumer } from './simulated-clients.js';
+import { fleetConfigOf, type Scenario, type DeploymentSpec, type ScenarioContext } from './scenario.js';
+import { seededRandom, type SimNode } from './sim.js';
 
 /** A scheduled fault: its start in ms, its name in `FAULTS`, and the random seed that selects its targets. */
-export interface Step {
+export interface ScheduledFault {
   at: number;
   fault: string;
-  pick: number;
+  seed: number;
 }
 
-const wait = (s: Stage, ms: number): Promise<void> => sleep(s.sim.clock, ms);
+const wait = (s: ScenarioContext, ms: number): Promise<void> => sleep(s.sim.clock, ms);
 const running = (nodes: SimNode[]): SimNode[] => nodes.filter((n) => n.up && !n.frozen);
 /** The running nodes that may be taken down now: none while two or more nodes with a disk are down, so that majorities remain. */
-const expendable = (s: Stage, nodes: SimNode[]): SimNode[] => {
+const expendable = (s: ScenarioContext, nodes: SimNode[]): SimNode[] => {
   const down = s.disks.filter((n) => !n.up || n.frozen).length;
   return down >= 2 ? [] : running(nodes);
 };
 
-type Fault = (s: Stage, random: { next(): number }) => Promise<void>;
+type Fault = (s: ScenarioContext, random: { next(): number }) => Promise<void>;
 const pickRandom = <T>(random: { next(): number }, xs: T[]): T | undefined => xs[Math.floor(random.next() * xs.length)];
 /** The deployment's configuration with one more family. It keeps the deployment's own families, so that overlapping faults do not remove them for good. */
-const withFamily = (s: Stage, name: string) =>
-  configOf(s.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
+const withFamily = (s: ScenarioContext, name: string) =>
+  fleetConfigOf(s.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
 
 /** Kills one of these nodes and restarts it after 0.5 to 5.5 s. */
-async function killAndRestart(s: Stage, random: { next(): number }, nodes: SimNode[]): Promise<void> {
+async function killAndRestart(s: ScenarioContext, random: { next(): number }, nodes: SimNode[]): Promise<void> {
   const n = pickRandom(random, expendable(s, nodes));
   if (!n) return;
   s.note(`kill ${n.name}`);
@@ -91,10 +91,10 @@
       if (!n) return;
       s.note(`${n.name} is slow in bursts`);
       for (let i = 0; i < 4; i++) {
-        n.slowMs = 200;
+        n.maxExtraDelayMs = 200;
         n.diskMs = 150;
         await wait(s, 300 + 1_500 * random.next());
-        n.slowMs = 0;
+        n.maxExtraDelayMs = 0;
         n.diskMs = 2;
         await wait(s, 300 + 700 * random.next());
       }
@@ -106,9 +106,9 @@
       const n = pickRandom(random, running(s.disks));
       if (!n) return;
       s.note(`syncs of ${n.name} stop its loop`);
-      n.stallMs = [1_000, 3_000];
+      n.syncStallMs = [1_000, 3_000];
       await wait(s, 6_000);
-      n.stallMs = undefined;
+      n.syncStallMs = undefined;
     },
   ],
   [
@@ -121,7 +121,7 @@
       const others = [...s.sim.nodes.values()].filter((o) => o !== n);
       for (const o of others) s.sim.cut(n.name, o.name, both);
       await wait(s, 2_000 + 6_000 * random.next());
-      for (const o of others) s.sim.mend(n.name, o.name);
+      for (const o of others) s.sim.heal(n.name, o.name);
     },
   ],
   [
@@ -133,7 +133,7 @@
       s.note(`the link between ${r.name} and ${d.name} breaks`);
       s.sim.cut(r.name, d.name);
       await wait(s, 8_000);
-      s.sim.mend(r.name, d.name);
+      s.sim.heal(r.name, d.name);
     },
   ],
   [
@@ -178,7 +178,7 @@
         { length: 150 },
         (_, i) =>
           new Consumer(
-            s.world,
+            s.clientContext,
             `crowd${suffix}-${i}`,
             pickRandom(random, s.site.domains)!,
             [s.crowd.topics[i % s.crowd.topics.length]!],
@@ -198,7 +198,7 @@
       for (const c of s.crowd.consumers)
         if (c.domain === from) {
           c.domain = to;
-          c.drop('moved');
+          c.disconnect('moved');
         }
       await wait(s, 3_000);
     },
@@ -234,7 +234,7 @@
     'remove',
     async (s) => {
       const suffix = s.sim.now.toFixed(0);
-      const all = configOf(s.site).families;
+      const all = fleetConfigOf(s.site).families;
       await s.crowd.operator.submit(`remove${suffix}`, { families: all.slice(0, 1) }, true);
       await wait(s, 5_000);
       await s.crowd.operator.submit(`again${suffix}`, { families: all }, true);
@@ -273,7 +273,7 @@
       if (!n) return;
       const stepMs = (random.next() < 0.5 ? -1 : 1) * (1_000 + 600_000 * random.next());
       s.note(`the clock of ${n.name} is corrected by ${Math.round(stepMs)} ms and runs 3 % off`);
-      n.stepMs += stepMs;
+      n.wallStepMs += stepMs;
       s.sim.setRate(n, random.next() < 0.5 ? 0.97 : 1.03);
       await wait(s, 8_000);
     },
@@ -299,14 +299,14 @@
  * @example
  * faultPair(1); // a lost disk while another machine restarts
  */
-export function pairOf(seed: number): Step[] {
-  const random = seeded(seed ^ 0x9a1e5);
+export function faultPair(seed: number): ScheduledFault[] {
+  const random = seededRandom(seed ^ 0x9a1e5);
   const names = [...FAULTS.keys()];
   const pair = FIXED_PAIRS[seed - 1] ?? [pickRandom(random, names)!, pickRandom(random, names)!];
   return pair.map((fault, i) => ({
     at: i * Math.round(3_000 * random.next()),
     fault,
-    pick: Math.floor(random.next() * 2 ** 31),
+    seed: Math.floor(random.next() * 2 ** 31),
   }));
 }
 
@@ -315,18 +315,18 @@
  * @example
  * randomFaults(7, 4)
  */
-export function planOf(seed: number, n: number): Step[] {
-  const random = seeded(seed ^ 0x570e3);
+export function randomFaults(seed: number, n: number): ScheduledFault[] {
+  const random = seededRandom(seed ^ 0x570e3);
   const names = [...FAULTS.keys()];
   return Array.from({ length: n }, () => ({
     at: Math.round(5_000 * n * random.next() * 0.6),
     fault: pickRandom(random, names)!,
-    pick: Math.floor(random.next() * 2 ** 31),
+    seed: Math.floor(random.next() * 2 ** 31),
   })).sort((a, b) => a.at - b.at);
 }
 
 /** The schedule as one line of text. */
-export const showPlan = (steps: Step[]): string =>
+export const formatFaults = (steps: ScheduledFault[]): string =>
   steps.map((x) => `${x.fault} at +${(x.at / 1000).toFixed(1)} s`).join(', ');
 
 /**
@@ -334,19 +334,19 @@
  * @example
  * await runScenario(7, scheduleScenario(randomFaults(7, 4)));
  */
-export function storm(steps: Step[], site?: Site): Scenario {
+export function scheduleScenario(steps: ScheduledFault[], site?: DeploymentSpec): Scenario {
   return {
     ...(site ? { site } : {}),
-    forMs: 20_000,
+    faultPhaseMs: 20_000,
     faults: async (s) => {
       await Promise.all(
         steps.map(async (x) => {
           await wait(s, x.at);
-          await FAULTS.get(x.fault)!(s, seeded(x.pick));
+          await FAULTS.get(x.fault)!(s, seededRandom(x.seed));
         }),
       );
       // Faults that change the configuration may end in any order, so all families are restored at the end.
-      await s.crowd.operator.submit('whole again', configOf(s.site), true);
+      await s.crowd.operator.submit('whole again', fleetConfigOf(s.site), true);
       await wait(s, 6_000);
     },
   };
@@ -357,11 +357,11 @@
  * @example
  * await minimizeFaults(faults, async (some) => (await runScenario(seed, scheduleScenario(some))).violations.map((v) => v.rule), 'lost');
  */
-export async function shrink(
-  steps: Step[],
-  rulesOf: (some: Step[]) => Promise<string[]>,
+export async function minimizeFaults(
+  steps: ScheduledFault[],
+  rulesOf: (some: ScheduledFault[]) => Promise<string[]>,
   rule: string,
-): Promise<Step[]> {
+): Promise<ScheduledFault[]> {
   let remaining = steps;
   for (let i = 0; i < remaining.length && remaining.length > 1;) {
     const fewer = remaining.filter((_, j) => j !== i);
--- a/packages/trial/src/weather.ts
+++ b/packages/trial/src/fleet-conditions.ts
@@ -1,6 +1,6 @@
-import type { Seen } from './journal.js';
+import type { JournalEvent } from './journal.js';
 
-type ConditionsEvent = Extract<Seen, { k: 'weather' }>;
+type ConditionsEvent = Extract<JournalEvent, { k: 'weather' }>;
 
 /** Upper bound of the interval between two recorded samples of the fleet: a change is recorded at most this late. */
 const SAMPLE_INTERVAL_MS = 150;
@@ -11,12 +11,12 @@
  * @example
  * new FleetConditions(seen).wasHealthy('10.0.0.4:7000', t - 3_000, t);
  */
-export class Sky {
+export class FleetConditions {
   private samples: ConditionsEvent[] = [];
   /** Intervals during which each node was healthy. */
   private healthySpans = new Map<string, [number, number][]>();
 
-  constructor(seen: readonly Seen[]) {
+  constructor(seen: readonly JournalEvent[]) {
     const open = new Map<string, number>();
     for (const s of seen) {
       if (s.k !== 'weather') continue;
@@ -33,7 +33,7 @@
   }
 
   /** Whether a node was healthy throughout the interval from a to b. */
-  well(node: string, a: number, b: number): boolean {
+  wasHealthy(node: string, a: number, b: number): boolean {
     return (
       this.healthySpans
         .get(node)
@@ -42,7 +42,7 @@
   }
 
   /** The times at which a node became healthy again. */
-  returns(): number[] {
+  recoveryTimes(): number[] {
     return [...this.healthySpans.values()].flatMap((spans) => spans.slice(1).map(([from]) => from));
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Whether every shard had a majority of its replicas on healthy nodes throughout the interval from a to b. */
-  able(a: number, b: number): boolean {
+  shardsAvailable(a: number, b: number): boolean {
     const samples = this.samplesDuring(a, b);
     return samples.length > 0 && samples[0]!.t <= a && samples.every((w) => w.able);
   }
@@ -70,22 +70,22 @@
   }
 
   /** Whether any consumer had a slow or half-open link at some time from a to b. */
-  anyPoor(a: number, b: number): boolean {
+  anyPoorLink(a: number, b: number): boolean {
     return this.samplesDuring(a, b).some((w) => w.poor.length > 0);
   }
 
   /** Whether this consumer had a slow or half-open link at some time from a to b. */
-  poor(consumer: string, a: number, b: number): boolean {
+  hadPoorLink(consumer: string, a: number, b: number): boolean {
     return this.samplesDuring(a, b).some((w) => w.poor.includes(consumer));
   }
 
   /** Whether any node was up but unhealthy at some time from a to b. */
-  ailing(a: number, b: number): boolean {
+  anyUnhealthy(a: number, b: number): boolean {
     return this.samplesDuring(a, b).some((w) => w.ailing.length > 0);
   }
 
   /** The last time, up to t, at which the set of healthy nodes changed. */
-  changedAt(t: number): number {
+  lastHealthChange(t: number): number {
     let last = -Infinity;
     let previous = '';
     for (const w of this.samples) {
--- a/packages/trial/src/journal.ts
+++ b/packages/trial/src/journal.ts
@@ -1,7 +1,7 @@
 import type { Role } from '@harecross/kernel';
 
 /** A bounded collection as a node reports it: its current length, its highest length so far, and its limit. */
-export interface HoldingSeen {
+export interface CollectionUsage {
   name: string;
   length: number;
   most: number;
@@ -12,7 +12,7 @@
  * An event that a client or operator observed, or a change of the fleet's condition. The oracle uses nothing else.
  * Times are in ms of a single true clock; nodes are named by client address.
  */
-export type Seen =
+export type JournalEvent =
   /** `line`: the connection of a sender with several messages in flight; requests on it arrive in order. */
   | {
       k: 'pub.try';
@@ -117,7 +117,7 @@
       node: string;
       version?: number;
       fresh: boolean;
-      holdings?: HoldingSeen[];
+      holdings?: CollectionUsage[];
       kept?: number;
     }
   /** A node that did not answer a status query. */
@@ -147,10 +147,10 @@
  * journal.add({ k: 'closing' });
  */
 export class Journal {
-  readonly seen: Seen[] = [];
+  readonly seen: JournalEvent[] = [];
   constructor(private now: () => number) {}
   /** Appends an event with the current time. */
-  add(event: Seen extends infer S ? (S extends Seen ? Omit<S, 't'> : never) : never): void {
-    this.seen.push({ ...event, t: this.now() } as Seen);
+  add(event: JournalEvent extends infer S ? (S extends JournalEvent ? Omit<S, 't'> : never) : never): void {
+    this.seen.push({ ...event, t: this.now() } as JournalEvent);
   }
 }
--- a/packages/trial/src/link.ts
+++ b/packages/trial/src/link-proxy.ts
@@ -20,14 +20,14 @@
  * @example
  * const proxy = await LinkProxy.start('127.0.0.1:7004'); proxy.reset(0.97, random);
  */
-export class Link {
+export class LinkProxy {
   address = '';
   private pairs = new Set<ProxiedConnection>();
   private server!: Server;
 
   /** Starts a proxy on a free loopback port. */
-  static async before(target: string): Promise<Link> {
-    const link = new Link();
+  static async start(target: string): Promise<LinkProxy> {
+    const link = new LinkProxy();
     link.server = createServer({ noDelay: true }, (client) => link.join(client, target));
     await new Promise<void>((res, rej) => {
       link.server.on('error', rej);
@@ -111,7 +111,7 @@
     return selected.length;
   }
   /** Limits a random share of the connections to `rate` bytes per second in each direction, or lifts the limit; returns how many. */
-  thin(share: number, random: RandomSource, rate: number | undefined): number {
+  limitRate(share: number, random: RandomSource, rate: number | undefined): number {
     const selected = this.sample(share, random);
     for (const p of selected) p.rate = rate;
     return selected.length;
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -17,7 +17,7 @@
   type TransportEnvironment,
   type RandomSource,
 } from '@harecross/kernel';
-import { seeded } from './sim.js';
+import { seededRandom } from './sim.js';
 
 const CALLER = '10.0.0.1:7100';
 const SERVER = '10.0.0.2:7100';
@@ -265,7 +265,7 @@
     seed: number,
     private plan: CallsPlan,
   ) {
-    this.random = seeded(seed);
+    this.random = seededRandom(seed);
   }
 
   /** The surroundings of a process; once it has ended nothing of it runs any more. */
--- a/packages/trial/src/fleet.ts
+++ b/packages/trial/src/process-fleet.ts
@@ -7,21 +7,21 @@
 import { sleep, realClock, type NodeConfig, type Role } from '@harecross/kernel';
 import type { Frame } from '@harecross/schema';
 import { Agent, request } from 'undici';
-import type { Way } from './actors.js';
-import { Link } from './link.js';
-import type { Site } from './scenario.js';
+import type { ClientTransport } from './simulated-clients.js';
+import { LinkProxy } from './link-proxy.js';
+import type { DeploymentSpec } from './scenario.js';
 
 /** A node's process and its observed state. */
-export interface Proc {
+export interface NodeProcess {
   name: string;
   role: Role;
   config: NodeConfig;
   file: string;
   child?: ChildProcess;
   /** Its last health check returned 200. */
-  well: boolean;
+  healthy: boolean;
   /** It has answered a health check since it was started, with any status. */
-  answers?: boolean;
+  responding?: boolean;
   up: boolean;
   /** Suspended by SIGSTOP. */
   stopped?: boolean;
@@ -65,17 +65,17 @@
  * const fleet = await Fleet.create(SINE_SALOUM, '/tmp/fleet'); fleet.startAll();
  */
 export class Fleet {
-  readonly procs: Proc[] = [];
+  readonly procs: NodeProcess[] = [];
   private agent = new Agent({ connections: 256, pipelining: 1 });
   private http = new HttpAgent({ keepAlive: false, maxSockets: Infinity });
   /** Resets each open client stream. */
   private conns = new Set<() => void>();
   private polling = true;
   /** Proxies in front of relays, by client address; clients connect through them. */
-  readonly links = new Map<string, Link>();
+  readonly proxies = new Map<string, LinkProxy>();
 
   /** Allocates ports, writes the configuration files of a deployment and begins health checks; starts no process. */
-  static async of(site: Site, folder: string): Promise<Fleet> {
+  static async create(site: DeploymentSpec, folder: string): Promise<Fleet> {
     const fleet = new Fleet();
     mkdirSync(folder, { recursive: true });
     const total = site.stores + site.relays;
@@ -91,7 +91,7 @@
         seeds: [],
         ...(disk ? { data: join(folder, name) } : {}),
       };
-      fleet.procs.push({ name, role, config, file: join(folder, `${name}.json`), well: false, up: false, exits: [] });
+      fleet.procs.push({ name, role, config, file: join(folder, `${name}.json`), healthy: false, up: false, exits: [] });
     };
     for (let i = 0; i < site.stores; i++) make('store', i, true);
     for (let i = 0; i < site.relays; i++) make('relay', i, i < site.relayDisks);
@@ -105,7 +105,7 @@
   }
 
   /** Adds a node to the fleet without starting it. */
-  async add(role: Role, domain: string): Promise<Proc> {
+  async add(role: Role, domain: string): Promise<NodeProcess> {
     const [peerPort, clientPort] = await freePorts(2);
     const ordinal = this.procs.filter((p) => p.role === role).length + 1;
     const folder = dirname(this.procs[0]!.file);
@@ -118,32 +118,32 @@
       seeds: this.procs[0]!.config.seeds,
       ...(role === 'store' ? { data: join(folder, name) } : {}),
     };
-    const p: Proc = { name, role, config, file: join(folder, `${name}.json`), well: false, up: false, exits: [] };
+    const p: NodeProcess = { name, role, config, file: join(folder, `${name}.json`), healthy: false, up: false, exits: [] };
     this.procs.push(p);
     this.writeConfig(p);
     return p;
   }
 
   /** Puts a proxy in front of every relay. */
-  async linked(): Promise<void> {
-    for (const p of this.relays) this.links.set(p.config.client, await Link.before(p.config.client));
+  async startProxies(): Promise<void> {
+    for (const p of this.relays) this.proxies.set(p.config.client, await LinkProxy.start(p.config.client));
   }
   private clientAddress(node: string): string {
-    return this.links.get(node)?.address ?? node;
+    return this.proxies.get(node)?.address ?? node;
   }
 
-  get stores(): Proc[] {
+  get stores(): NodeProcess[] {
     return this.procs.filter((p) => p.role === 'store');
   }
-  get relays(): Proc[] {
+  get relays(): NodeProcess[] {
     return this.procs.filter((p) => p.role === 'relay');
   }
 
-  writeConfig(p: Proc): void {
+  writeConfig(p: NodeProcess): void {
     writeFileSync(p.file, JSON.stringify(p.config, null, 2) + '\n');
   }
 
-  start(p: Proc): void {
+  start(p: NodeProcess): void {
     if (p.up) return;
     const log = createWriteStream(p.file.replace(/\.json$/, '.log'), { flags: 'a' });
     const child = spawn(process.execPath, [programPath(p.role), '--config', p.file], {
@@ -156,8 +156,8 @@
     p.leaving = false;
     child.on('exit', (code, sig) => {
       p.up = false;
-      p.well = false;
-      p.answers = false;
+      p.healthy = false;
+      p.responding = false;
       p.exits.push(sig ? -1 : (code ?? -1));
     });
   }
@@ -165,23 +165,23 @@
     for (const p of this.procs) this.start(p);
   }
 
-  signal(p: Proc, signal: NodeJS.Signals): void {
+  signal(p: NodeProcess, signal: NodeJS.Signals): void {
     if (signal === 'SIGSTOP') p.stopped = true;
     if (signal === 'SIGCONT') p.stopped = false;
     if (p.up) p.child!.kill(signal);
   }
   /** Waits up to `ms` for a process to exit; returns whether it did. */
-  async gone(p: Proc, ms: number): Promise<boolean> {
+  async gone(p: NodeProcess, ms: number): Promise<boolean> {
     const until = realClock.now() + ms;
     while (p.up && realClock.now() < until) await sleep(realClock, 20);
     return !p.up;
   }
-  async kill(p: Proc): Promise<void> {
+  async kill(p: NodeProcess): Promise<void> {
     this.signal(p, 'SIGKILL');
     await this.gone(p, 2_000);
   }
   /** Sends SIGTERM and kills the process 6 s later. Returns how long it took to exit by itself, in ms, or undefined if it was killed. */
-  async stop(p: Proc): Promise<number | undefined> {
+  async stop(p: NodeProcess): Promise<number | undefined> {
     const startedAt = realClock.now();
     p.leaving = true;
     this.signal(p, 'SIGTERM');
@@ -196,7 +196,7 @@
       await Promise.all(
         this.procs.map(async (p) => {
           if (!p.up) {
-            p.well = false;
+            p.healthy = false;
             return;
           }
           try {
@@ -206,10 +206,10 @@
               bodyTimeout: 800,
             });
             await r.body.dump();
-            p.well = r.statusCode === 200;
-            p.answers = p.up;
+            p.healthy = r.statusCode === 200;
+            p.responding = p.up;
           } catch {
-            p.well = false;
+            p.healthy = false;
           }
         }),
       );
@@ -228,10 +228,10 @@
     return count;
   }
 
-  readonly way: Way = {
+  readonly clientTransport: ClientTransport = {
     nodes: (domain) =>
       this.procs
-        .filter((p) => p.role === 'relay' && p.up && p.well && (domain === undefined || p.config.domain === domain))
+        .filter((p) => p.role === 'relay' && p.up && p.healthy && (domain === undefined || p.config.domain === domain))
         .map((p) => p.config.client),
     visit: async (node, method, body, timeoutMs) => {
       const abort = new AbortController();
@@ -309,6 +309,6 @@
     await Promise.all(this.procs.map((p) => this.gone(p, 6_000)));
     for (const p of this.procs) await this.kill(p);
     await this.agent.destroy();
-    for (const link of this.links.values()) await link.close();
+    for (const link of this.proxies.values()) await link.close();
   }
 }
--- a/packages/trial/src/scenario.ts
+++ b/packages/trial/src/scenario.ts
@@ -1,13 +1,13 @@
 import type { FleetValue } from '@harecross/control';
 import { randomSample, sleep } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
-import { audit, Consumer, Operator, Pipeliner, Sender, type World } from './actors.js';
-import { Journal, type Seen } from './journal.js';
+import { audit, Consumer, Operator, PipelinedSender, Sender, type ClientContext } from './simulated-clients.js';
+import { Journal, type JournalEvent } from './journal.js';
 import { judge, SETTLE_MS, type Bounds, type Violation } from './oracle.js';
-import { seeded, Sim, type SimNode, type SimOpts } from './sim.js';
+import { seededRandom, Sim, type SimNode, type SimOptions } from './sim.js';
 
 /** Size and traffic of a deployment. */
-export interface Site {
+export interface DeploymentSpec {
   name: string;
   domains: string[];
   relays: number;
@@ -19,14 +19,14 @@
     prefix: string;
     topics: number;
     urgency: 'urgent' | 'routine';
-    perS: number;
+    messagesPerS: number;
     memoryS: number;
     patienceMs: number;
   }[];
 }
 
 /** The two reference deployments at full size. */
-export const SINE_SALOUM: Site = {
+export const SINE_SALOUM: DeploymentSpec = {
   name: 'sine-saloum',
   domains: ['kaolack', 'fatick', 'foundiougne'],
   relays: 12,
@@ -34,11 +34,27 @@
   stores: 3,
   consumers: 400,
   families: [
-    { name: 'payments', prefix: 'pay/', topics: 420, urgency: 'routine', perS: 70, memoryS: 35, patienceMs: 3_000 },
-    { name: 'warnings', prefix: 'warn/', topics: 30, urgency: 'urgent', perS: 25, memoryS: 25, patienceMs: 2_000 },
+    {
+      name: 'payments',
+      prefix: 'pay/',
+      topics: 420,
+      urgency: 'routine',
+      messagesPerS: 70,
+      memoryS: 35,
+      patienceMs: 3_000,
+    },
+    {
+      name: 'warnings',
+      prefix: 'warn/',
+      topics: 30,
+      urgency: 'urgent',
+      messagesPerS: 25,
+      memoryS: 25,
+      patienceMs: 2_000,
+    },
   ],
 };
-export const DUNARE: Site = {
+export const DUNARE: DeploymentSpec = {
   name: 'dunare-carpati',
   domains: ['galati', 'braila', 'tulcea', 'focsani'],
   relays: 11,
@@ -46,12 +62,28 @@
   stores: 4,
   consumers: 410,
   families: [
-    { name: 'levels', prefix: 'level/', topics: 260, urgency: 'routine', perS: 50, memoryS: 35, patienceMs: 3_000 },
-    { name: 'floods', prefix: 'flood/', topics: 30, urgency: 'urgent', perS: 25, memoryS: 25, patienceMs: 2_000 },
+    {
+      name: 'levels',
+      prefix: 'level/',
+      topics: 260,
+      urgency: 'routine',
+      messagesPerS: 50,
+      memoryS: 35,
+      patienceMs: 3_000,
+    },
+    {
+      name: 'floods',
+      prefix: 'flood/',
+      topics: 30,
+      urgency: 'urgent',
+      messagesPerS: 25,
+      memoryS: 25,
+      patienceMs: 2_000,
+    },
   ],
 };
 /** A deployment of the same structure, small enough to run with many seeds. */
-export const SMALL: Site = {
+export const SMALL: DeploymentSpec = {
   name: 'small',
   domains: ['a', 'b', 'c'],
   relays: 6,
@@ -59,8 +91,8 @@
   stores: 3,
   consumers: 24,
   families: [
-    { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', perS: 14, memoryS: 35, patienceMs: 3_000 },
-    { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', perS: 6, memoryS: 25, patienceMs: 2_000 },
+    { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', messagesPerS: 14, memoryS: 35, patienceMs: 3_000 },
+    { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', messagesPerS: 6, memoryS: 25, patienceMs: 2_000 },
   ],
 };
 
@@ -69,7 +101,7 @@
  * @example
  * fleetConfigOf(SMALL, [{ name: 'x', topics: ['x/*'], urgency: 'routine', patienceMs: 2000, memoryS: 30 }])
  */
-export function configOf(site: Site, extra: FleetConfig['families'] = []): FleetConfig {
+export function fleetConfigOf(site: DeploymentSpec, extra: FleetConfig['families'] = []): FleetConfig {
   return {
     families: [
       ...site.families.map((f) => ({
@@ -88,9 +120,9 @@
 const subscribedTopics = (topics: number): number => Math.max(1, topics - Math.ceil(topics / 10));
 
 /** The simulated clients of a deployment. */
-export interface Crowd {
+export interface SimulatedClients {
   consumers: Consumer[];
-  senders: (Sender | Pipeliner)[];
+  senders: (Sender | PipelinedSender)[];
   operator: Operator;
   topics: string[];
 }
@@ -100,9 +132,13 @@
  * @example
  * for (const c of createClients(context, SMALL).consumers) c.start();
  */
-export function crowd(context: World, site: Site, consumerOptions: { staysUntilEnd?: boolean } = {}): Crowd {
+export function createClients(
+  context: ClientContext,
+  site: DeploymentSpec,
+  consumerOptions: { staysUntilEnd?: boolean } = {},
+): SimulatedClients {
   const consumers: Consumer[] = [];
-  const senders: (Sender | Pipeliner)[] = [];
+  const senders: (Sender | PipelinedSender)[] = [];
   const topics = site.families.flatMap((f) => Array.from({ length: f.topics }, (_, i) => `${f.prefix}${i}`));
   for (let i = 0; i < site.consumers; i++) {
     const subscribed = new Set<string>();
@@ -131,7 +167,7 @@
           `${f.name}-${i}`,
           site.domains[i % site.domains.length]!,
           ownTopics,
-          (1000 * senderCount) / f.perS,
+          (1000 * senderCount) / f.messagesPerS,
           {
             triesN: 8,
             repeats: 0.15,
@@ -142,18 +178,24 @@
     // Two senders per family publish with several messages in flight on one topic.
     for (const i of [0, 1])
       senders.push(
-        new Pipeliner(context, `${f.name}-pipe${i}`, site.domains[i % site.domains.length]!, `${f.prefix}${i}`, 200),
+        new PipelinedSender(
+          context,
+          `${f.name}-pipe${i}`,
+          site.domains[i % site.domains.length]!,
+          `${f.prefix}${i}`,
+          200,
+        ),
       );
   }
   return { consumers, senders, operator: new Operator(context, 'op'), topics };
 }
 
 /** A scenario's run, as its faults see it. */
-export interface Stage {
+export interface ScenarioContext {
   sim: Sim;
-  world: World;
-  site: Site;
-  crowd: Crowd;
+  clientContext: ClientContext;
+  site: DeploymentSpec;
+  crowd: SimulatedClients;
   stores: SimNode[];
   relays: SimNode[];
   /** All machines with a disk. */
@@ -162,13 +204,13 @@
   /** Adds a line to the notes and the log of the run. */
   note(s: string): void;
   /** Reports a violation that the oracle cannot see in the journal. */
-  wrong(rule: Violation['rule'], what: string): void;
+  reportViolation(rule: Violation['rule'], what: string): void;
 }
 /** Result of a scenario's run. */
-export interface Run {
-  seen: Seen[];
+export interface ScenarioResult {
+  seen: JournalEvent[];
   /** Violations that the oracle or the scenario found. */
-  bad: Violation[];
+  violations: Violation[];
   sim: Sim;
   notes: string[];
   counters: Map<string, number>;
@@ -176,18 +218,18 @@
 
 /** A deployment, the faults injected into it, and what the oracle tolerates. */
 export interface Scenario {
-  site?: Site;
-  opts?: SimOpts;
+  site?: DeploymentSpec;
+  opts?: SimOptions;
   /** Each machine's clock is off by a random amount of up to this much, in either direction. */
   skewMs?: number;
   /** Injects faults while clients send traffic. */
-  faults: (s: Stage) => Promise<void>;
+  faults: (s: ScenarioContext) => Promise<void>;
   /** Minimum duration of the fault phase; 20 s by default. */
-  forMs?: number;
+  faultPhaseMs?: number;
   /** Adds and starts the machines; by default those of the deployment. */
-  machines?: (sim: Sim, site: Site) => Promise<Machines>;
+  machines?: (sim: Sim, site: DeploymentSpec) => Promise<Machines>;
   /** Applies the initial configuration; by default the operator submits that of the deployment. */
-  first?: (stage: Stage) => Promise<unknown>;
+  first?: (stage: ScenarioContext) => Promise<unknown>;
   /** Limits that the oracle applies; by default those for simulated fleets. */
   bounds?: Bounds;
 }
@@ -204,7 +246,7 @@
  * @example
  * const { stores, relays, disks } = await createMachines(sim, SMALL);
  */
-export async function build(sim: Sim, site: Site, skewMs = 0): Promise<Machines> {
+export async function createMachines(sim: Sim, site: DeploymentSpec, skewMs = 0): Promise<Machines> {
   const skew = (): number => (skewMs ? Math.round((sim.random.next() * 2 - 1) * skewMs) : 0);
   const stores = Array.from({ length: site.stores }, (_, i) =>
     sim.add(`store${i + 1}`, {
@@ -232,7 +274,7 @@
  * Names of the replica sets without a majority of live members (`broken`), and of those that could lose it after `losses` more
  * losses (`thin`).
  */
-export function weakSets(sim: Sim, losses: number): { broken: string[]; thin: string[] } {
+export function weakReplicaSets(sim: Sim, losses: number): { broken: string[]; thin: string[] } {
   const value = newestValue(sim);
   if (!value) return { broken: ['no value'], thin: [] };
   const live = new Set([...sim.nodes.values()].filter((n) => n.up && !n.frozen).map(diskOf));
@@ -301,8 +343,8 @@
     well: well.map((n) => n.config.client).sort(),
     ailing,
     able,
-    rough: sim.rough(),
-    poor: [...sim.thin.keys(), ...sim.deaf],
+    rough: sim.isDegraded(),
+    poor: [...sim.linkBytesPerS.keys(), ...sim.halfOpenConsumers],
   };
 }
 
@@ -327,27 +369,34 @@
  * @example
  * const r = await runScenario(7, { faults: async ({ sim, stores }) => { sim.kill(stores[0]!); } });
  */
-export async function play(seed: number, scenario: Scenario): Promise<Run> {
+export async function runScenario(seed: number, scenario: Scenario): Promise<ScenarioResult> {
   const site = scenario.site ?? SMALL;
   const sim = new Sim(seed, scenario.opts);
-  const machines = await (scenario.machines ? scenario.machines(sim, site) : build(sim, site, scenario.skewMs));
+  const machines = await (scenario.machines
+    ? scenario.machines(sim, site)
+    : createMachines(sim, site, scenario.skewMs));
   const journal = new Journal(() => sim.now);
-  const context: World = { clock: sim.clock, random: seeded(seed ^ 0x5eed), way: sim.outside, journal };
-  const clients = crowd(context, site);
+  const context: ClientContext = {
+    clock: sim.clock,
+    random: seededRandom(seed ^ 0x5eed),
+    clientTransport: sim.clientTransport,
+    journal,
+  };
+  const clients = createClients(context, site);
   const notes: string[] = [];
   const reported: Violation[] = [];
-  const stage: Stage = {
+  const stage: ScenarioContext = {
     sim,
-    world: context,
+    clientContext: context,
     site,
     crowd: clients,
     ...machines,
-    random: seeded(seed ^ 0xfa17),
+    random: seededRandom(seed ^ 0xfa17),
     note: (s) => {
       notes.push(`${(sim.now / 1000).toFixed(3)} ${s}`);
       sim.lines.push(`${(sim.now / 1000).toFixed(3)} ** ${s}`);
     },
-    wrong: (rule, what) => reported.push({ rule, t: Math.round(sim.now), what }),
+    reportViolation: (rule, what) => reported.push({ rule, t: Math.round(sim.now), what }),
   };
   await sim.run(6_000);
   let failure: unknown;
@@ -366,7 +415,7 @@
     for (const until = sim.now + limitMs; !settled && sim.now < until;) await sim.run(sim.now + 250);
     return settled;
   };
-  const first = scenario.first ? scenario.first(stage) : clients.operator.submit('first', configOf(site), true);
+  const first = scenario.first ? scenario.first(stage) : clients.operator.submit('first', fleetConfigOf(site), true);
   await sim.run(12_000);
   if (!(await runUntilSettled(first, 60_000))) notes.push('the first configuration was never answered');
   for (const n of sim.nodes.values())
@@ -402,10 +451,10 @@
   })();
   await sim.run(17_000);
   const faultsBegan = sim.now;
-  if (!(await runUntilSettled(scenario.faults(stage), (scenario.forMs ?? 20_000) + 120_000)))
+  if (!(await runUntilSettled(scenario.faults(stage), (scenario.faultPhaseMs ?? 20_000) + 120_000)))
     notes.push('the faults never ended');
   if (failure) throw failure;
-  await sim.run(Math.max(sim.now, faultsBegan + (scenario.forMs ?? 20_000)));
+  await sim.run(Math.max(sim.now, faultsBegan + (scenario.faultPhaseMs ?? 20_000)));
   await sim.run(sim.now + 3_000);
   for (const s of clients.senders) s.stop();
   await sim.run(sim.now + 2_000);
@@ -430,5 +479,5 @@
   for (const n of notes.filter((x) => x.includes('never'))) violations.push({ rule: 'unanswered', t: 0, what: n });
   for (const e of sim.errors) violations.push({ rule: 'served', t: 0, what: `unexpected error: ${e}` });
   sim.close();
-  return { seen: journal.seen, bad: violations, sim, notes, counters };
+  return { seen: journal.seen, violations: violations, sim, notes, counters };
 }
--- a/packages/trial/src/sim-disk.ts
+++ b/packages/trial/src/sim-disk.ts
@@ -17,7 +17,7 @@
 const LOG = 'state.db-wal';
 
 /** What the disk requires of the simulator. */
-export interface DiskSurroundings {
+export interface DiskEnvironment {
   /** Runs `fn` when a sync that starts now completes. */
   afterSync(fn: () => void): void;
 }
@@ -40,7 +40,7 @@
 
   constructor(
     private readonly root: string,
-    private readonly environment: DiskSurroundings,
+    private readonly environment: DiskEnvironment,
   ) {}
 
   private directory(generation = this.generation): string {
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -18,7 +18,7 @@
 import { join } from 'node:path';
 import Database from 'better-sqlite3';
 import type { Json } from './json.js';
-import type { Way } from './actors.js';
+import type { ClientTransport } from './simulated-clients.js';
 import { SimDisk } from './sim-disk.js';
 
 /**
@@ -26,7 +26,7 @@
  * @example
  * seededRandom(7).next(); // the same number every time
  */
-export function seeded(seed: number): RandomSource {
+export function seededRandom(seed: number): RandomSource {
   let a = seed >>> 0;
   return {
     next() {
@@ -99,7 +99,7 @@
 }
 
 /** CPU and bandwidth of a machine: frames queue for both, so that an overloaded machine falls behind. */
-export interface Load {
+export interface MachineCapacity {
   /** Share of a CPU core. Each frame sent or received costs `FRAME_CORE_MS` of core time plus `FRAME_CORE_MS_PER_KIB` for its length. */
   coreShare: number;
   /** Bandwidth in bytes per millisecond, in each direction. */
@@ -129,25 +129,25 @@
   /** With `SimOpts.files`: the node's files, written by the production disk code. */
   disk?: SimDisk;
   /** Incremented at each start and end of the process, so that callbacks of an earlier process are ignored. */
-  life: number;
+  incarnation: number;
   up: boolean;
   frozen: boolean;
   /** Callbacks deferred while frozen. */
-  frozenWork: (() => void)[];
+  deferredWork: (() => void)[];
   /** Upper bound of the extra random delay added to each timer and message of the node. */
-  slowMs: number;
+  maxExtraDelayMs: number;
   /** Mean duration of a disk sync; also the time to open the database. */
   diskMs: number;
   /** Without it, frames take no CPU time or bandwidth. */
-  load?: Load;
+  capacity?: MachineCapacity;
   busy: Occupancy;
   /** Frames sent and received, both requests and responses, and their bytes; counted while `measureTraffic` is set. */
   frames: { n: number; bytes: number };
   /** If set, each disk sync blocks the event loop for a random time in this range. */
-  stallMs?: [number, number];
+  syncStallMs?: [number, number];
   /** Rate of the node's clock (see setRate), and the total step applied to its wall clock while running. */
   rate: number;
-  stepMs: number;
+  wallStepMs: number;
   handle?: (f: string) => Promise<string>;
   kernel?: Kernel;
   edge?: Edge;
@@ -155,14 +155,14 @@
   /** When connections of this node were last reset. */
   resetAt?: number;
   /** The disk is full: the process is expected to detect this and exit. */
-  fullDisk?: boolean;
+  diskFull?: boolean;
   /** Resets each request in flight at this node; called when the process ends. */
   calls: Set<() => void>;
   /** Resets each open client stream. */
   streams: Set<() => void>;
 }
 
-export interface SimOpts {
+export interface SimOptions {
   delayMs?: [number, number];
   loss?: number;
   log?: boolean;
@@ -185,13 +185,13 @@
   /** Number of events processed. */
   events = 0;
   /** Range of the one-way network delay in ms. */
-  delay: [number, number];
+  delayRangeMs: [number, number];
   /** Probability that a packet is lost. */
   loss: number;
   /** Bandwidth limits of consumer links, in bytes per second, by consumer name. */
-  readonly thin = new Map<string, number>();
+  readonly linkBytesPerS = new Map<string, number>();
   /** Consumers whose current stream is half-open: nothing sent on it arrives, and neither side is notified. */
-  readonly deaf = new Set<string>();
+  readonly halfOpenConsumers = new Set<string>();
   /** Directed pairs `from>to` of node names between which no message arrives. */
   readonly cuts = new Set<string>();
   private eventQueue = new EventQueue();
@@ -199,11 +199,11 @@
   private nodesByPeerAddress = new Map<string, SimNode>();
   private nodesByClientAddress = new Map<string, SimNode>();
   /** Peer requests and their bytes, by method; recorded while `measureTraffic` is set. */
-  readonly traffic = new Map<string, { n: number; bytes: number }>();
+  readonly requestTraffic = new Map<string, { n: number; bytes: number }>();
   /** Bytes of the responses to peer requests, by method. */
-  readonly answers = new Map<string, number>();
+  readonly responseBytes = new Map<string, number>();
   /** Records `requestTraffic`, `responseBytes` and the `frames` of each node. */
-  measure = false;
+  measureTraffic = false;
   /** Unexpected errors raised by node code. */
   readonly errors: string[] = [];
   /** Directory of the nodes' files, with `SimOpts.files`. */
@@ -211,10 +211,10 @@
 
   constructor(
     readonly seed: number,
-    private opts: SimOpts = {},
+    private opts: SimOptions = {},
   ) {
-    this.random = seeded(seed);
-    this.delay = opts.delayMs ?? [0.5, 6];
+    this.random = seededRandom(seed);
+    this.delayRangeMs = opts.delayMs ?? [0.5, 6];
     this.loss = opts.loss ?? 0;
     if (opts.files) this.directory = mkdtempSync(join(tmpdir(), 'harecross-sim-'));
   }
@@ -264,16 +264,16 @@
       name,
       config,
       skewMs: options.skewMs ?? 0,
-      life: 0,
+      incarnation: 0,
       up: false,
       frozen: false,
-      frozenWork: [],
-      slowMs: 0,
+      deferredWork: [],
+      maxExtraDelayMs: 0,
       diskMs: 2,
       busy: { coreUntil: 0, inUntil: 0, outUntil: 0 },
       frames: { n: 0, bytes: 0 },
       rate: 1,
-      stepMs: 0,
+      wallStepMs: 0,
       calls: new Set(),
       streams: new Set(),
     };
@@ -291,9 +291,9 @@
 
   /** Runs a callback in a node's process: dropped if that process has ended, deferred while it is frozen. */
   private runOnNode(n: SimNode, incarnation: number, fn: () => void): void {
-    if (!n.up || n.life !== incarnation) return;
+    if (!n.up || n.incarnation !== incarnation) return;
     if (n.frozen) {
-      n.frozenWork.push(() => this.runOnNode(n, incarnation, fn));
+      n.deferredWork.push(() => this.runOnNode(n, incarnation, fn));
       return;
     }
     fn();
@@ -301,7 +301,10 @@
 
   /** Draws a one-way delay. A lost packet is retransmitted after 200 ms, doubled with each further loss. */
   private drawDelayMs(extraMs = 0): number {
-    let delayMs = this.delay[0] + (this.delay[1] - this.delay[0]) * this.random.next() + extraMs * this.random.next();
+    let delayMs =
+      this.delayRangeMs[0] +
+      (this.delayRangeMs[1] - this.delayRangeMs[0]) * this.random.next() +
+      extraMs * this.random.next();
     for (let retransmitMs = 200; this.random.next() < this.loss && retransmitMs < 4_000; retransmitMs *= 2)
       delayMs += retransmitMs;
     return delayMs;
@@ -318,11 +321,11 @@
 
   /** Queues a frame on a machine's link and CPU; returns the time until it has passed both, behind earlier frames. */
   private queueFrameMs(n: SimNode, bytes: number, direction: 'inUntil' | 'outUntil'): number {
-    if (this.measure) {
+    if (this.measureTraffic) {
       n.frames.n++;
       n.frames.bytes += bytes;
     }
-    const { load, busy } = n;
+    const { capacity: load, busy } = n;
     if (!load) return 0;
     const coreMs = (FRAME_CORE_MS + (FRAME_CORE_MS_PER_KIB * bytes) / 1024) / load.coreShare;
     busy.coreUntil = Math.max(this.now, busy.coreUntil) + coreMs;
@@ -339,36 +342,37 @@
     if (both) this.cuts.add(`${b}>${a}`);
   }
   /** Removes the cuts between a and b. */
-  mend(a: string, b: string): void {
+  heal(a: string, b: string): void {
     this.cuts.delete(`${a}>${b}`);
     this.cuts.delete(`${b}>${a}`);
   }
   /** Removes all cuts. */
-  heal(): void {
+  healAll(): void {
     this.cuts.clear();
   }
   /** Whether any machine or link is degraded: loss, cuts, high delay, or a slow or stalling disk. */
-  rough(): boolean {
+  isDegraded(): boolean {
     return (
       this.loss > 0 ||
       this.cuts.size > 0 ||
-      this.delay[1] > 20 ||
-      [...this.nodes.values()].some((n) => n.slowMs > 0 || n.diskMs > 10 || n.stallMs !== undefined)
+      this.delayRangeMs[1] > 20 ||
+      [...this.nodes.values()].some((n) => n.maxExtraDelayMs > 0 || n.diskMs > 10 || n.syncStallMs !== undefined)
     );
   }
 
   async start(n: SimNode): Promise<void> {
     if (n.up) return;
-    const incarnation = ++n.life;
+    const incarnation = ++n.incarnation;
     n.up = true;
     n.frozen = false;
-    n.frozenWork = [];
-    const random = seeded(Math.floor(this.random.next() * 2 ** 32));
+    n.deferredWork = [];
+    const random = seededRandom(Math.floor(this.random.next() * 2 ** 32));
     // Timers run at the clock's rate too; setRate keeps the clock continuous when it changes.
     const clock: Clock = {
       now: () => EPOCH_MS + this.now * n.rate + n.skewMs,
-      wall: () => clock.now() + n.stepMs,
-      after: (ms, fn) => this.at(ms / n.rate + n.slowMs * random.next(), () => this.runOnNode(n, incarnation, fn)),
+      wall: () => clock.now() + n.wallStepMs,
+      after: (ms, fn) =>
+        this.at(ms / n.rate + n.maxExtraDelayMs * random.next(), () => this.runOnNode(n, incarnation, fn)),
     };
     const net: Net = {
       serve: async (h) => {
@@ -395,7 +399,7 @@
       log: { info: logger(''), warn: logger('! ') },
       terminate: () => this.kill(n),
     };
-    if (n.config.data && n.disk !== undefined && n.fullDisk) {
+    if (n.config.data && n.disk !== undefined && n.diskFull) {
       // As in production: a relay runs without its disk until there is space again; other roles exit.
       if (n.config.role !== 'relay') {
         this.kill(n);
@@ -415,14 +419,14 @@
       ...clock,
       after: (ms, fn) =>
         clock.after(ms, () => {
-          const range = n.stallMs;
+          const range = n.syncStallMs;
           if (!range) {
             fn();
             return;
           }
           n.frozen = true;
           this.at(range[0] + (range[1] - range[0]) * random.next(), () => {
-            if (!n.up || n.life !== incarnation) return;
+            if (!n.up || n.incarnation !== incarnation) return;
             n.frozen = false;
             fn();
             this.runDeferredWork(n);
@@ -435,7 +439,7 @@
   private openDisk(n: SimNode, clock: Clock, random: RandomSource, log: Log): SyncedDatabase | undefined {
     const onFault = (e: Error): void => {
       this.lines.push(`${(this.now / 1000).toFixed(3)} ${n.name} disk fault: ${e.message}`);
-      if (!n.fullDisk) this.errors.push(`${n.name} disk: ${e.message}`);
+      if (!n.diskFull) this.errors.push(`${n.name} disk: ${e.message}`);
       this.kill(n);
     };
     const syncMs = (): number => n.diskMs * (0.5 + random.next());
@@ -461,13 +465,13 @@
   kill(n: SimNode): void {
     if (!n.up) return;
     n.up = false;
-    n.life++;
+    n.incarnation++;
     n.db?.discardUnsynced();
     n.kernel?.stopLoops();
     n.disk?.endProcess();
     n.handle = undefined;
     n.frozen = false;
-    n.frozenWork = [];
+    n.deferredWork = [];
     for (const f of Array.from(n.calls)) f();
     n.calls.clear();
     for (const f of Array.from(n.streams)) f();
@@ -482,10 +486,10 @@
 
   /** Sends SIGTERM and kills the process 6 s later. Returns whether it stopped by itself. */
   async stop(n: SimNode): Promise<boolean> {
-    const incarnation = n.life;
+    const incarnation = n.incarnation;
     let stopped = false;
     const cancelKill = this.at(6_000, () => {
-      if (n.life === incarnation) this.kill(n);
+      if (n.incarnation === incarnation) this.kill(n);
     });
     const kernel = n.kernel!;
     const sql = n.sql;
@@ -500,7 +504,7 @@
       }),
     ]);
     cancelKill();
-    if (n.life === incarnation) this.kill(n);
+    if (n.incarnation === incarnation) this.kill(n);
     n.sql = sql;
     return stopped;
   }
@@ -515,7 +519,7 @@
 
   /** Makes the disk full, or frees space on it again. */
   fillDisk(n: SimNode, full: boolean): void {
-    n.fullDisk = full;
+    n.diskFull = full;
     const runsWithoutDisk = n.up && n.config.data !== undefined && n.kernel !== undefined && !n.kernel.host.db;
     if (!full && runsWithoutDisk) void this.stop(n).then(() => this.start(n));
     if (n.sql?.open)
@@ -533,8 +537,8 @@
     this.runDeferredWork(n);
   }
   private runDeferredWork(n: SimNode): void {
-    const deferred = n.frozenWork;
-    n.frozenWork = [];
+    const deferred = n.deferredWork;
+    n.deferredWork = [];
     for (const fn of deferred) this.at(this.random.next(), fn);
   }
   /** Sets the rate of the node's clock; its current reading does not jump. */
@@ -546,10 +550,10 @@
   private call(from: SimNode, incarnation: number, peer: string, frame: string, timeoutMs: number): Promise<string> {
     const to = this.nodesByPeerAddress.get(peer);
     let method = '';
-    if (this.measure) {
+    if (this.measureTraffic) {
       method = /^(\w+) /.exec(frame)?.[1] ?? '?';
-      const t = this.traffic.get(method) ?? { n: 0, bytes: 0 };
-      this.traffic.set(method, { n: t.n + 1, bytes: t.bytes + frame.length });
+      const t = this.requestTraffic.get(method) ?? { n: 0, bytes: 0 };
+      this.requestTraffic.set(method, { n: t.n + 1, bytes: t.bytes + frame.length });
     }
     return new Promise((res, rej) => {
       let settled = false;
@@ -570,9 +574,9 @@
         );
         return;
       }
-      const conn = `${from.name}/${incarnation}>${to.name}/${to.life}`;
+      const conn = `${from.name}/${incarnation}>${to.name}/${to.incarnation}`;
       const sendMs = this.queueFrameMs(from, frame.length, 'outUntil');
-      this.at(this.orderedDelayMs(conn, sendMs + this.drawDelayMs(from.slowMs + to.slowMs)), () => {
+      this.at(this.orderedDelayMs(conn, sendMs + this.drawDelayMs(from.maxExtraDelayMs + to.maxExtraDelayMs)), () => {
         if (this.isCut(from.name, to.name)) return; // the message is lost; the caller times out
         if (!to.up || !to.handle) {
           this.at(this.drawDelayMs(), () =>
@@ -580,7 +584,7 @@
           );
           return;
         }
-        const receiverIncarnation = to.life;
+        const receiverIncarnation = to.incarnation;
         reset = () => {
           this.at(this.drawDelayMs(), () => {
             if (!this.isCut(to.name, from.name))
@@ -592,11 +596,14 @@
           this.runOnNode(to, receiverIncarnation, () => {
             to.handle!(frame).then(
               (s) => {
-                if (method) this.answers.set(method, (this.answers.get(method) ?? 0) + s.length);
-                if (!to.up || to.life !== receiverIncarnation) return;
+                if (method) this.responseBytes.set(method, (this.responseBytes.get(method) ?? 0) + s.length);
+                if (!to.up || to.incarnation !== receiverIncarnation) return;
                 const responseSendMs = this.queueFrameMs(to, s.length, 'outUntil');
                 this.at(
-                  this.orderedDelayMs(`${conn} back`, responseSendMs + this.drawDelayMs(from.slowMs + to.slowMs)),
+                  this.orderedDelayMs(
+                    `${conn} back`,
+                    responseSendMs + this.drawDelayMs(from.maxExtraDelayMs + to.maxExtraDelayMs),
+                  ),
                   () => {
                     if (!this.isCut(to.name, from.name)) this.whenReceived(from, s.length, () => settle(() => res(s)));
                   },
@@ -620,7 +627,7 @@
   }
 
   /** How simulated clients reach the fleet. */
-  readonly outside: Way = {
+  readonly clientTransport: ClientTransport = {
     nodes: (domain) =>
       [...this.nodes.values()]
         .filter(
@@ -635,7 +642,7 @@
     visit: (node, method, body, timeoutMs, line) =>
       new Promise((res) => {
         const to = this.nodesByClientAddress.get(node)!;
-        const incarnation = to.life;
+        const incarnation = to.incarnation;
         let settled = false;
         const settle = (response: { status: number; body: Json } | undefined): void => {
           if (!settled) {
@@ -650,7 +657,7 @@
         };
         const cancelTimeout = this.at(timeoutMs, () => settle(undefined));
         const requestJson = JSON.stringify(body);
-        let delayMs = this.drawDelayMs(to.slowMs);
+        let delayMs = this.drawDelayMs(to.maxExtraDelayMs);
         // Requests on one connection arrive in order.
         if (line) {
           delayMs = Math.max(delayMs, line.at - this.now);
@@ -659,16 +666,16 @@
         const responseDelayMs = (ms: number): number =>
           line ? this.orderedDelayMs(`${node} ${line.name} back`, ms) : ms;
         this.at(delayMs, () => {
-          if (!to.up || to.life !== incarnation || !to.edge) {
+          if (!to.up || to.incarnation !== incarnation || !to.edge) {
             settle(undefined);
             return;
           }
           to.calls.add(reset);
           const handleRequest = (): void => {
             void to.edge!.handle(method, JSON.parse(requestJson)).then((r) => {
-              if (!to.up || to.life !== incarnation) return;
+              if (!to.up || to.incarnation !== incarnation) return;
               const responseJson = JSON.stringify(r.body);
-              this.at(responseDelayMs(this.drawDelayMs(to.slowMs)), () =>
+              this.at(responseDelayMs(this.drawDelayMs(to.maxExtraDelayMs)), () =>
                 settle({ status: r.status, body: JSON.parse(responseJson) }),
               );
             });
@@ -682,7 +689,7 @@
       }),
     attach: (node, body, onFrame, onEnd) => {
       const to = this.nodesByClientAddress.get(node)!;
-      const incarnation = to.life;
+      const incarnation = to.incarnation;
       let closed = false;
       let id = '';
       let lastArrival = 0;
@@ -696,23 +703,23 @@
         this.at(this.drawDelayMs(), ended);
       };
       const consumer = (body as { consumer?: string }).consumer ?? '';
-      this.deaf.delete(consumer);
+      this.halfOpenConsumers.delete(consumer);
       // A stream is one TCP connection, so frames arrive in order.
       const toClient = (fn: () => void): void => {
-        const arrivesAt = Math.max(lastArrival, this.now + this.drawDelayMs(to.slowMs));
+        const arrivesAt = Math.max(lastArrival, this.now + this.drawDelayMs(to.maxExtraDelayMs));
         lastArrival = arrivesAt;
         this.at(arrivesAt - this.now, fn);
       };
-      this.at(this.drawDelayMs(to.slowMs), () => {
+      this.at(this.drawDelayMs(to.maxExtraDelayMs), () => {
         if (closed) return;
-        if (!to.up || to.life !== incarnation || !to.edge) {
+        if (!to.up || to.incarnation !== incarnation || !to.edge) {
           ended();
           return;
         }
         to.streams.add(reset);
         this.runOnNode(to, incarnation, () => {
           if (closed) return;
-          const rate = this.thin.get(consumer);
+          const rate = this.linkBytesPerS.get(consumer);
           let backlog = 0;
           const r = to.edge!.attach(body, {
             write: (frames) => {
@@ -731,7 +738,7 @@
               }
               toClient(() => {
                 for (const line of s.split('\n'))
-                  if (line && !closed && !this.deaf.has(consumer)) onFrame(JSON.parse(line) as Frame);
+                  if (line && !closed && !this.halfOpenConsumers.has(consumer)) onFrame(JSON.parse(line) as Frame);
               });
               return backlog <= 65_536;
             },
--- a/packages/trial/src/actors.ts
+++ b/packages/trial/src/simulated-clients.ts
@@ -7,14 +7,14 @@
  * A client connection with several requests in flight: the arrival time of the last request, and the requests that have arrived
  * but are not yet read. Responses arrive in the order in which they were sent.
  */
-export interface Line {
+export interface OrderedConnection {
   name: string;
   at: number;
   waiting: (() => void)[];
 }
 
 /** How clients reach a fleet, simulated or of real processes. Nodes are named by client address. */
-export interface Way {
+export interface ClientTransport {
   /**
    * Sends a request and returns its response, or undefined if none arrived in time. With a `line`, requests arrive in the order in
    * which they were sent; a fleet of real processes does not guarantee that.
@@ -24,7 +24,7 @@
     method: string,
     body: unknown,
     timeoutMs: number,
-    line?: Line,
+    line?: OrderedConnection,
   ): Promise<{ status: number; body: Json } | undefined>;
   /** Opens a stream of frames; returns a function that closes it. */
   attach(node: string, body: unknown, onFrame: (f: Frame) => void, onEnd: () => void): () => void;
@@ -33,10 +33,10 @@
 }
 
 /** What every simulated client needs. */
-export interface World {
+export interface ClientContext {
   clock: Clock;
   random: RandomSource;
-  way: Way;
+  clientTransport: ClientTransport;
   journal: Journal;
 }
 
@@ -44,9 +44,9 @@
 let attempts = 0;
 
 /** A random node of the domain, or of any domain if that has none. */
-const pickNode = (context: World, domain?: string): string | undefined => {
-  const local = context.way.nodes(domain);
-  return randomSample(context.random, local.length ? local : context.way.nodes(), 1)[0];
+const pickNode = (context: ClientContext, domain?: string): string | undefined => {
+  const local = context.clientTransport.nodes(domain);
+  return randomSample(context.random, local.length ? local : context.clientTransport.nodes(), 1)[0];
 };
 
 /**
@@ -74,7 +74,7 @@
   readonly want: Set<string>;
 
   constructor(
-    private context: World,
+    private context: ClientContext,
     readonly name: string,
     public domain: string,
     topics: string[],
@@ -96,10 +96,10 @@
   }
   stop(): void {
     this.running = false;
-    this.drop('stop');
+    this.disconnect('stop');
   }
   /** Ends the connection; the consumer reconnects by itself. */
-  drop(why = 'drop'): void {
+  disconnect(why = 'drop'): void {
     this.end(why);
   }
   /** Stops without closing the connection: no more probes, nothing read, and the node is not notified. */
@@ -111,9 +111,9 @@
     abandon?.();
   }
   /** Disconnects and starts again after `ms`. */
-  async away(ms: number): Promise<void> {
+  async disconnectFor(ms: number): Promise<void> {
     this.running = false;
-    this.drop('away');
+    this.disconnect('away');
     await sleep(this.context.clock, ms);
     this.start();
   }
@@ -123,7 +123,7 @@
     this.want.delete(topic);
     const conn = this.conn;
     if (!conn) return;
-    const r = await this.context.way.visit(this.node!, 'Unsubscribe', { conn, topic }, 2_000);
+    const r = await this.context.clientTransport.visit(this.node!, 'Unsubscribe', { conn, topic }, 2_000);
     if (r?.status === 200) this.context.journal.add({ k: 'unsub.ok', consumer: this.name, conn, topic });
   }
 
@@ -168,7 +168,7 @@
 
   /** Opens a connection and waits for its end; returns the delay before the next attempt. */
   private connect(node: string): Promise<number> {
-    const { random, way: transport, clock, journal } = this.context;
+    const { random, clientTransport: transport, clock, journal } = this.context;
     return new Promise((res) => {
       this.end('superseded');
       const generation = ++this.connectionGeneration;
@@ -268,7 +268,7 @@
   }
 
   private async probeLoop(conn: string, generation: number, node: string): Promise<void> {
-    const { clock, random, way: transport } = this.context;
+    const { clock, random, clientTransport: transport } = this.context;
     let expectedFrames: number | undefined;
     while (this.connectionGeneration === generation) {
       await sleep(clock, this.pingMs * (0.9 + 0.2 * random.next()));
@@ -289,7 +289,7 @@
 
   /** Subscribes on a connection, with retries until it succeeds, the connection ends, or the topic is no longer wanted. */
   async subscribe(conn: string, topic: string, generation: number, node: string): Promise<void> {
-    const { clock, random, way: transport, journal } = this.context;
+    const { clock, random, clientTransport: transport, journal } = this.context;
     for (let i = 0; this.connectionGeneration === generation && this.want.has(topic); i++) {
       const cursor = this.cursors.get(topic);
       journal.add({ k: 'sub.ask', consumer: this.name, conn, topic, cursor });
@@ -327,7 +327,7 @@
   private busy = new Set<string>();
   private running = false;
   constructor(
-    private context: World,
+    private context: ClientContext,
     readonly name: string,
     public domain: string,
     private topics: string[],
@@ -356,7 +356,7 @@
   async publish(topic: string): Promise<void> {
     if (this.busy.has(topic)) return;
     this.busy.add(topic);
-    const { clock, random, way: transport, journal } = this.context;
+    const { clock, random, clientTransport: transport, journal } = this.context;
     const seq = (this.seqs.get(topic) ?? 0) + 1;
     this.seqs.set(topic, seq);
     const body = `${this.name}:${topic}:${seq}:${Math.floor(random.next() * 1e6)}`.padEnd(
@@ -434,14 +434,14 @@
 type PublishResult = { out: 'accepted' | 'rejected' | 'unknown'; tag: string; answered: boolean };
 /** Makes one publish attempt and records it in the journal. */
 async function publishOnce(
-  context: World,
+  context: ClientContext,
   publish: { sender: string; topic: string; seq: number; body: string; node: string; domain: string; line?: string },
-  line?: Line,
+  line?: OrderedConnection,
 ): Promise<PublishResult> {
   const attempt = ++attempts;
   const { sender, topic, seq, body, node } = publish;
   context.journal.add({ k: 'pub.try', try: attempt, ...publish });
-  const r = await context.way.visit(node, 'Publish', { sender, topic, seq, body }, 5_000, line);
+  const r = await context.clientTransport.visit(node, 'Publish', { sender, topic, seq, body }, 5_000, line);
   const retryMs: number | undefined = r?.body?.rejected?.retryAfterMs ?? r?.body?.error?.retryAfterMs;
   const offset: number | undefined = r?.body?.accepted?.offset;
   const tag: string = offset !== undefined ? '' : (r?.body?.rejected?.reason ?? r?.body?.error?.tag ?? 'no answer');
@@ -469,16 +469,16 @@
  * @example
  * new PipelinedSender(context, 'pipe', 'kaolack', 'warn/1', 80).start();
  */
-export class Pipeliner {
+export class PipelinedSender {
   private seq = 0;
   private running = false;
   /** Publishes without a final answer, in order of sequence number; `again` marks those to be sent again. */
   private open = new Map<number, { body: string; again: boolean; tries: number }>();
   private node?: string;
-  private line: Line;
+  private line: OrderedConnection;
   private lines = 0;
   constructor(
-    private context: World,
+    private context: ClientContext,
     readonly name: string,
     public domain: string,
     readonly topic: string,
@@ -487,7 +487,7 @@
   ) {
     this.line = this.newConnection();
   }
-  private newConnection(): Line {
+  private newConnection(): OrderedConnection {
     return { name: `${this.name}/${++this.lines}`, at: 0, waiting: [] };
   }
 
@@ -567,7 +567,7 @@
  */
 export class Operator {
   constructor(
-    private context: World,
+    private context: ClientContext,
     private name: string,
   ) {}
 
@@ -578,7 +578,7 @@
     valid: boolean,
     expect?: number,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way: transport, random } = this.context;
+    const { clock, journal, clientTransport: transport, random } = this.context;
     for (let i = 0; i < 25; i++) {
       const node = randomSample(random, transport.nodes(), 1)[0];
       if (!node) {
@@ -621,7 +621,7 @@
     valid: boolean,
     document: unknown,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way: transport, random } = this.context;
+    const { clock, journal, clientTransport: transport, random } = this.context;
     const changeId = `revision-${revision}`;
     for (let i = 0; i < 60; i++) {
       const node = randomSample(random, transport.nodes(), 1)[0];
@@ -649,7 +649,7 @@
 
   /** Reads the configuration in effect, through any node; returns its version. */
   async read(last = false): Promise<number | undefined> {
-    const { clock, journal, way: transport, random } = this.context;
+    const { clock, journal, clientTransport: transport, random } = this.context;
     for (let i = 0; i < 20; i++) {
       const node = randomSample(random, transport.nodes(), 1)[0];
       const asked = clock.now();
@@ -686,7 +686,7 @@
 
   /** Sends an operator request through any node, until it has a response below status 500. */
   async ask(method: string, body: unknown): Promise<{ status: number; body: Json }> {
-    const { clock, way: transport, random } = this.context;
+    const { clock, clientTransport: transport, random } = this.context;
     for (let i = 0; i < 30; i++) {
       const node = randomSample(random, transport.nodes(), 1)[0];
       const r = node ? await transport.visit(node, method, body, 9_000) : undefined;
@@ -698,7 +698,7 @@
 
   /** Queries the status of nodes, among it the configuration version that each one uses, and records it. */
   async look(nodes: string[]): Promise<void> {
-    const { clock, journal, way: transport } = this.context;
+    const { clock, journal, clientTransport: transport } = this.context;
     await Promise.all(
       nodes.map(async (node) => {
         const asked = clock.now();
@@ -723,7 +723,7 @@
 
   /** Queries the number of a topic's listeners and records it. */
   async count(topic: string): Promise<void> {
-    const { clock, journal, way: transport, random } = this.context;
+    const { clock, journal, clientTransport: transport, random } = this.context;
     const node = randomSample(random, transport.nodes(), 1)[0];
     if (!node) return;
     const asked = clock.now();
@@ -742,13 +742,13 @@
  * @example
  * const checker = new MarkerChecker(context); checker.at = 3; checker.start(nodes);
  */
-export class Marker {
+export class MarkerChecker {
   /** Number of the newest marker topic; the one before it is checked too. */
   at = 0;
   private running = false;
   private seq = 0;
   constructor(
-    private context: World,
+    private context: ClientContext,
     private everyMs = 50,
   ) {}
 
@@ -764,7 +764,7 @@
   }
 
   private async ask(node: string, by: 'Publish' | 'Subscribe'): Promise<void> {
-    const { clock, way: transport, journal } = this.context;
+    const { clock, clientTransport: transport, journal } = this.context;
     let conn = '';
     for (let i = 0; this.running; i++) {
       await sleep(clock, this.everyMs);
@@ -834,7 +834,7 @@
  * @example
  * await audit(context, 'audit-1', config);
  */
-export async function audit(context: World, name: string, config: FleetConfig, forMs = 8_000): Promise<number> {
+export async function audit(context: ClientContext, name: string, config: FleetConfig, forMs = 8_000): Promise<number> {
   const { clock, journal } = context;
   const now = clock.now();
   const firstOffsets = new Map<string, number>();
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -202,13 +202,13 @@
   const s = await smallFleet(23);
   const [slow, quick] = s.relays as [SimNode, SimNode];
   await s.pass(2_000);
-  slow.slowMs = 300;
+  slow.maxExtraDelayMs = 300;
   for (let i = 0; i < 8; i++) {
     const name = `phone${i}`;
     let earlierEnded = false;
     let laterEnded = false;
     const attach = (n: SimNode, ended: () => void): (() => void) =>
-      s.sim.outside.attach(n.config.client, { consumer: name, pingS: 2 }, () => undefined, ended);
+      s.sim.clientTransport.attach(n.config.client, { consumer: name, pingS: 2 }, () => undefined, ended);
     attach(slow, () => {
       earlierEnded = true;
     });
