--- a/packages/kernel/src/constants.ts
+++ b/packages/kernel/src/constants.ts
@@ -4,8 +4,8 @@
  */
 
 /**
- * Client sessions at a relay, their interest leases and message delivery. The lease scheme follows a published design; the values were
- * chosen for this system.
+ * Client sessions at a relay, their interest leases and message delivery. The lease scheme follows a published design; see
+ * docs/paper.md.
  */
 export const SESSION = {
   /** A lease expires this long after its last renewal. Three renewals fit into it, so two may be lost. */
