--- a/packages/harecross/src/caller.ts
+++ b/packages/harecross/src/caller.ts
@@ -1,16 +1,16 @@
-/** Requests of the command line to a fleet: which are sent again after a failure, and which must not be. */
+/** RPC client of the command line tool. Decides which requests are retried after a failure and which must not be. */
 import { mayRepeat, Rpcs, type Method, type PathFault } from '@harecross/schema';
 import { randomUUID } from 'node:crypto';
 import { request } from 'undici';
 
-/** Pause between two rounds over all nodes, unless one of them names a shorter one. */
-const ROUND_PAUSE_MS = 500;
+/** Delay before all nodes are tried again, unless one of them suggests a shorter `retryAfterMs`. */
+const RETRY_DELAY_MS = 500;
 
-/** Faults that say that the node did nothing: it did not serve, or had no room. */
-const NOTHING_DONE = new Set(['not_ready', 'overloaded', 'unreachable']);
+/** Errors with which a node guarantees that it did not execute the request: it is not serving, or it is overloaded. */
+const NOT_EXECUTED_TAGS = new Set(['not_ready', 'overloaded', 'unreachable']);
 
-/** Errors of a connection that never came about: the request was not written. */
-const NEVER_CONNECTED = new Set([
+/** Error codes of a connection that was never established, so the request was not sent. */
+const CONNECT_ERROR_CODES = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -19,7 +19,7 @@
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Fields of a fault that the command line shows; every one but the tag is there for some tags alone. */
+/** Fields of an error body that the command line tool prints. All but `tag` occur only with some tags. */
 export interface FaultFields {
   tag?: string;
   step?: string;
@@ -30,31 +30,31 @@
   faults?: PathFault[];
 }
 
-/** What a node answered: the method's own answer with status 200, else the fault. */
+/** HTTP response of a node. The body is the method's result if the status is 200, otherwise an error. */
 export interface HttpAnswer {
   status: number;
   body: unknown;
 }
 
-/** What a call needs of its surroundings. */
+/** I/O and time that a call depends on; tests replace them. */
 export interface Surroundings {
-  post(client: string, method: string, body: unknown, limitMs: number): Promise<HttpAnswer>;
+  post(client: string, method: string, body: unknown, timeoutMs: number): Promise<HttpAnswer>;
   now(): number;
   pause(ms: number): Promise<void>;
 }
 
 export interface FleetCall {
-  /** Client addresses, asked in this order. */
+  /** Client addresses of nodes, tried in this order. */
   at: string[];
   method: Method;
   body: unknown;
-  /** Time limit of one try. */
+  /** Timeout of one attempt, in ms. */
   limitMs: number;
-  /** How long tries go on while no node serves. */
+  /** How long to retry while no node serves the request, in ms. */
   waitMs: number;
 }
 
-/** `unclear`: it may have been carried out, and must not be sent again without finding out. */
+/** `unclear`: the request may have been executed. Check its effect before sending it again. */
 export type Outcome =
   | { tag: 'done'; body: unknown }
   | { tag: 'rejected'; status: number; error: FaultFields }
@@ -62,61 +62,61 @@
   | { tag: 'unclear'; last: string };
 
 /**
- * A name for a change that was given none. No two are alike, also of operators on other machines: the second would be answered with what
- * became of the first.
+ * Generates the ID of a change for which the operator gave none. It must be unique across operators and machines: a second change with the
+ * same ID would be answered with the outcome of the first.
  * @example
  * newChangeId('cli'); // 'cli-0b0f6c62-...'
  */
-export const newChangeId = (what: string): string => `${what}-${randomUUID()}`;
+export const newChangeId = (prefix: string): string => `${prefix}-${randomUUID()}`;
 
 /**
- * One request over HTTP.
+ * Sends one request over HTTP.
  * @example
  * await post('127.0.0.1:7001', 'Fleet', {}, 3_000); // { status: 200, body: { ... } }
  */
-export async function post(client: string, method: string, body: unknown, limitMs: number): Promise<HttpAnswer> {
-  const r = await request(`http://${client}/rpc/${method}`, {
+export async function post(client: string, method: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+  const response = await request(`http://${client}/rpc/${method}`, {
     method: 'POST',
     headers: { 'content-type': 'application/json' },
     body: JSON.stringify(body),
-    headersTimeout: limitMs,
-    bodyTimeout: limitMs,
+    headersTimeout: timeoutMs,
+    bodyTimeout: timeoutMs,
   });
-  return { status: r.statusCode, body: await r.body.json() };
+  return { status: response.statusCode, body: await response.body.json() };
 }
 
-const neverConnected = (e: unknown): boolean =>
-  NEVER_CONNECTED.has(String((e as { code?: unknown } | undefined)?.code));
+const isConnectError = (e: unknown): boolean =>
+  CONNECT_ERROR_CODES.has(String((e as { code?: unknown } | undefined)?.code));
 
 /**
- * A request at the first node that serves it. While all say 'come back', or none answers, it is tried again until the wait is over. A
- * request that was written and got no clear answer is sent again only if the schema declares it repeatable.
+ * Sends a request to the first node that serves it. While every node asks to retry later or does not answer, all are tried again until
+ * `retryForMs` has passed. A request that was sent but whose outcome is unknown is retried only if the schema declares it repeatable.
  * @example
- * await callFleet(surroundings, { at, method: 'ReadConfig', body: {}, limitMs: 10_000, waitMs: 10_000 });
+ * await callFleet(env, { at, method: 'ReadConfig', body: {}, timeoutMs: 10_000, retryForMs: 10_000 });
  */
-export async function callFleet(x: Surroundings, call: FleetCall): Promise<Outcome> {
+export async function callFleet(env: Surroundings, call: FleetCall): Promise<Outcome> {
   const repeatable = mayRepeat(Rpcs[call.method].repeatable, call.body);
-  const until = x.now() + call.waitMs;
+  const deadline = env.now() + call.waitMs;
   let last = 'no address given';
   for (;;) {
-    let pauseMs = ROUND_PAUSE_MS;
+    let delayMs = RETRY_DELAY_MS;
     for (const client of call.at) {
-      let answer: HttpAnswer;
+      let response: HttpAnswer;
       try {
-        answer = await x.post(client, call.method, call.body, call.limitMs);
+        response = await env.post(client, call.method, call.body, call.limitMs);
       } catch (e) {
         last = `${client}: ${e instanceof Error ? e.message : String(e)}`;
-        if (!repeatable && !neverConnected(e)) return { tag: 'unclear', last };
+        if (!repeatable && !isConnectError(e)) return { tag: 'unclear', last };
         continue;
       }
-      if (answer.status === 200) return { tag: 'done', body: answer.body };
-      const error = (answer.body as { error?: FaultFields } | undefined)?.error ?? {};
-      if (answer.status !== 503) return { tag: 'rejected', status: answer.status, error };
-      last = `${client}: ${error.tag ?? answer.status}`;
-      if (!repeatable && !NOTHING_DONE.has(error.tag ?? '')) return { tag: 'unclear', last };
-      pauseMs = Math.min(pauseMs, error.retryAfterMs ?? pauseMs);
+      if (response.status === 200) return { tag: 'done', body: response.body };
+      const error = (response.body as { error?: FaultFields } | undefined)?.error ?? {};
+      if (response.status !== 503) return { tag: 'rejected', status: response.status, error };
+      last = `${client}: ${error.tag ?? response.status}`;
+      if (!repeatable && !NOT_EXECUTED_TAGS.has(error.tag ?? '')) return { tag: 'unclear', last };
+      delayMs = Math.min(delayMs, error.retryAfterMs ?? delayMs);
     }
-    if (x.now() + pauseMs > until) return { tag: 'no_answer', last };
-    await x.pause(pauseMs);
+    if (env.now() + delayMs > deadline) return { tag: 'no_answer', last };
+    await env.pause(delayMs);
   }
 }
--- a/packages/harecross/src/diff.ts
+++ b/packages/harecross/src/diff.ts
@@ -1,31 +1,31 @@
 import type { Family, FleetConfig } from '@harecross/schema';
 
 /**
- * What a configuration would change, line by line: patterns that come, go, or get other settings. A pattern stands for its topics;
- * names are labels.
+ * Lists the differences between two configurations, one line each: topic patterns that are added, removed or get other settings. Families
+ * are compared by topic pattern, not by name, because a name is only a label.
  * @example
- * diff(now, { families: [...now.families, news] }); // ['+ news/* (news)']
+ * diffConfig(current, { families: [...current.families, news] }); // ['+ news/* (news)']
  */
-export function diff(now: FleetConfig, next: FleetConfig): string[] {
+export function diff(current: FleetConfig, next: FleetConfig): string[] {
   const settings = (f: Family): string => {
-    const names = (Object.keys(f) as (keyof Family)[]).filter((name) => name !== 'topics').sort();
-    return JSON.stringify(Object.fromEntries(names.map((name) => [name, f[name]])));
+    const fields = (Object.keys(f) as (keyof Family)[]).filter((field) => field !== 'topics').sort();
+    return JSON.stringify(Object.fromEntries(fields.map((field) => [field, f[field]])));
   };
-  const of = (c: FleetConfig): Map<string, Family> =>
-    new Map(c.families.flatMap((f) => f.topics.map((p): [string, Family] => [p, f])));
-  const [old, fresh] = [of(now), of(next)];
-  const out: string[] = [];
-  for (const [p, f] of fresh) {
-    const was = old.get(p);
-    if (!was) out.push(`+ ${p} (${f.name})`);
-    else if (settings(was) !== settings(f))
-      out.push(`~ ${p} (${f.name})`, `  - ${settings(was)}`, `  + ${settings(f)}`);
+  const byPattern = (c: FleetConfig): Map<string, Family> =>
+    new Map(c.families.flatMap((f) => f.topics.map((pattern): [string, Family] => [pattern, f])));
+  const [before, after] = [byPattern(current), byPattern(next)];
+  const lines: string[] = [];
+  for (const [pattern, family] of after) {
+    const old = before.get(pattern);
+    if (!old) lines.push(`+ ${pattern} (${family.name})`);
+    else if (settings(old) !== settings(family))
+      lines.push(`~ ${pattern} (${family.name})`, `  - ${settings(old)}`, `  + ${settings(family)}`);
   }
-  for (const [p, f] of old) if (!fresh.has(p)) out.push(`- ${p} (${f.name})`);
-  for (const k of new Set([...Object.keys(now), ...Object.keys(next)]) as Set<keyof FleetConfig>) {
+  for (const [pattern, family] of before) if (!after.has(pattern)) lines.push(`- ${pattern} (${family.name})`);
+  for (const k of new Set([...Object.keys(current), ...Object.keys(next)]) as Set<keyof FleetConfig>) {
     if (k === 'families') continue;
-    const [was, is] = [JSON.stringify(now[k]), JSON.stringify(next[k])];
-    if (was !== is) out.push(`~ ${k}`, `  - ${was ?? 'not set'}`, `  + ${is ?? 'not set'}`);
+    const [oldValue, newValue] = [JSON.stringify(current[k]), JSON.stringify(next[k])];
+    if (oldValue !== newValue) lines.push(`~ ${k}`, `  - ${oldValue ?? 'not set'}`, `  + ${newValue ?? 'not set'}`);
   }
-  return out;
+  return lines;
 }
--- a/packages/harecross/src/main.ts
+++ b/packages/harecross/src/main.ts
@@ -10,36 +10,42 @@
 import { answer, parse, table, type Row } from './query.js';
 import { look, TABLES, trust, type View } from './view.js';
 
-/** Exit codes: 0 done, 1 rejected by the fleet, 2 wrong use, 3 no answer. */
-/** Seconds to go on trying while the fleet is not ready; set by --wait. */
+// Exit codes: 0 success, 1 rejected by the fleet or not possible, 2 usage error, 3 no answer or outcome unknown.
+
+/** How long requests are retried while the fleet is not ready, in seconds; set by --wait. */
 let waitS = 10;
-const out = (x: unknown): void => {
-  process.stdout.write(JSON.stringify(x, null, 2) + '\n');
+const printJson = (value: unknown): void => {
+  process.stdout.write(JSON.stringify(value, null, 2) + '\n');
 };
-const fail = (code: number, line: string): never => {
-  process.stderr.write(`harecross: ${line}\n`);
-  process.exit(code);
+const fail = (exitCode: number, message: string): never => {
+  process.stderr.write(`harecross: ${message}\n`);
+  process.exit(exitCode);
 };
 
-/** A request at the first node that serves it; ends the process where none did. */
-async function rpc<M extends Method>(at: string[], method: M, body: Visit<M>, limitMs = 10_000): Promise<Answer<M>> {
+/** Sends a request to the first node that serves it; exits the process if it fails. */
+async function rpc<M extends Method>(
+  addresses: string[],
+  method: M,
+  body: Visit<M>,
+  timeoutMs = 10_000,
+): Promise<Answer<M>> {
   const outcome = await callFleet(
-    { post, now: () => performance.now(), pause: (ms) => new Promise((res) => setTimeout(res, ms)) },
-    { at, method, body, limitMs, waitMs: waitS * 1000 },
+    { post, now: () => performance.now(), pause: (ms) => new Promise((resolve) => setTimeout(resolve, ms)) },
+    { at: addresses, method, body, limitMs: timeoutMs, waitMs: waitS * 1000 },
   );
   switch (outcome.tag) {
     case 'done':
       return outcome.body as Answer<M>;
     case 'no_answer':
-      return fail(3, `no answer (${outcome.last})`);
+      return fail(3, `no node served the request (last: ${outcome.last})`);
     case 'unclear':
-      return fail(3, `${method} may have been carried out and is not sent again by itself (${outcome.last})`);
+      return fail(3, `${method} may have been executed and is not retried automatically (${outcome.last})`);
     case 'rejected': {
-      const e = outcome.error;
-      for (const f of e.faults ?? []) process.stderr.write(`  ${f.path}: ${f.fault}\n`);
-      const detail = e.detail ? `: ${e.detail}` : '';
-      const version = e.version === undefined ? '' : `: version ${e.version} is in force`;
-      return fail(1, `${e.tag ?? outcome.status} at ${e.step} (${e.peer})${detail}${version}`);
+      const error = outcome.error;
+      for (const f of error.faults ?? []) process.stderr.write(`  ${f.path}: ${f.fault}\n`);
+      const detail = error.detail ? `: ${error.detail}` : '';
+      const version = error.version === undefined ? '' : `: version ${error.version} is in force`;
+      return fail(1, `${error.tag ?? outcome.status} at ${error.step} (${error.peer})${detail}${version}`);
     }
   }
 }
@@ -52,50 +58,50 @@
   }
 }
 
-/** One visit that may fail without ending us. */
-async function quiet<M extends Method>(client: string, method: M, body: Visit<M>): Promise<Answer<M> | undefined> {
+/** Sends one RPC to a node; undefined if it fails. */
+async function tryRpc<M extends Method>(client: string, method: M, body: Visit<M>): Promise<Answer<M> | undefined> {
   try {
-    const r = await post(client, method, body, 3_000);
-    return r.status === 200 ? (r.body as Answer<M>) : undefined;
+    const response = await post(client, method, body, 3_000);
+    return response.status === 200 ? (response.body as Answer<M>) : undefined;
   } catch {
     return undefined;
   }
 }
 
-const HELP = `table [where field op value [and ...]] [sort field [desc] ...] [show field ...] [limit n]
+const QUERY_HELP = `table [where field op value [and ...]] [sort field [desc] ...] [show field ...] [limit n]
 tables: ${TABLES.join(', ')}
-op: = != < <= > >= ~ (contains); every answer looks anew; 'fields TABLE' lists fields; 'exit' leaves
+op: = != < <= > >= ~ (contains); each query fetches the state anew; 'fields TABLE' lists the fields; 'exit' quits
 `;
 
-/** Answers one line of the shell; gives whether it was understood. */
-async function query(addresses: string[], line: string, json: boolean): Promise<boolean> {
-  const p = parse(line.startsWith('fields ') ? line.slice(7) : line);
-  if (p.tag === 'wrong') {
-    process.stderr.write(`${p.why}\n`);
+/** Runs one query or `fields TABLE` and prints the result; false if the line is invalid. */
+async function runLine(addresses: string[], line: string, json: boolean): Promise<boolean> {
+  const parsed = parse(line.startsWith('fields ') ? line.slice(7) : line);
+  if (parsed.tag === 'wrong') {
+    process.stderr.write(`${parsed.why}\n`);
     return false;
   }
-  if (!(TABLES as readonly string[]).includes(p.query.table)) {
-    process.stderr.write(`no table '${p.query.table}'; there are: ${TABLES.join(', ')}\n`);
+  if (!(TABLES as readonly string[]).includes(parsed.query.table)) {
+    process.stderr.write(`no table '${parsed.query.table}'; tables: ${TABLES.join(', ')}\n`);
     return false;
   }
-  const v: View | undefined = await look(addresses, quiet, () => performance.now());
-  if (!v) return fail(3, `no answer from ${addresses.join(', ')}`);
-  const r = answer(p.query, v.tables.get(p.query.table)!);
-  if (r.tag === 'wrong') {
-    process.stderr.write(`${r.why}\n`);
+  const view: View | undefined = await look(addresses, tryRpc, () => performance.now());
+  if (!view) return fail(3, `no answer from ${addresses.join(', ')}`);
+  const result = answer(parsed.query, view.tables.get(parsed.query.table)!);
+  if (result.tag === 'wrong') {
+    process.stderr.write(`${result.why}\n`);
     return false;
   }
   if (line.startsWith('fields ')) {
-    process.stdout.write(`${r.fields.join(' ')}\n`);
+    process.stdout.write(`${result.fields.join(' ')}\n`);
     return true;
   }
-  const plain = (x: Row): object => Object.fromEntries(r.fields.map((f) => [f, x.get(f)]));
-  if (json) out({ rows: r.rows.map(plain), nodes: v.asked, silent: v.silent, tookMs: v.tookMs });
-  else process.stdout.write(`${table(r.fields, r.rows)}${r.rows.length} rows, ${trust(v)}\n`);
+  const toObject = (row: Row): object => Object.fromEntries(result.fields.map((f) => [f, row.get(f)]));
+  if (json) printJson({ rows: result.rows.map(toObject), nodes: view.asked, silent: view.silent, tookMs: view.tookMs });
+  else process.stdout.write(`${table(result.fields, result.rows)}${result.rows.length} rows, ${trust(view)}\n`);
   return true;
 }
 
-const at = (a: { at: string }): string[] => a.at.split(',');
+const addressesOf = (flags: { at: string }): string[] => flags.at.split(',');
 
 await yargs(process.argv.slice(2))
   .scriptName('harecross')
@@ -103,26 +109,37 @@
   .option('at', {
     type: 'string',
     demandOption: true,
-    describe: 'client addresses of one or more nodes, comma between',
+    describe: 'client addresses of one or more nodes, separated by commas',
   })
-  .option('wait', { type: 'number', default: 10, describe: 'seconds to go on trying while the fleet is not ready' })
+  .option('wait', { type: 'number', default: 10, describe: 'seconds to keep retrying while the fleet is not ready' })
   .middleware((a) => {
     waitS = a.wait;
   })
   .command(
     'submit <file>',
-    'take a configuration',
+    'submit a configuration',
     (y) =>
       y
         .positional('file', { type: 'string', demandOption: true })
-        .option('change-id', { type: 'string', describe: 'name of this change; sending it again changes nothing' })
-        .option('expect', { type: 'number', describe: 'only if this version is in force', conflicts: 'revision' })
-        .option('revision', { type: 'number', describe: 'your own number of it: the highest that anybody sent holds' })
+        .option('change-id', {
+          type: 'string',
+          describe: 'ID of this change; a repeat with the same ID has no further effect',
+        })
+        .option('expect', { type: 'number', describe: 'apply only if this version is in force', conflicts: 'revision' })
+        .option('revision', {
+          type: 'number',
+          describe: 'revision number chosen by the operator; the highest submitted revision takes effect',
+        })
         .option('document', {
           type: 'string',
-          describe: 'JSON file with your own words for it, kept and given back by read',
+          describe:
+            "JSON file with the operator's own description of the configuration; stored with it and returned by read",
         })
-        .option('dry-run', { type: 'boolean', default: false, describe: 'check it and show what would change' }),
+        .option('dry-run', {
+          type: 'boolean',
+          default: false,
+          describe: 'validate the configuration and show what would change',
+        }),
     async (a) => {
       const config = readJson(a.file) as FleetConfig;
       const faults = configFaults(config);
@@ -131,37 +148,37 @@
         fail(1, `${a.file}: invalid configuration`);
       }
       if (a.dryRun) {
-        const now = await rpc(at(a), 'ReadConfig', {});
-        const told = now.revision === undefined ? '' : `, revision ${now.revision}`;
-        if (a.revision !== undefined && a.revision <= (now.revision ?? -1))
-          process.stdout.write(`revision ${a.revision} is not above the one in force: it would change nothing\n`);
-        else for (const line of diff(now.config as FleetConfig, config)) process.stdout.write(`${line}\n`);
-        process.stdout.write(`against version ${now.version}${told}; nothing was changed\n`);
+        const current = await rpc(addressesOf(a), 'ReadConfig', {});
+        const revision = current.revision === undefined ? '' : `, revision ${current.revision}`;
+        if (a.revision !== undefined && a.revision <= (current.revision ?? -1))
+          process.stdout.write(`revision ${a.revision} is not higher than the one in force and would have no effect\n`);
+        else for (const line of diff(current.config as FleetConfig, config)) process.stdout.write(`${line}\n`);
+        process.stdout.write(`compared with version ${current.version}${revision}; nothing was changed\n`);
         return;
       }
       if (a.revision !== undefined && !(Number.isSafeInteger(a.revision) && a.revision >= 0))
-        fail(2, '--revision: must be an integer of 0 or more');
+        fail(2, '--revision: must be a non-negative integer');
       const document = a.document === undefined ? {} : { document: readJson(a.document) };
       if (a.revision !== undefined) {
-        // The same revision may be sent again at any node: a silent one is left soon.
-        const b = {
+        // The same revision may be sent again to any node, so the timeout is short: a node that does not answer is soon skipped.
+        const body = {
           revision: a.revision,
           ...document,
           config,
           ...(a.changeId === undefined ? {} : { changeId: a.changeId }),
         };
-        const r = await rpc(at(a), 'SubmitConfig', b, 2_000);
-        if (r.revision !== undefined && r.revision > a.revision)
+        const result = await rpc(addressesOf(a), 'SubmitConfig', body, 2_000);
+        if (result.revision !== undefined && result.revision > a.revision)
           process.stderr.write(
-            `harecross: revision ${r.revision} is in force; ${a.revision} is below it and changes nothing (${r.outcome})\n`,
+            `harecross: revision ${result.revision} is in force; ${a.revision} is lower and has no effect (${result.outcome})\n`,
           );
-        out(r);
+        printJson(result);
         return;
       }
       const changeId = a.changeId ?? newChangeId('cli');
-      out({
+      printJson({
         changeId,
-        ...(await rpc(at(a), 'SubmitConfig', {
+        ...(await rpc(addressesOf(a), 'SubmitConfig', {
           changeId,
           config,
           ...document,
@@ -172,25 +189,25 @@
   )
   .command(
     'read',
-    'the configuration in force, confirmed by a majority',
+    'print the configuration in force, as confirmed by a majority',
     (y) => y,
-    async (a) => out(await rpc(at(a), 'ReadConfig', {})),
+    async (a) => printJson(await rpc(addressesOf(a), 'ReadConfig', {})),
   )
   .command(
     'query <words..>',
-    'one query on the state of the fleet',
+    'run one query on the state of the fleet',
     (y) =>
       y
         .positional('words', { type: 'string', array: true, demandOption: true })
         .option('json', { type: 'boolean', default: false })
-        .epilogue(HELP),
+        .epilogue(QUERY_HELP),
     async (a) => {
-      if (!(await query(at(a), a.words!.join(' '), a.json))) process.exit(2);
+      if (!(await runLine(addressesOf(a), a.words!.join(' '), a.json))) process.exit(2);
     },
   )
   .command(
     'shell',
-    'queries on the state of the fleet, line by line',
+    'run queries on the state of the fleet interactively',
     (y) => y.option('json', { type: 'boolean', default: false }),
     async (a) => {
       const rl = createInterface({
@@ -199,13 +216,13 @@
         prompt: 'harecross> ',
         terminal: process.stdin.isTTY === true,
       });
-      if (process.stdin.isTTY) process.stdout.write(HELP);
+      if (process.stdin.isTTY) process.stdout.write(QUERY_HELP);
       rl.prompt();
-      for await (const l of rl) {
-        const line = l.trim();
+      for await (const input of rl) {
+        const line = input.trim();
         if (line === 'exit' || line === 'quit') break;
-        if (line === 'help') process.stdout.write(HELP);
-        else if (line) await query(at(a), line, a.json);
+        if (line === 'help') process.stdout.write(QUERY_HELP);
+        else if (line) await runLine(addressesOf(a), line, a.json);
         rl.prompt();
       }
       rl.close();
@@ -213,41 +230,45 @@
   )
   .command(
     'empty <disk>',
-    'move copies and keys off a disk',
+    'move copies, shard ownership and register votes off a disk',
     (y) =>
-      y
-        .positional('disk', { type: 'string', demandOption: true })
-        .option('change-id', { type: 'string', describe: 'name of this order; sending it again changes nothing' }),
-    async (a) => out(await rpc(at(a), 'EmptyDisk', { disk: a.disk, changeId: a.changeId ?? newChangeId('cli') })),
+      y.positional('disk', { type: 'string', demandOption: true }).option('change-id', {
+        type: 'string',
+        describe: 'ID of this operation; a repeat with the same ID has no further effect',
+      }),
+    async (a) =>
+      printJson(await rpc(addressesOf(a), 'EmptyDisk', { disk: a.disk, changeId: a.changeId ?? newChangeId('cli') })),
   )
   .command(
     'empty-status <disk>',
-    'how far an emptying has come',
+    'show the progress of emptying a disk',
     (y) => y.positional('disk', { type: 'string', demandOption: true }),
-    async (a) => out(await rpc(at(a), 'EmptyStatus', { disk: a.disk })),
+    async (a) => printJson(await rpc(addressesOf(a), 'EmptyStatus', { disk: a.disk })),
   )
   .command(
     'cancel-empty <disk>',
-    'take an emptying back',
+    'cancel the emptying of a disk',
     (y) =>
-      y
-        .positional('disk', { type: 'string', demandOption: true })
-        .option('change-id', { type: 'string', describe: 'name of this order; sending it again changes nothing' }),
-    async (a) => out(await rpc(at(a), 'CancelEmpty', { disk: a.disk, changeId: a.changeId ?? newChangeId('cli') })),
+      y.positional('disk', { type: 'string', demandOption: true }).option('change-id', {
+        type: 'string',
+        describe: 'ID of this operation; a repeat with the same ID has no further effect',
+      }),
+    async (a) =>
+      printJson(await rpc(addressesOf(a), 'CancelEmpty', { disk: a.disk, changeId: a.changeId ?? newChangeId('cli') })),
   )
   .command(
     'plan <file>',
-    'replace the calendar of planned moves',
+    'replace the schedule of planned machine operations',
     (y) =>
       y
         .positional('file', { type: 'string', demandOption: true })
         .option('change-id', { type: 'string' })
-        .option('expect', { type: 'number', describe: 'only if this version is in force' }),
+        .option('expect', { type: 'number', describe: 'apply only if this version is in force' }),
     async (a) => {
       const changeId = a.changeId ?? newChangeId('cli');
-      out({
+      printJson({
         changeId,
-        ...(await rpc(at(a), 'PlanMoves', {
+        ...(await rpc(addressesOf(a), 'PlanMoves', {
           changeId,
           moves: readJson(a.file) as Visit<'PlanMoves'>['moves'],
           ...(a.expect === undefined ? {} : { expect: a.expect }),
@@ -257,77 +278,81 @@
   )
   .command(
     'place <file>',
-    'solve where copies go from a constraint file, show the plan, and write or apply it',
+    'compute a placement of replicas from a constraint file, show it, and optionally write or apply it',
     (y) =>
       y
         .positional('file', { type: 'string', demandOption: true })
         .option('out', {
           type: 'string',
-          describe: 'write the whole configuration with the placement here, for submit --expect',
+          describe: 'write the whole configuration including the placement to this file, for submit --expect',
         })
         .option('apply', {
           type: 'boolean',
           default: false,
-          describe: 'submit it, if the configuration it was made from is still in force',
+          describe: 'submit it if the configuration on which it is based is still in force',
         }),
     async (a) => {
-      const [fleet, was] = [await rpc(at(a), 'Fleet', {}), await rpc(at(a), 'ReadConfig', {})];
+      const [fleet, base] = [await rpc(addressesOf(a), 'Fleet', {}), await rpc(addressesOf(a), 'ReadConfig', {})];
       const disks = fleet.disks.filter((d) => d.state === 'active');
-      const peer = new Map<string, string>(fleet.disks.map((d) => [d.id, d.peer]));
-      const now = new Map<number, string[]>(
-        fleet.keys.map((k) => [k.shard, k.copies.map((d: string) => peer.get(d) ?? d)]),
+      const peerOfDisk = new Map<string, string>(fleet.disks.map((d) => [d.id, d.peer]));
+      const current = new Map<number, string[]>(
+        fleet.keys.map((k) => [k.shard, k.copies.map((d: string) => peerOfDisk.get(d) ?? d)]),
       );
       const constraints = readJson(a.file);
-      const r = place(constraints, disks, now);
-      switch (r.tag) {
+      const result = place(constraints, disks, current);
+      switch (result.tag) {
         case 'wrong':
-          for (const f of r.faults) process.stderr.write(`  ${f}\n`);
+          for (const f of result.faults) process.stderr.write(`  ${f}\n`);
           return fail(2, `${a.file}: invalid constraints`);
         case 'conflict':
-          for (const f of r.between) process.stderr.write(`  ${f}\n`);
-          return fail(1, 'no placement satisfies these constraints together; leaving out any one of them would do');
+          for (const f of result.between) process.stderr.write(`  ${f}\n`);
+          return fail(
+            1,
+            'no placement satisfies all of the constraints above; removing any one of them resolves this conflict',
+          );
         case 'plan': {
-          const bad = planFaults(constraints as Constraints, disks, r.plan.placement);
-          if (bad.length) return fail(1, `the solver's plan is wrong: ${bad[0]}`);
-          const weight = (m: Iterable<string[]>, p: string): number => [...m].filter((x) => x.includes(p)).length;
+          const violations = planFaults(constraints as Constraints, disks, result.plan.placement);
+          if (violations.length) return fail(1, `the solver returned an invalid plan: ${violations[0]}`);
+          const countCopies = (copies: Iterable<string[]>, peer: string): number =>
+            [...copies].filter((peers) => peers.includes(peer)).length;
           const rows = disks.map(
             (d) =>
               new Map<string, string | number>([
                 ['machine', d.peer],
                 ['domain', d.domain],
-                ['copies now', weight(now.values(), d.peer)],
+                ['copies now', countCopies(current.values(), d.peer)],
                 [
                   'planned',
-                  weight(
-                    r.plan.placement.map((p) => p.nodes),
+                  countCopies(
+                    result.plan.placement.map((p) => p.nodes),
                     d.peer,
                   ),
                 ],
               ]),
           );
           process.stdout.write(table(['machine', 'domain', 'copies now', 'planned'], rows));
-          for (const p of r.plan.placement) {
-            const n = now.get(p.shard) ?? [];
-            const [come, go] = [p.nodes.filter((x) => !n.includes(x)), n.filter((x) => !p.nodes.includes(x))];
-            if (come.length || go.length)
+          for (const p of result.plan.placement) {
+            const old = current.get(p.shard) ?? [];
+            const [added, removed] = [p.nodes.filter((x) => !old.includes(x)), old.filter((x) => !p.nodes.includes(x))];
+            if (added.length || removed.length)
               process.stdout.write(
-                `shard ${p.shard}: ${[...come.map((x) => `+${x}`), ...go.map((x) => `-${x}`)].join(' ')}\n`,
+                `shard ${p.shard}: ${[...added.map((x) => `+${x}`), ...removed.map((x) => `-${x}`)].join(' ')}\n`,
               );
           }
-          process.stdout.write(`${r.plan.moved} copies move; made from version ${was.version}\n`);
+          process.stdout.write(`${result.plan.moved} copies move; based on version ${base.version}\n`);
           const config = {
-            ...(was.config as FleetConfig),
+            ...(base.config as FleetConfig),
             copies: (constraints as Constraints).copies,
-            placement: r.plan.placement,
+            placement: result.plan.placement,
           };
           if (a.out) writeFileSync(a.out, JSON.stringify(config, null, 2) + '\n');
-          // The operators' own words stay: only where copies lie is changed.
-          const document = was.document === undefined ? {} : { document: was.document };
+          // The operator's document is kept, since only the placement changes.
+          const document = base.document === undefined ? {} : { document: base.document };
           if (a.apply)
-            out(
-              await rpc(at(a), 'SubmitConfig', {
+            printJson(
+              await rpc(addressesOf(a), 'SubmitConfig', {
                 changeId: newChangeId('place'),
-                expect: was.version,
+                expect: base.version,
                 config,
                 ...document,
               }),
@@ -338,30 +363,30 @@
   )
   .command(
     'moves',
-    'the calendar, with how far each move has come',
+    'list the planned machine operations and their progress',
     (y) => y,
-    async (a) => out(await rpc(at(a), 'Moves', {})),
+    async (a) => printJson(await rpc(addressesOf(a), 'Moves', {})),
   )
   .command(
     'fleet',
-    'members, disks and keys as a node knows them',
+    'print members, disks and shards as one node sees them',
     (y) => y,
-    async (a) => out(await rpc(at(a), 'Fleet', {})),
+    async (a) => printJson(await rpc(addressesOf(a), 'Fleet', {})),
   )
   .command(
     'node',
-    'counters and states of a node',
+    'print the counters and state of one node',
     (y) => y,
-    async (a) => out(await rpc(at(a), 'Node', {})),
+    async (a) => printJson(await rpc(addressesOf(a), 'Node', {})),
   )
   .command(
     'listeners <topic>',
-    'how many listen on a topic',
+    'print the number of subscribers of a topic',
     (y) => y.positional('topic', { type: 'string', demandOption: true }),
-    async (a) => out(await rpc(at(a), 'Listeners', { topic: a.topic })),
+    async (a) => printJson(await rpc(addressesOf(a), 'Listeners', { topic: a.topic })),
   )
   .demandCommand(1, 'name a command')
   .strict()
   .version(VERSION)
-  .fail((msg, err) => fail(2, (msg || err?.message || 'bad flags').split('\n')[0]!))
+  .fail((msg, err) => fail(2, (msg || err?.message || 'invalid flags').split('\n')[0]!))
   .parseAsync();
--- a/packages/harecross/src/query.ts
+++ b/packages/harecross/src/query.ts
@@ -1,4 +1,4 @@
-/** A table cell, a row, and a query on rows. */
+/** A value in a table; undefined if the row has no such value. */
 export type Cell = string | number | boolean | undefined;
 export type Row = Map<string, Cell>;
 type Op = '=' | '!=' | '<' | '<=' | '>' | '>=' | '~';
@@ -14,74 +14,75 @@
 export type Parsed = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
 
 const OPS: Op[] = ['<=', '>=', '!=', '=', '<', '>', '~'];
-const WORDS = new Set(['where', 'and', 'sort', 'show', 'limit']);
+const KEYWORDS = new Set(['where', 'and', 'sort', 'show', 'limit']);
 
-/** Words, operators and quoted strings of a line. */
-function tokens(line: string): string[] {
-  const out: string[] = [];
-  const re = /"([^"]*)"|(<=|>=|!=|=|<|>|~)|([^\s<>=!~"]+)|(\S)/g;
-  for (const m of line.matchAll(re)) out.push(m[1] ?? m[2] ?? m[3] ?? m[4]!);
-  return out;
+/** Splits a line into words, operators and quoted strings. */
+function tokenize(line: string): string[] {
+  const tokens: string[] = [];
+  const pattern = /"([^"]*)"|(<=|>=|!=|=|<|>|~)|([^\s<>=!~"]+)|(\S)/g;
+  for (const m of line.matchAll(pattern)) tokens.push(m[1] ?? m[2] ?? m[3] ?? m[4]!);
+  return tokens;
 }
 
 /**
- * Reads a query: `table [where field op value and ...] [sort field [desc], ...] [show field, ...] [limit n]`.
+ * Parses a query: `table [where field op value and ...] [sort field [desc], ...] [show field, ...] [limit n]`.
  * @example
- * parse('keys where behind > 0 sort shard'); // { tag: 'query', query: { table: 'keys', ... } }
+ * parseQuery('keys where behind > 0 sort shard'); // { tag: 'query', query: { table: 'keys', ... } }
  */
 export function parse(line: string): Parsed {
   const wrong = (why: string): Parsed => ({ tag: 'wrong', why });
-  const ts = tokens(line.replaceAll(',', ' '));
-  const table = ts.shift();
+  const tokens = tokenize(line.replaceAll(',', ' '));
+  const table = tokens.shift();
   if (!table) return wrong('name a table');
-  const q: Query = { table, where: [], sort: [], show: [], limit: Infinity };
-  while (ts.length) {
-    const w = ts.shift()!;
-    switch (w) {
+  const query: Query = { table, where: [], sort: [], show: [], limit: Infinity };
+  while (tokens.length) {
+    const keyword = tokens.shift()!;
+    switch (keyword) {
       case 'where':
       case 'and': {
-        const [field, op, value] = ts.splice(0, 3);
+        const [field, op, value] = tokens.splice(0, 3);
         if (!field || !OPS.includes(op as Op) || value === undefined)
-          return wrong(`after '${w}' comes: field op value, with op one of ${OPS.join(' ')}`);
-        q.where.push({ field, op: op as Op, value });
+          return wrong(`after '${keyword}' comes: field op value, with op one of ${OPS.join(' ')}`);
+        query.where.push({ field, op: op as Op, value });
         break;
       }
       case 'sort':
-        while (ts.length && !WORDS.has(ts[0]!)) {
-          const field = ts.shift()!;
-          const desc = ts[0] === 'desc';
-          if (desc || ts[0] === 'asc') ts.shift();
-          q.sort.push({ field, desc });
+        while (tokens.length && !KEYWORDS.has(tokens[0]!)) {
+          const field = tokens.shift()!;
+          const desc = tokens[0] === 'desc';
+          if (desc || tokens[0] === 'asc') tokens.shift();
+          query.sort.push({ field, desc });
         }
-        if (!q.sort.length) return wrong("after 'sort' comes a field");
+        if (!query.sort.length) return wrong("after 'sort' comes a field");
         break;
       case 'show':
-        while (ts.length && !WORDS.has(ts[0]!)) q.show.push(ts.shift()!);
-        if (!q.show.length) return wrong("after 'show' comes a field");
+        while (tokens.length && !KEYWORDS.has(tokens[0]!)) query.show.push(tokens.shift()!);
+        if (!query.show.length) return wrong("after 'show' comes a field");
         break;
       case 'limit': {
-        const n = Number(ts.shift());
+        const n = Number(tokens.shift());
         if (!Number.isInteger(n) || n < 0) return wrong("after 'limit' comes a whole number");
-        q.limit = n;
+        query.limit = n;
         break;
       }
       default:
-        return wrong(`'${w}' is not understood; one of ${[...WORDS].join(', ')}`);
+        return wrong(`'${keyword}' is not understood; one of ${[...KEYWORDS].join(', ')}`);
     }
   }
-  return { tag: 'query', query: q };
+  return { tag: 'query', query };
 }
 
-/** Order of two texts by code units: negative, zero or positive. */
+/** Compares two strings by UTF-16 code units; negative, zero or positive. */
 function compareText(a: string, b: string): number {
   if (a === b) return 0;
   return a < b ? -1 : 1;
 }
 
-function holds(c: Cell, op: Op, value: string): boolean {
-  const s = c === undefined ? '' : String(c);
+/** Whether a cell satisfies a condition: compared as numbers if both sides are, otherwise as text. */
+function matches(cell: Cell, op: Op, value: string): boolean {
+  const text = cell === undefined ? '' : String(cell);
   const n = Number(value);
-  const d = typeof c === 'number' && !Number.isNaN(n) ? c - n : compareText(s, value);
+  const d = typeof cell === 'number' && !Number.isNaN(n) ? cell - n : compareText(text, value);
   switch (op) {
     case '=':
       return d === 0;
@@ -96,7 +97,7 @@
     case '>=':
       return d >= 0;
     case '~':
-      return s.includes(value);
+      return text.includes(value);
   }
 }
 
@@ -105,19 +106,19 @@
 /**
  * Runs a query on the rows of its table.
  * @example
- * answer(query, [new Map([['shard', 1]])]); // { tag: 'rows', fields: ['shard'], rows: [...] }
+ * runQuery(query, [new Map([['shard', 1]])]); // { tag: 'rows', fields: ['shard'], rows: [...] }
  */
-export function answer(q: Query, rows: Row[]): Answered {
+export function answer(query: Query, rows: Row[]): Answered {
   const fields = [...new Set(rows.flatMap((r) => [...r.keys()]))];
-  const unknown = [...q.where, ...q.sort]
+  const unknown = [...query.where, ...query.sort]
     .map((x) => x.field)
-    .concat(q.show)
+    .concat(query.show)
     .find((f) => !fields.includes(f));
   if (unknown !== undefined && rows.length)
-    return { tag: 'wrong', why: `no field '${unknown}' in ${q.table}; there are: ${fields.join(', ')}` };
-  const out = rows.filter((r) => q.where.every((w) => holds(r.get(w.field), w.op, w.value)));
-  out.sort((a, b) => {
-    for (const s of q.sort) {
+    return { tag: 'wrong', why: `no field '${unknown}' in ${query.table}; there are: ${fields.join(', ')}` };
+  const result = rows.filter((r) => query.where.every((w) => matches(r.get(w.field), w.op, w.value)));
+  result.sort((a, b) => {
+    for (const s of query.sort) {
       const x = a.get(s.field),
         y = b.get(s.field);
       const d = typeof x === 'number' && typeof y === 'number' ? x - y : String(x ?? '').localeCompare(String(y ?? ''));
@@ -125,21 +126,21 @@
     }
     return 0;
   });
-  return { tag: 'rows', fields: q.show.length ? q.show : fields, rows: out.slice(0, q.limit) };
+  return { tag: 'rows', fields: query.show.length ? query.show : fields, rows: result.slice(0, query.limit) };
 }
 
 /**
- * Rows as an aligned table.
+ * Formats rows as a table with aligned columns.
  * @example
- * table(['a'], [new Map([['a', 1]])]); // 'a\n1\n'
+ * formatTable(['a'], [new Map([['a', 1]])]); // 'a\n1\n'
  */
 export function table(fields: string[], rows: Row[]): string {
-  const cell = (c: Cell): string => (c === undefined ? '-' : String(c));
-  const wide = fields.map((f) => Math.max(f.length, ...rows.map((r) => cell(r.get(f)).length)));
+  const format = (cell: Cell): string => (cell === undefined ? '-' : String(cell));
+  const widths = fields.map((f) => Math.max(f.length, ...rows.map((r) => format(r.get(f)).length)));
   const line = (xs: string[]): string =>
     xs
-      .map((x, i) => x.padEnd(wide[i]!))
+      .map((x, i) => x.padEnd(widths[i]!))
       .join('  ')
       .trimEnd() + '\n';
-  return line(fields) + rows.map((r) => line(fields.map((f) => cell(r.get(f))))).join('');
+  return line(fields) + rows.map((r) => line(fields.map((f) => format(r.get(f))))).join('');
 }
--- a/packages/harecross/src/view.ts
+++ b/packages/harecross/src/view.ts
@@ -1,14 +1,17 @@
 import type { Answer, Method, Visit } from '@harecross/schema';
 import type { Row } from './query.js';
 
-/** One visit; undefined when there was no answer. */
+/** Sends one RPC to a node; undefined if there was no answer. */
 export type Ask = <M extends Method>(client: string, method: M, body: Visit<M>) => Promise<Answer<M> | undefined>;
 
-/** What a look at the fleet gave: rows by table, how old, and who did not answer. */
+/** State of the whole fleet as tables, and the nodes that did not answer. */
 export interface View {
+  /** Peer address of the node whose view of the membership is shown. */
   at: string;
   tables: Map<string, Row[]>;
+  /** Peer addresses of the nodes that did not answer. */
   silent: string[];
+  /** Number of nodes that were queried. */
   asked: number;
   tookMs: number;
 }
@@ -26,38 +29,38 @@
   'counters',
 ] as const;
 
-const row = (x: object): Row => new Map(Object.entries(x));
-const list = (xs: unknown[] | undefined): string => (xs?.length ? xs.join(' ') : '');
+const toRow = (fields: object): Row => new Map(Object.entries(fields));
+const joinList = (values: unknown[] | undefined): string => (values?.length ? values.join(' ') : '');
 
 /**
- * Looks at the whole fleet: one node for what all know, every node for what only it knows.
+ * Collects the state of the whole fleet: from one node what every node knows, and from each node what only it knows.
  * @example
- * const v = await look(['10.0.0.4:7000'], ask, Date.now);
+ * const view = await fetchFleetView(['10.0.0.4:7000'], callNode, Date.now);
  */
-export async function look(at: string[], ask: Ask, now: () => number): Promise<View | undefined> {
-  const t0 = now();
+export async function look(addresses: string[], callNode: Ask, now: () => number): Promise<View | undefined> {
+  const startedAt = now();
   let fleet: Answer<'Fleet'> | undefined;
-  for (const a of at) {
-    fleet = await ask(a, 'Fleet', {});
+  for (const address of addresses) {
+    fleet = await callNode(address, 'Fleet', {});
     if (fleet) break;
   }
   if (!fleet) return undefined;
   const members = fleet.members;
-  const here = members.filter((m) => m.state !== 'left' && m.state !== 'dead');
+  const present = members.filter((m) => m.state !== 'left' && m.state !== 'dead');
   const [moves, ...nodes] = await Promise.all([
-    ask(at.find(Boolean)!, 'Moves', {}),
-    ...here.map((m) => ask(m.client, 'Node', {})),
+    callNode(addresses.find(Boolean)!, 'Moves', {}),
+    ...present.map((m) => callNode(m.client, 'Node', {})),
   ]);
-  const got = nodes.filter((n) => n !== undefined);
-  const place = new Map(fleet.keys.map((k) => [k.shard, k]));
-  const nameOf = new Map<string, string>(fleet.disks.map((d) => [d.id, d.peer]));
-  const per = (f: (n: Answer<'Node'>) => Row[]): Row[] => got.flatMap(f);
+  const answered = nodes.filter((n) => n !== undefined);
+  const placements = new Map(fleet.keys.map((k) => [k.shard, k]));
+  const peerOfDisk = new Map<string, string>(fleet.disks.map((d) => [d.id, d.peer]));
+  const rowsPerNode = (f: (n: Answer<'Node'>) => Row[]): Row[] => answered.flatMap(f);
   const tables = new Map<string, Row[]>([
-    ['members', members.map(row)],
+    ['members', members.map(toRow)],
     [
       'nodes',
-      got.map((n) =>
-        row({
+      answered.map((n) =>
+        toRow({
           peer: n.peer,
           phase: n.phase,
           version: n.version,
@@ -71,13 +74,13 @@
         }),
       ),
     ],
-    ['disks', fleet.disks.map(row)],
-    // Two nodes that both say they own a shard are both shown: the higher fence is the owner.
+    ['disks', fleet.disks.map(toRow)],
+    // If two nodes claim to own a shard, both are shown; the one with the higher fence is the owner.
     [
       'keys',
-      per((n) =>
+      rowsPerNode((n) =>
         n.keys.map((k) =>
-          row({
+          toRow({
             shard: k.shard,
             owner: n.peer,
             gen: Number(k.fence.slice(0, 8)),
@@ -85,63 +88,66 @@
             last: k.last,
             commit: k.commit,
             behind: k.behind.length,
-            copies: list(place.get(k.shard)?.copies.map((d: string) => nameOf.get(d) ?? d)),
+            copies: joinList(placements.get(k.shard)?.copies.map((d: string) => peerOfDisk.get(d) ?? d)),
           }),
         ),
       ).concat(
-        [...place.values()]
-          .filter((p) => !got.some((n) => n.keys.some((k) => k.shard === p.shard)))
+        [...placements.values()]
+          .filter((p) => !answered.some((n) => n.keys.some((k) => k.shard === p.shard)))
           .map((p) =>
-            row({
+            toRow({
               shard: p.shard,
               owner: undefined,
               gen: p.gen,
-              copies: list(p.copies.map((d: string) => nameOf.get(d) ?? d)),
+              copies: joinList(p.copies.map((d: string) => peerOfDisk.get(d) ?? d)),
             }),
           ),
       ),
     ],
     [
       'copies',
-      per((n) =>
+      rowsPerNode((n) =>
         n.copies.map((c) =>
-          row({
+          toRow({
             node: n.peer,
             ...c,
-            placed: place.get(c.shard)?.copies.some((d: string) => nameOf.get(d) === n.peer) ?? false,
+            placed: placements.get(c.shard)?.copies.some((d: string) => peerOfDisk.get(d) === n.peer) ?? false,
           }),
         ),
       ),
     ],
     [
       'holds',
-      per((n) =>
-        n.holds.map((h) => row({ relay: n.peer, topic: h.topic, shard: h.shard, subs: h.subs, seen: h.seen })),
+      rowsPerNode((n) =>
+        n.holds.map((h) => toRow({ relay: n.peer, topic: h.topic, shard: h.shard, subs: h.subs, seen: h.seen })),
       ),
     ],
-    ['interest', per((n) => n.interest.map((i) => row({ owner: n.peer, relay: i.relay, topics: i.topics })))],
-    ['moves', (moves?.moves ?? []).map(row)],
-    ['holdings', per((n) => n.holdings.map((h) => row({ node: n.peer, ...h })))],
-    ['counters', per((n) => Object.entries(n.counters).map(([name, value]) => row({ node: n.peer, name, value })))],
+    ['interest', rowsPerNode((n) => n.interest.map((i) => toRow({ owner: n.peer, relay: i.relay, topics: i.topics })))],
+    ['moves', (moves?.moves ?? []).map(toRow)],
+    ['holdings', rowsPerNode((n) => n.holdings.map((h) => toRow({ node: n.peer, ...h })))],
+    [
+      'counters',
+      rowsPerNode((n) => Object.entries(n.counters).map(([name, value]) => toRow({ node: n.peer, name, value }))),
+    ],
   ]);
   return {
     at: fleet.at,
     tables,
-    silent: here.filter((_, i) => nodes[i] === undefined).map((m) => m.peer),
-    asked: here.length,
-    tookMs: Math.round(now() - t0),
+    silent: present.filter((_, i) => nodes[i] === undefined).map((m) => m.peer),
+    asked: present.length,
+    tookMs: Math.round(now() - startedAt),
   };
 }
 
 /**
- * How far to trust an answer, in one line.
+ * Describes in one line how complete and how recent a view is.
  * @example
- * trust(view); // 'from 15 of 15 nodes within 21 ms, members as 10.0.0.4:7100 knows them'
+ * describeCompleteness(view); // 'from 15 of 15 nodes in 21 ms; membership as seen by 10.0.0.4:7100, live members last heard from at most 180 ms ago'
  */
-export function trust(v: View): string {
-  const old = Math.max(
+export function trust(view: View): string {
+  const oldestMs = Math.max(
     0,
-    ...(v.tables.get('members') ?? []).filter((m) => m.get('state') === 'live').map((m) => Number(m.get('ageMs'))),
+    ...(view.tables.get('members') ?? []).filter((m) => m.get('state') === 'live').map((m) => Number(m.get('ageMs'))),
   );
-  return `from ${v.asked - v.silent.length} of ${v.asked} nodes within ${v.tookMs} ms; members as ${v.at} knows them, live ones heard of at most ${old} ms before${v.silent.length ? `; NO ANSWER from ${v.silent.join(', ')}` : ''}`;
+  return `from ${view.asked - view.silent.length} of ${view.asked} nodes in ${view.tookMs} ms; membership as seen by ${view.at}, live members last heard from at most ${oldestMs} ms ago${view.silent.length ? `; NO ANSWER from ${view.silent.join(', ')}` : ''}`;
 }
