--- a/packages/trial/src/disk-writer.ts
+++ b/packages/trial/src/disk-writer.ts
@@ -2,31 +2,31 @@
 import { lastIdx, makeFence, NO_FENCE, DurableState, type Replica } from '@harecross/state';
 
 /**
- * Writes to a node's database as fast as it takes it, and says each thing once it lasts. Killed in mid-write by
- * disk.test.ts.
+ * Writes to a node's database without pause, and prints each entry once it is committed: shard, index, promised fence. Lines that begin with
+ * `!` report an error. disk.test.ts kills this process while it writes. Arguments: data directory, number of shards.
  */
-const [folder, shards] = process.argv.slice(2) as [string, string];
-const quiet = {
+const [directory, shardCount] = process.argv.slice(2) as [string, string];
+const logger = {
   info: () => undefined,
-  warn: (l: string) => {
-    process.stdout.write(`! ${l}\n`);
+  warn: (line: string) => {
+    process.stdout.write(`! ${line}\n`);
   },
 };
 const db = openDb(
-  folder,
+  directory,
   realClock,
-  quiet,
-  (e) => {
-    process.stdout.write(`! ${e.message}\n`);
+  logger,
+  (error) => {
+    process.stdout.write(`! ${error.message}\n`);
     process.exit(3);
   },
   '127.0.0.1:1',
 );
-const st = new DurableState(db);
-st.init();
-const copies = st.loadReplicas(0);
-for (let s = 0; s < Number(shards); s++) {
-  const c: Replica = copies.get(s) ?? {
+const state = new DurableState(db);
+state.init();
+const replicas = state.loadReplicas(0);
+for (let s = 0; s < Number(shardCount); s++) {
+  const replica: Replica = replicas.get(s) ?? {
     shard: s,
     promised: NO_FENCE,
     base: { idx: 0, fence: NO_FENCE, topics: new Map(), senders: new Map() },
@@ -35,11 +35,11 @@
   void (async () => {
     for (let n = 1; ; n++) {
       const idx = await db.commit(() => {
-        const i = lastIdx(c) + 1;
-        if (n % 7 === 0) st.savePromise(c, makeFence(1, i, 'writer~1'));
-        st.appendEntry(c, {
+        const i = lastIdx(replica) + 1;
+        if (n % 7 === 0) state.savePromise(replica, makeFence(1, i, 'writer~1'));
+        state.appendEntry(replica, {
           idx: i,
-          fence: c.promised,
+          fence: replica.promised,
           topic: `t/${s}`,
           off: i,
           era: 1,
@@ -48,10 +48,10 @@
           body: `${s}:${i}:`.padEnd(40 + ((i * 37) % 900), 'x'),
           at: i,
         });
-        if (i % 50 === 0) st.trim(c, i - 40, 0);
+        if (i % 50 === 0) state.trim(replica, i - 40, 0);
         return i;
       });
-      process.stdout.write(`${s} ${idx} ${c.promised}\n`);
+      process.stdout.write(`${s} ${idx} ${replica.promised}\n`);
     }
   })();
 }
--- a/packages/trial/src/growth.ts
+++ b/packages/trial/src/growth.ts
@@ -1,9 +1,12 @@
-/** Prints how large the agreed value, the voters' disks and the membership are as a fleet lives long: `node packages/trial/dist/growth.js 170`. */
+/**
+ * Prints the sizes of the consensus value, the voters' disks and the membership while a simulated fleet goes through many configuration
+ * changes and machine replacements. The argument is the number of rounds: `node packages/trial/dist/growth.js 170`.
+ */
 import { longLife } from './test/long-life.js';
 
 const ROUNDS = Number(process.argv[2] ?? 170);
 const PRINT_EVERY = 10;
-const SHOWN = [
+const PRINTED_SIZES = [
   'value.disks',
   'value.incarnations',
   'control.membership.members',
@@ -17,7 +20,7 @@
   await life.round();
   if (round % PRINT_EVERY) continue;
   const { valueChars, parts } = life.sizes();
-  const shown = SHOWN.map((key) => `${key} ${parts.get(key) ?? 0}`).join(', ');
-  process.stdout.write(`${round} rounds ${JSON.stringify(life.counts)}: value ${valueChars} chars, ${shown}\n`);
+  const sizes = PRINTED_SIZES.map((key) => `${key} ${parts.get(key) ?? 0}`).join(', ');
+  process.stdout.write(`${round} rounds ${JSON.stringify(life.counts)}: value ${valueChars} chars, ${sizes}\n`);
 }
 process.exit(0);
--- a/packages/trial/src/hunt.ts
+++ b/packages/trial/src/hunt.ts
@@ -1,4 +1,4 @@
-/** Command line: hunts with drawn troubles on the shapes of the deployments, and shrinks what fails. */
+/** Command line tool: runs simulations of the deployments with random fault schedules, and reduces the schedules of those that fail. */
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import yargs from 'yargs';
@@ -10,61 +10,68 @@
 
 const options = yargs(process.argv.slice(2))
   .scriptName('hunt')
-  .usage('$0 [flags]\n\nPlays simulated days whose troubles are drawn from the seed, and shrinks those that fail.')
+  .usage(
+    '$0 [flags]\n\nRuns simulations with fault schedules drawn from the seed, and reduces the schedules of those that fail.',
+  )
   .option('on', {
     type: 'string',
     default: 'sss-control,hidrocross-control',
-    describe: `deployments, comma between: ${[...DEPLOYMENTS.keys()].join(', ')}`,
+    describe: `comma-separated deployments: ${[...DEPLOYMENTS.keys()].join(', ')}`,
   })
   .option('from', { type: 'number', default: 1, describe: 'first seed' })
   .option('seeds', { type: 'number', default: 10 })
-  .option('troubles', { type: 'number', default: 6, describe: 'troubles of a day' })
-  .option('kinds', { type: 'string', describe: `only these kinds: ${KIND_NAMES.join(', ')}` })
-  .option('schedule', { type: 'string', describe: 'these troubles, as a failing day prints them' })
+  .option('troubles', { type: 'number', default: 6, describe: 'number of faults in a schedule' })
+  .option('kinds', {
+    type: 'string',
+    describe: `comma-separated kinds of faults to draw from: ${KIND_NAMES.join(', ')}`,
+  })
+  .option('schedule', { type: 'string', describe: 'run this schedule, in the form printed for a failing run' })
   .option('shrink', { type: 'boolean', default: true })
-  .option('light', { type: 'boolean', default: false, describe: 'few clients and relays' })
-  .option('jobs', { type: 'number', default: 3, describe: 'days at a time, each a process' })
-  .option('log', { type: 'boolean', default: false, describe: 'print the log of the nodes' })
-  .option('notes', { type: 'boolean', default: false, describe: 'print what was done' })
-  .option('day', { type: 'string', hidden: true, describe: 'one day of a hunt: deployment/seed' })
+  .option('light', { type: 'boolean', default: false, describe: 'simulate only a few clients and relays' })
+  .option('jobs', { type: 'number', default: 3, describe: 'number of runs in parallel, each in its own process' })
+  .option('log', { type: 'boolean', default: false, describe: 'print the logs of the nodes' })
+  .option('notes', { type: 'boolean', default: false, describe: 'print the actions of each run' })
+  .option('day', { type: 'string', hidden: true, describe: 'a single run: deployment/seed' })
   .strict()
   .parseSync();
 
-/** Violations of a failing day that are printed. */
-const SHOWN = 6;
+/** Maximum number of violations printed for a failing run. */
+const MAX_PRINTED_VIOLATIONS = 6;
 
-function troublesOf(seed: number): Trouble[] {
+function scheduleFor(seed: number): Trouble[] {
   if (options.schedule !== undefined) return readSchedule(options.schedule);
-  const only = options.kinds?.split(',');
-  return drawSchedule(seed, options.troubles, only && KIND_NAMES.filter((name) => only.includes(name)));
+  const kinds = options.kinds?.split(',');
+  return drawSchedule(seed, options.troubles, kinds && KIND_NAMES.filter((name) => kinds.includes(name)));
 }
 
-function rulesOf(run: Run): string {
+/** The violated rules with their numbers of violations. */
+function describeViolations(run: Run): string {
   const counts = new Map<string, number>();
   for (const { rule } of run.bad) counts.set(rule, (counts.get(rule) ?? 0) + 1);
   return [...counts].map(([rule, count]) => `${rule} ${count}`).join(', ');
 }
 
-async function oneDay(name: string, seed: number): Promise<boolean> {
+/** Runs one simulation and prints the result; false if it failed. */
+async function runOne(name: string, seed: number): Promise<boolean> {
   const full = DEPLOYMENTS.get(name)!;
   const deployment = options.light ? lightOf(full) : full;
-  const troubles = troublesOf(seed);
-  const began = performance.now();
-  const run = await playDay(seed, deployment, troubles, options.log);
-  const took = ((performance.now() - began) / 1000).toFixed(1);
+  const schedule = scheduleFor(seed);
+  const startedAt = performance.now();
+  const run = await playDay(seed, deployment, schedule, options.log);
+  const tookS = ((performance.now() - startedAt) / 1000).toFixed(1);
   const accepted = run.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
   const tried = run.seen.filter((s) => s.k === 'pub.try').length;
-  const verdict = run.bad.length ? `BAD ${rulesOf(run)}` : 'clean';
-  const out = [`${name} seed ${seed}: ${accepted}/${tried} accepted, ${took} s: ${verdict}`];
+  const verdict = run.bad.length ? `BAD ${describeViolations(run)}` : 'clean';
+  const out = [`${name} seed ${seed}: ${accepted}/${tried} accepted, ${tookS} s: ${verdict}`];
   if (run.bad.length || options.notes) {
-    out.push(`  ${showSchedule(troubles)}`, ...run.notes.map((n) => `  ${n}`));
-    out.push(...run.bad.slice(0, SHOWN).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
+    out.push(`  ${showSchedule(schedule)}`, ...run.notes.map((n) => `  ${n}`));
+    out.push(...run.bad.slice(0, MAX_PRINTED_VIOLATIONS).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
   }
   process.stdout.write(`${out.join('\n')}\n`);
-  if (run.bad.length && options.shrink && troubles.length > 1) {
+  if (run.bad.length && options.shrink && schedule.length > 1) {
     const { rule } = run.bad[0]!;
-    const fewest = await shrink(troubles, async (some) =>
-      (await playDay(seed, deployment, some)).bad.some((v) => v.rule === rule),
+    const fewest = await shrink(schedule, async (subset) =>
+      (await playDay(seed, deployment, subset)).bad.some((v) => v.rule === rule),
     );
     process.stdout.write(
       `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${showSchedule(fewest)}'\n`,
@@ -73,42 +80,42 @@
   return run.bad.length === 0;
 }
 
-/** Plays one day in a process of its own; gives whether it was clean. */
-function inProcess(day: string): Promise<boolean> {
+/** Runs one simulation in a process of its own; resolves with whether it passed. */
+function runInProcess(run: string): Promise<boolean> {
   return new Promise((resolve) => {
-    const child = fork(fileURLToPath(import.meta.url), [...process.argv.slice(2), `--day=${day}`], {
+    const child = fork(fileURLToPath(import.meta.url), [...process.argv.slice(2), `--day=${run}`], {
       stdio: ['ignore', 'pipe', 'inherit', 'ipc'],
     });
     let out = '';
-    child.stdout!.on('data', (s) => {
-      out += s;
+    child.stdout!.on('data', (chunk) => {
+      out += chunk;
     });
     child.on('close', (code) => {
-      process.stdout.write(code === null || code > 1 ? `${day} ended with ${code}\n${out}` : out);
+      process.stdout.write(code === null || code > 1 ? `${run} exited with code ${code}\n${out}` : out);
       resolve(code === 0);
     });
   });
 }
 
-async function hunt(): Promise<number> {
+async function runAll(): Promise<number> {
   const names = options.on.split(',');
   const unknown = names.find((name) => !DEPLOYMENTS.has(name));
   if (unknown !== undefined) {
-    process.stderr.write(`no deployment ${unknown}; there are: ${[...DEPLOYMENTS.keys()].join(', ')}\n`);
+    process.stderr.write(`unknown deployment ${unknown}; deployments: ${[...DEPLOYMENTS.keys()].join(', ')}\n`);
     return 2;
   }
   const seeds = Array.from({ length: options.seeds }, (_, i) => options.from + i);
-  const days = seeds.flatMap((seed) => names.map((name) => `${name}/${seed}`));
-  const all = days.length;
+  const runs = seeds.flatMap((seed) => names.map((name) => `${name}/${seed}`));
+  const total = runs.length;
   let failed = 0;
   const worker = async (): Promise<void> => {
-    for (let day = days.shift(); day !== undefined; day = days.shift()) if (!(await inProcess(day))) failed++;
+    for (let run = runs.shift(); run !== undefined; run = runs.shift()) if (!(await runInProcess(run))) failed++;
   };
   await Promise.all(Array.from({ length: options.jobs }, worker));
-  process.stdout.write(`${failed} of ${all} days failed\n`);
+  process.stdout.write(`${failed} of ${total} runs failed\n`);
   return failed ? 1 : 0;
 }
 
-if (options.day === undefined) process.exit(await hunt());
+if (options.day === undefined) process.exit(await runAll());
 const [name, seed] = options.day.split('/') as [string, string];
-process.exit((await oneDay(name, Number(seed))) ? 0 : 1);
+process.exit((await runOne(name, Number(seed))) ? 0 : 1);
--- a/packages/trial/src/scale.ts
+++ b/packages/trial/src/scale.ts
@@ -4,27 +4,28 @@
 import { build, configOf, SMALL, type Site } from './scenario.js';
 import { Sim } from './sim.js';
 
-const a = yargs(process.argv.slice(2))
+const options = yargs(process.argv.slice(2))
   .scriptName('scale')
   .usage(
-    '$0 [flags]\n\nMeasures the control plane at several sizes, in the simulator: virtual time, the same result every time.',
+    '$0 [flags]\n\nMeasures the control plane at several fleet sizes in the simulator. Results in virtual time are the same in every run.',
   )
   .option('sizes', { type: 'string', default: '15,60,200' })
   .option('seed', { type: 'number', default: 1 })
-  .option('methods', { type: 'boolean', default: false, describe: 'visits per node and second, by method' })
+  .option('methods', { type: 'boolean', default: false, describe: 'also print requests per node and second by method' })
   .option('families', {
     type: 'string',
-    describe: 'instead, what a configuration of so many families costs a fleet of 15; comma between',
+    describe:
+      'instead, measure the cost of configurations with these numbers of families in a fleet of 15; comma-separated',
   })
   .strict()
   .parseSync();
 
-/** A configuration with the operators' own words for it, about as long. */
-function large(n: number): { config: FleetConfig; document: unknown } {
-  const of = [...Array(n).keys()];
+/** A configuration of that many families, and an operator's document of about the same length. */
+function largeConfig(familyCount: number): { config: FleetConfig; document: unknown } {
+  const indexes = [...Array(familyCount).keys()];
   return {
     config: {
-      families: of.map((i) => ({
+      families: indexes.map((i) => ({
         name: `r-${i}`,
         topics: [`kafi${i}.*`],
         precedence: i % 2,
@@ -35,7 +36,7 @@
       })),
     },
     document: {
-      routes: of.map((i) => ({
+      routes: indexes.map((i) => ({
         name: `r-${i}`,
         prefix: `kafi${i}.`,
         kind: 'kept',
@@ -49,72 +50,76 @@
   };
 }
 
-/** The mean time of some work on this machine, in ms; the first runs are left out. */
-function took(f: () => unknown): number {
+/** Mean time of 20 calls on this machine, in ms, after 5 calls that are not measured. */
+function meanMs(f: () => unknown): number {
   for (let i = 0; i < 5; i++) f();
-  const t0 = performance.now();
+  const startedAt = performance.now();
   for (let i = 0; i < 20; i++) f();
-  return (performance.now() - t0) / 20;
+  return (performance.now() - startedAt) / 20;
 }
 
-async function families(n: number): Promise<void> {
-  const sim = new Sim(a.seed);
+/** Prints the cost of a configuration change with that many families in a fleet of 15 nodes. */
+async function measureFamilies(familyCount: number): Promise<void> {
+  const sim = new Sim(options.seed);
   await build(sim, { ...SMALL, domains: ['a', 'b', 'c'], stores: 4, relays: 11, relayDisks: 4, consumers: 0 });
   await sim.run(15_000);
-  const ups = [...sim.nodes.values()];
-  const { config, document } = large(n);
-  const told: number[] = [],
-    all: number[] = [],
+  const nodes = [...sim.nodes.values()];
+  const { config, document } = largeConfig(familyCount);
+  const answeredMs: number[] = [],
+    everywhereMs: number[] = [],
     kib: number[] = [],
-    processorMs: number[] = [];
+    cpuMs: number[] = [];
   for (let i = 1; i <= 5; i++) {
     sim.traffic.clear();
     sim.answers.clear();
     sim.measure = true;
-    const from = sim.now;
-    const processor = process.cpuUsage();
+    const startedAt = sim.now;
+    const cpuBefore = process.cpuUsage();
     let answered = 0,
       everywhere = 0;
-    const at = ups[Math.floor(sim.random.next() * ups.length)]!;
-    void sim.outside.visit(at.config.client, 'SubmitConfig', { revision: i, config, document }, 10_000).then(() => {
-      answered = sim.now;
-    });
+    const receiver = nodes[Math.floor(sim.random.next() * nodes.length)]!;
+    void sim.outside
+      .visit(receiver.config.client, 'SubmitConfig', { revision: i, config, document }, 10_000)
+      .then(() => {
+        answered = sim.now;
+      });
     while (!answered || !everywhere) {
       await sim.run(sim.now + 5);
-      if (!everywhere && ups.every((x) => (x.kernel!.use('register').value?.revision ?? 0) >= i)) everywhere = sim.now;
-      if (sim.now - from > 30_000) throw new Error('never in force');
+      if (!everywhere && nodes.every((node) => (node.kernel!.use('register').value?.revision ?? 0) >= i))
+        everywhere = sim.now;
+      if (sim.now - startedAt > 30_000) throw new Error('the configuration was not in force on all nodes within 30 s');
     }
-    const { user, system } = process.cpuUsage(processor);
-    processorMs.push((user + system) / 1_000);
+    const { user, system } = process.cpuUsage(cpuBefore);
+    cpuMs.push((user + system) / 1_000);
     sim.measure = false;
-    told.push(answered - from);
-    all.push(everywhere - from);
-    const bytes = [...[...sim.traffic].map(([m, t]): [string, number] => [m, t.bytes]), ...sim.answers];
-    kib.push(bytes.filter(([m]) => m.startsWith('Reg')).reduce((x, [, b]) => x + b, 0) / 1024);
+    answeredMs.push(answered - startedAt);
+    everywhereMs.push(everywhere - startedAt);
+    const bytes = [...[...sim.traffic].map(([method, t]): [string, number] => [method, t.bytes]), ...sim.answers];
+    kib.push(bytes.filter(([method]) => method.startsWith('Reg')).reduce((x, [, b]) => x + b, 0) / 1024);
     await sim.run(sim.now + 1_000);
   }
-  const v = ups[0]!.kernel!.use('register').value!;
-  const text = serializeValue(v);
-  const ms = (xs: number[]): string => `${Math.round(Math.min(...xs))} to ${Math.round(Math.max(...xs))} ms`;
+  const value = nodes[0]!.kernel!.use('register').value!;
+  const text = serializeValue(value);
+  const rangeMs = (xs: number[]): string => `${Math.round(Math.min(...xs))} to ${Math.round(Math.max(...xs))} ms`;
   process.stdout.write(
-    `${n} families: value as text ${(text.length / 1024).toFixed(1)} KiB; a change answered after ${ms(told)}, at all 15 nodes after ${ms(all)}, ` +
-      `${Math.round(Math.min(...kib))} KiB sent for it, processor time of all together ${ms(processorMs)}; to text ${took(() => serializeValue({ ...v })).toFixed(2)} ms, from text ${took(() => deserializeValue(text)).toFixed(2)} ms, ` +
-      `checked in ${took(() => configFaults(config)).toFixed(2)} ms, laid out in ${took(() => familyOf(structuredClone(v.config), 'kafi7.1')).toFixed(2)} ms, ` +
-      `a topic's family in ${(
-        took(() => {
-          for (let i = 0; i < 10_000; i++) familyOf(v.config, 'kafi7.1');
+    `${familyCount} families: value as text ${(text.length / 1024).toFixed(1)} KiB; a change answered after ${rangeMs(answeredMs)}, in force at all 15 nodes after ${rangeMs(everywhereMs)}, ` +
+      `${Math.round(Math.min(...kib))} KiB sent for it, CPU time of all nodes together ${rangeMs(cpuMs)}; serialized in ${meanMs(() => serializeValue({ ...value })).toFixed(2)} ms, deserialized in ${meanMs(() => deserializeValue(text)).toFixed(2)} ms, ` +
+      `validated in ${meanMs(() => configFaults(config)).toFixed(2)} ms, copied and indexed in ${meanMs(() => familyOf(structuredClone(value.config), 'kafi7.1')).toFixed(2)} ms, ` +
+      `family of a topic looked up in ${(
+        meanMs(() => {
+          for (let i = 0; i < 10_000; i++) familyOf(value.config, 'kafi7.1');
         }) / 10
       ).toFixed(3)} us\n`,
   );
   sim.close();
 }
 
-if (a.families) {
-  for (const n of a.families.split(',').map(Number)) await families(n);
+if (options.families) {
+  for (const n of options.families.split(',').map(Number)) await measureFamilies(n);
   process.exit(0);
 }
 
-for (const size of a.sizes.split(',').map(Number)) {
+for (const size of options.sizes.split(',').map(Number)) {
   const stores = Math.max(3, Math.round(size / 5));
   const site: Site = {
     ...SMALL,
@@ -124,14 +129,14 @@
     relayDisks: Math.round(size / 15),
     consumers: 0,
   };
-  const sim = new Sim(a.seed);
-  const m = await build(sim, site);
+  const sim = new Sim(options.seed);
+  const machines = await build(sim, site);
   await sim.run(15_000);
-  const register = (n: (typeof m.stores)[number]) => n.kernel!.use('register');
-  const ups = [...sim.nodes.values()];
+  const register = (n: (typeof machines.stores)[number]) => n.kernel!.use('register');
+  const nodes = [...sim.nodes.values()];
   const owners = (): Map<number, string> =>
     new Map(
-      m.disks
+      machines.disks
         .filter((d) => d.up && !d.frozen)
         .flatMap((d) =>
           d
@@ -141,7 +146,7 @@
         ),
     );
 
-  // Quiet traffic over ten seconds.
+  // Traffic of the idle fleet over 10 s.
   sim.measure = true;
   await sim.run(25_000);
   sim.measure = false;
@@ -150,60 +155,62 @@
     bytes: 0,
   });
 
-  // A configuration: from its answer until the last node has it in force.
-  const spread: number[] = [];
+  // Configuration changes: time from the answer until the last node has the change in force.
+  const spreadMs: number[] = [];
   for (let i = 0; i < 5; i++) {
-    const at = ups[Math.floor(sim.random.next() * ups.length)]!;
-    let told = 0;
+    const receiver = nodes[Math.floor(sim.random.next() * nodes.length)]!;
+    let answered = 0;
     void sim.outside
-      .visit(at.config.client, 'SubmitConfig', { changeId: `s${i}`, config: configOf(site) }, 10_000)
+      .visit(receiver.config.client, 'SubmitConfig', { changeId: `s${i}`, config: configOf(site) }, 10_000)
       .then(() => {
-        told = sim.now;
+        answered = sim.now;
       });
     const version = i + 1;
-    let all = 0;
-    while (!told || !all) {
+    let everywhere = 0;
+    while (!answered || !everywhere) {
       await sim.run(sim.now + 10);
-      if (!all && ups.every((n) => (register(n).value?.version ?? 0) >= version)) all = sim.now;
-      if (sim.now > 120_000) throw new Error('never in force');
+      if (!everywhere && nodes.every((n) => (register(n).value?.version ?? 0) >= version)) everywhere = sim.now;
+      if (sim.now > 120_000)
+        throw new Error('the configuration was not in force on all nodes by 120 s of virtual time');
     }
-    spread.push(Math.max(0, all - told));
+    spreadMs.push(Math.max(0, everywhere - answered));
     await sim.run(sim.now + 1_000);
   }
 
-  // A frozen machine (nobody refuses a connection): until the first and the last node suspect it, and its keys are
-  // served again.
+  // A frozen machine, to which connections are not refused: time until the first and the last node suspect it, and until other nodes own its
+  // shards.
   await sim.run(sim.now + 3_000);
   const before = owners();
   const victim =
-    m.stores.find((s) => [...before.values()].includes(s.name) && !s.config.seeds.includes(s.config.peer)) ??
-    m.stores[0]!;
-  const lost = [...before].filter(([, o]) => o === victim.name).map(([s]) => s);
-  const t0 = sim.now;
+    machines.stores.find((s) => [...before.values()].includes(s.name) && !s.config.seeds.includes(s.config.peer)) ??
+    machines.stores[0]!;
+  const lostShards = [...before].filter(([, o]) => o === victim.name).map(([s]) => s);
+  const frozenAt = sim.now;
   sim.freeze(victim);
-  let first = 0,
-    last = 0,
-    served = 0;
-  while (!last || !served) {
+  let firstSuspectedMs = 0,
+    allSuspectedMs = 0,
+    servedMs = 0;
+  while (!allSuspectedMs || !servedMs) {
     await sim.run(sim.now + 20);
-    const sus = ups.filter(
+    const suspecting = nodes.filter(
       (n) => n !== victim && n.kernel!.use('membership').members.get(victim.config.peer)?.state !== 'live',
     ).length;
-    if (sus && !first) first = sim.now - t0;
-    if (sus === ups.length - 1 && !last) last = sim.now - t0;
-    const o = owners();
-    if (!served && lost.every((s) => o.get(s) !== undefined && o.get(s) !== victim.name)) served = sim.now - t0;
-    if (sim.now - t0 > 60_000) break;
+    if (suspecting && !firstSuspectedMs) firstSuspectedMs = sim.now - frozenAt;
+    if (suspecting === nodes.length - 1 && !allSuspectedMs) allSuspectedMs = sim.now - frozenAt;
+    const current = owners();
+    if (!servedMs && lostShards.every((s) => current.get(s) !== undefined && current.get(s) !== victim.name))
+      servedMs = sim.now - frozenAt;
+    if (sim.now - frozenAt > 60_000) break;
   }
   const after = owners();
-  const movedElse = [...before].filter(([s, o]) => o !== victim.name && after.get(s) !== o).length;
+  const otherShardsMoved = [...before].filter(([s, o]) => o !== victim.name && after.get(s) !== o).length;
   process.stdout.write(
-    `${size} nodes (${m.disks.length} disks): ${(total.n / size / 10).toFixed(1)} peer visits and ${(total.bytes / size / 10 / 1024).toFixed(1)} KiB per node and s; configuration everywhere ${spread.map((x) => Math.round(x)).join('/')} ms after its answer; frozen machine suspected by the first after ${Math.round(first)} ms, by all after ${Math.round(last)} ms; its ${lost.length} keys served after ${Math.round(served)} ms; ${movedElse} other keys moved\n`,
+    `${size} nodes (${machines.disks.length} disks): ${(total.n / size / 10).toFixed(1)} requests between peers and ${(total.bytes / size / 10 / 1024).toFixed(1)} KiB per node and s; configuration in force everywhere ${spreadMs.map((x) => Math.round(x)).join('/')} ms after its answer; frozen machine suspected by the first node after ${Math.round(firstSuspectedMs)} ms, by all after ${Math.round(allSuspectedMs)} ms; its ${lostShards.length} shards served again after ${Math.round(servedMs)} ms; ${otherShardsMoved} other shards moved\n`,
   );
-  if (a.methods)
-    for (const [k, t] of [...sim.traffic].sort((x, y) => y[1].bytes - x[1].bytes))
+  if (options.methods)
+    for (const [method, t] of [...sim.traffic].sort((x, y) => y[1].bytes - x[1].bytes))
       process.stdout.write(
-        `   ${k}: ${(t.n / size / 10).toFixed(2)} visits, ${(t.bytes / size / 10 / 1024).toFixed(2)} KiB per node and s\n`,
+        `   ${method}: ${(t.n / size / 10).toFixed(2)} requests, ${(t.bytes / size / 10 / 1024).toFixed(2)} KiB per node and s\n`,
       );
   sim.close();
 }
--- a/packages/trial/src/sweep.ts
+++ b/packages/trial/src/sweep.ts
@@ -8,148 +8,157 @@
 
 const SITES = new Map<string, Site>([SMALL, SINE_SALOUM, DUNARE].map((s) => [s.name, s]));
 
-const a = yargs(process.argv.slice(2))
+const options = yargs(process.argv.slice(2))
   .scriptName('sweep')
   .usage(
-    '$0 [flags]\n\nRuns simulated days with many seeds and judges them: named scenarios, pairs of faults, or storms of several.',
+    '$0 [flags]\n\nRuns simulations with many seeds and checks them for violations: named scenarios, pairs of faults, or storms of several faults.',
   )
   .option('only', { type: 'string', describe: 'comma-separated scenario names' })
   .option('from', { type: 'number', default: 1 })
   .option('seeds', { type: 'number', default: 5 })
   .option('site', {
     type: 'string',
-    describe: `run them on the full shape of a site (${[...SITES.keys()].join(', ')}; comma between)`,
+    describe: `run on the full-size fleets of these comma-separated sites: ${[...SITES.keys()].join(', ')}`,
   })
   .option('pairs', {
     type: 'boolean',
     default: false,
-    describe: 'two faults at once, chosen by the seed, instead of scenarios',
+    describe: 'instead of scenarios, two concurrent faults chosen by the seed',
+  })
+  .option('storm', { type: 'number', describe: 'instead of scenarios, this many concurrent faults chosen by the seed' })
+  .option('keep', {
+    type: 'string',
+    describe: 'comma-separated indexes of the faults of a pair or storm to run; the others are left out',
   })
-  .option('storm', { type: 'number', describe: 'so many faults at once, chosen by the seed, instead of scenarios' })
-  .option('keep', { type: 'string', describe: 'of a pair or storm only these faults, by number' })
   .option('shrink', {
     type: 'boolean',
     default: false,
-    describe: 'find the fewest faults with which a failing pair or storm still fails',
+    describe: 'reduce a failing pair or storm to a minimal set of faults that still fails',
+  })
+  .option('jobs', { type: 'number', default: 7, describe: 'number of runs in parallel, each in its own process' })
+  .option('counters', {
+    type: 'string',
+    describe: 'print the counters of the processes alive at the end whose names match this regular expression',
   })
-  .option('jobs', { type: 'number', default: 7, describe: 'runs at a time, each a process' })
-  .option('counters', { type: 'string', describe: 'print counters (of processes alive at the end) that match' })
-  .option('notes', { type: 'boolean', default: false, describe: 'print what was done and seen' })
+  .option('notes', { type: 'boolean', default: false, describe: 'print the actions and observations of each run' })
   .option('log', { type: 'boolean', default: false })
-  .option('lines', { type: 'number', default: 0, describe: 'last log lines to print of a failing run' })
+  .option('lines', { type: 'number', default: 0, describe: 'number of last log lines to print of a failing run' })
   .option('run', { type: 'string', hidden: true, describe: 'one run of a sweep: site/scenario/seed' })
   .strict()
   .parseSync();
 
 const quantile = (xs: number[], q: number): number =>
   Math.round(xs[Math.min(xs.length - 1, Math.floor(q * xs.length))] ?? NaN);
-const keep = a.keep?.split(',').map(Number);
+const keep = options.keep?.split(',').map(Number);
 
-/** What one name stands for, at a seed. */
-function scenarioOf(name: string, site: string, seed: number): { sc: Scenario; steps?: Step[] } {
-  const of = site === '-' ? undefined : SITES.get(site)!;
+/** The scenario that a name stands for, with its faults if they are drawn from the seed. */
+function scenarioOf(name: string, site: string, seed: number): { scenario: Scenario; steps?: Step[] } {
+  const fullSite = site === '-' ? undefined : SITES.get(site)!;
   if (name === 'pair' || name === 'storm') {
-    const all = name === 'pair' ? pairOf(seed) : planOf(seed, a.storm ?? 4);
+    const all = name === 'pair' ? pairOf(seed) : planOf(seed, options.storm ?? 4);
     const steps = all.filter((_, i) => !keep || keep.includes(i));
-    return { sc: storm(steps, of), steps };
+    return { scenario: storm(steps, fullSite), steps };
   }
-  const sc = SCENARIOS.get(name)!;
-  return { sc: { ...sc, ...(of ? { site: of } : {}), opts: { ...sc.opts, log: a.log } } };
+  const scenario = SCENARIOS.get(name)!;
+  return {
+    scenario: { ...scenario, ...(fullSite ? { site: fullSite } : {}), opts: { ...scenario.opts, log: options.log } },
+  };
 }
 
-async function one(name: string, site: string, seed: number): Promise<boolean> {
-  const { sc, steps } = scenarioOf(name, site, seed);
+/** Runs one seed and prints the result; false if it failed. */
+async function runOne(name: string, site: string, seed: number): Promise<boolean> {
+  const { scenario, steps } = scenarioOf(name, site, seed);
   const label = `${site === '-' ? '' : `${site} `}${name} seed ${seed}`;
-  let r: Run;
+  let run: Run;
   try {
-    r = await play(seed, sc);
+    run = await play(seed, scenario);
   } catch (e) {
     process.stdout.write(
       `${label}: ${steps ? `${showPlan(steps)}: ` : ''}the run itself failed: ${e instanceof Error ? e.message : String(e)}\n`,
     );
     return false;
   }
-  const n = (k: string): number => r.seen.filter((s) => s.k === k).length;
-  const acc = r.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
-  const tried = new Map(r.seen.flatMap((s) => (s.k === 'pub.try' ? [[s.try, s.t] as [number, number]] : [])));
-  const lat = r.seen
-    .flatMap((s) => (s.k === 'pub.answer' && s.out === 'accepted' ? [s.t - tried.get(s.try)!] : []))
+  const countOf = (k: string): number => run.seen.filter((s) => s.k === k).length;
+  const accepted = run.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
+  const triedAt = new Map(run.seen.flatMap((s) => (s.k === 'pub.try' ? [[s.try, s.t] as [number, number]] : [])));
+  const latencies = run.seen
+    .flatMap((s) => (s.k === 'pub.answer' && s.out === 'accepted' ? [s.t - triedAt.get(s.try)!] : []))
     .sort((x, y) => x - y);
-  const back = recovery(r.seen);
-  let out = `${label}: ${acc}/${n('pub.try')} accepted, ${n('deliver')} delivered, ${n('conn.open')} conns, ${r.sim.events} events, accept p50/p99 ${quantile(lat, 0.5)}/${quantile(lat, 0.99)} ms, `;
-  if (back)
-    out += `back after ${back.accepted.quarterMs}/${back.accepted.mostMs} accepted and ${back.delivered.quarterMs}/${back.delivered.mostMs} delivered ms, `;
-  out += `${r.bad.length} violations\n`;
-  if (steps && (a.notes || r.bad.length)) out += `   ${showPlan(steps)}\n`;
-  if (a.notes) for (const x of r.notes) out += `   ${x}\n`;
-  if (a.counters)
-    out += `   ${[...r.counters]
-      .filter(([k]) => new RegExp(a.counters!).test(k))
+  const recovered = recovery(run.seen);
+  let out = `${label}: ${accepted}/${countOf('pub.try')} accepted, ${countOf('deliver')} delivered, ${countOf('conn.open')} conns, ${run.sim.events} events, accept p50/p99 ${quantile(latencies, 0.5)}/${quantile(latencies, 0.99)} ms, `;
+  if (recovered)
+    out += `back after ${recovered.accepted.quarterMs}/${recovered.accepted.mostMs} accepted and ${recovered.delivered.quarterMs}/${recovered.delivered.mostMs} delivered ms, `;
+  out += `${run.bad.length} violations\n`;
+  if (steps && (options.notes || run.bad.length)) out += `   ${showPlan(steps)}\n`;
+  if (options.notes) for (const x of run.notes) out += `   ${x}\n`;
+  if (options.counters)
+    out += `   ${[...run.counters]
+      .filter(([k]) => new RegExp(options.counters!).test(k))
       .sort(([x], [y]) => (x < y ? -1 : 1))
       .map(([k, v]) => `${k} ${v}`)
       .join(', ')}\n`;
   const rules = new Map<string, number>();
-  for (const v of r.bad) rules.set(v.rule, (rules.get(v.rule) ?? 0) + 1);
-  if (r.bad.length) out += `   BAD ${[...rules].map(([k, v]) => `${k} ${v}`).join(', ')}\n`;
-  for (const v of r.bad.slice(0, 8)) out += `   ${v.rule} at ${v.t}: ${v.what}\n`;
-  if (r.bad.length && a.lines) out += r.sim.lines.slice(-a.lines).join('\n') + '\n';
+  for (const v of run.bad) rules.set(v.rule, (rules.get(v.rule) ?? 0) + 1);
+  if (run.bad.length) out += `   BAD ${[...rules].map(([k, v]) => `${k} ${v}`).join(', ')}\n`;
+  for (const v of run.bad.slice(0, 8)) out += `   ${v.rule} at ${v.t}: ${v.what}\n`;
+  if (run.bad.length && options.lines) out += run.sim.lines.slice(-options.lines).join('\n') + '\n';
   process.stdout.write(out);
-  if (r.bad.length && steps && a.shrink) {
-    const least = await shrink(
+  if (run.bad.length && steps && options.shrink) {
+    const fewest = await shrink(
       steps,
-      async (some) => (await play(seed, storm(some, SITES.get(site)))).bad.map((v) => v.rule),
-      r.bad[0]!.rule,
+      async (subset) => (await play(seed, storm(subset, SITES.get(site)))).bad.map((v) => v.rule),
+      run.bad[0]!.rule,
     );
-    const ids = least.map((s) => steps.indexOf(s)).join(',');
+    const ids = fewest.map((s) => steps.indexOf(s)).join(',');
     process.stdout.write(
-      `   fewest: ${showPlan(least)}\n   again: npm run sweep -- --${name === 'pair' ? 'pairs' : `storm ${steps.length}`} --keep ${ids}${site === '-' ? '' : ` --site ${site}`} --from ${seed} --seeds 1\n`,
+      `   fewest: ${showPlan(fewest)}\n   again: npm run sweep -- --${name === 'pair' ? 'pairs' : `storm ${steps.length}`} --keep ${ids}${site === '-' ? '' : ` --site ${site}`} --from ${seed} --seeds 1\n`,
     );
   }
-  return r.bad.length === 0;
+  return run.bad.length === 0;
 }
 
-if (a.run !== undefined) {
-  const [site, name, seed] = a.run.split('/') as [string, string, string];
-  process.exit((await one(name, site, Number(seed))) ? 0 : 1);
+if (options.run !== undefined) {
+  const [site, name, seed] = options.run.split('/') as [string, string, string];
+  process.exit((await runOne(name, site, Number(seed))) ? 0 : 1);
 }
-let names = a.only ? a.only.split(',') : [...SCENARIOS.keys()];
-if (a.storm !== undefined) names = ['storm'];
-if (a.pairs) names = ['pair'];
+let names = options.only ? options.only.split(',') : [...SCENARIOS.keys()];
+if (options.storm !== undefined) names = ['storm'];
+if (options.pairs) names = ['pair'];
 for (const n of names) {
   if (!SCENARIOS.has(n) && n !== 'pair' && n !== 'storm') {
     process.stderr.write(`no scenario ${n}; there are: ${[...SCENARIOS.keys()].join(', ')}\n`);
     process.exit(2);
   }
 }
-const sites = a.site?.split(',') ?? ['-'];
+const sites = options.site?.split(',') ?? ['-'];
 for (const s of sites)
   if (s !== '-' && !SITES.has(s)) {
     process.stderr.write(`no site ${s}; there are: ${[...SITES.keys()].join(', ')}\n`);
     process.exit(2);
   }
 const tasks = sites.flatMap((site) =>
-  names.flatMap((name) => Array.from({ length: a.seeds }, (_, i) => `${site}/${name}/${a.from + i}`)),
+  names.flatMap((name) => Array.from({ length: options.seeds }, (_, i) => `${site}/${name}/${options.from + i}`)),
 );
-const flags = process.argv.slice(2);
+const ownArgs = process.argv.slice(2);
 let failed = 0;
 await Promise.all(
-  Array.from({ length: Math.min(a.jobs, tasks.length) }, async () => {
-    for (let t = tasks.shift(); t !== undefined; t = tasks.shift()) {
-      const task = t;
-      const code = await new Promise<number>((res) => {
-        const p = fork(fileURLToPath(import.meta.url), [...flags, `--run=${task}`], {
+  Array.from({ length: Math.min(options.jobs, tasks.length) }, async () => {
+    for (let next = tasks.shift(); next !== undefined; next = tasks.shift()) {
+      const task = next;
+      const exitCode = await new Promise<number>((resolve) => {
+        const child = fork(fileURLToPath(import.meta.url), [...ownArgs, `--run=${task}`], {
           stdio: ['ignore', 'pipe', 'inherit', 'ipc'],
         });
         let out = '';
-        p.stdout!.on('data', (s) => {
-          out += s;
+        child.stdout!.on('data', (chunk) => {
+          out += chunk;
         });
-        p.on('close', (c) => {
+        child.on('close', (code) => {
           process.stdout.write(out);
-          res(c ?? 1);
+          resolve(code ?? 1);
         });
       });
-      if (code) failed++;
+      if (exitCode) failed++;
     }
   }),
 );
