--- a/packages/control/src/consensus/acceptor.ts
+++ b/packages/control/src/consensus/acceptor.ts
@@ -106,7 +106,7 @@
   private isLate(request: AcceptRequest): boolean {
     if (request.promisedAt === undefined) return false;
     const ageMs = this.kernel.host.clock.now() - request.promisedAt;
-    return request.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseLifeMs;
+    return request.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseTtlMs;
   }
 
   private voterState(request: { disk: string }): VoterState {
--- a/packages/control/src/consensus/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -77,7 +77,7 @@
    * enough, or whatever disks are live after `bootstrapAnywayMs`.
    */
   private hasEnoughDisks(): boolean {
-    const isOverdue = this.uptimeMs() >= REGISTER.bootstrapAnywayMs;
+    const isOverdue = this.uptimeMs() >= REGISTER.bootstrapReplicaWaitMs;
     const durability = durabilityOf(this.kernel.host.config);
     if (!durability.tolerance) return isOverdue || this.liveReplicaDiskCount() >= durability.copies;
     const shortfall = shortfallOf(durability, [...this.liveDisks().values()]);
--- a/packages/control/src/consensus/consensus-register.ts
+++ b/packages/control/src/consensus/consensus-register.ts
@@ -263,7 +263,7 @@
   }
 
   /** Reads the latest value from a majority through a ballot. */
-  async read(limitMs: number = REGISTER.changeMs): Promise<FleetValue> {
+  async read(limitMs: number = REGISTER.changeTimeoutMs): Promise<FleetValue> {
     const askedAt = this.kernel.host.clock.now();
     const value = await this.change((latest) => ({ out: latest }), limitMs);
     this.lease.renew(askedAt);
@@ -275,7 +275,7 @@
    * returns no `next`, the value is only read. Fails with `no_majority` if the outcome is unknown after `limitMs`, or once `wanted`
    * returns false.
    */
-  change<T>(fn: ChangeFn<T>, limitMs: number = REGISTER.changeMs, wanted: () => boolean = () => true): Promise<T> {
+  change<T>(fn: ChangeFn<T>, limitMs: number = REGISTER.changeTimeoutMs, wanted: () => boolean = () => true): Promise<T> {
     return this.proposer.change(fn, limitMs, wanted);
   }
 
--- a/packages/control/src/consensus/value-fetcher.ts
+++ b/packages/control/src/consensus/value-fetcher.ts
@@ -49,7 +49,7 @@
   fetch(peer: string): Promise<void> {
     const running = this.inFlight.get(peer);
     if (running) return running;
-    const timeoutMs = this.membership.scaledPeriodMs(MEMBERSHIP.callMs, REGISTER.fetchPerMemberMs);
+    const timeoutMs = this.membership.scaledPeriodMs(MEMBERSHIP.callTimeoutMs, REGISTER.fetchPerMemberMs);
     const fetching = this.kernel
       .call<ValueAnswer>(peer, 'RegGet', valueRequest(this.context.value()), timeoutMs)
       .then(
--- a/packages/control/src/operators/submissions.ts
+++ b/packages/control/src/operators/submissions.ts
@@ -193,7 +193,7 @@
         for (const waiter of waiters) waiter.reject(failure);
         return;
       }
-      await sleep(clock, REGISTER.submitAskMs * (0.5 + random.next()));
+      await sleep(clock, REGISTER.submitPollMs * (0.5 + random.next()));
     }
     this.answerAll(waiters, resultFrom(this.register.value!, outcome));
   }
--- a/packages/data/src/ownership/ownership-check.ts
+++ b/packages/data/src/ownership/ownership-check.ts
@@ -204,7 +204,7 @@
     const highest = new Map<ShardState, { answers: number; fence: Fence }>();
     const calls = [...this.shardsByPeer(shards)].map(async ([peer, shardsOfPeer]) => {
       const request = { shards: shardsOfPeer.map((shard) => shard.id) };
-      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.whoMs).catch(() => []);
+      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.fenceQueryMs).catch(() => []);
       fences.forEach((fence, i) => {
         const known = highest.get(shardsOfPeer[i]!);
         const higher = known && known.fence > fence ? known.fence : fence;
--- a/packages/data/src/ownership/topic-history.ts
+++ b/packages/data/src/ownership/topic-history.ts
@@ -91,7 +91,7 @@
     const { clock } = this.kernel.host;
     const askedAt = clock.now();
     const { fence } = shard;
-    const until = askedAt + REQUEST.ownerTryMs - CONFIRM_MARGIN_MS;
+    const until = askedAt + REQUEST.ownerAttemptMs - CONFIRM_MARGIN_MS;
     while (shard.majorityAnsweredAt() < askedAt) {
       if (shard.fence !== fence || shard.phase !== 'owner' || clock.now() > until)
         throw new HarecrossError({ tag: 'not_owner', step: 'confirm', peer: this.kernel.self });
--- a/packages/trial/src/disk-writer.ts
+++ b/packages/trial/src/disk-writer.ts
@@ -1,4 +1,4 @@
-import { openDb, realClock } from '@harecross/kernel';
+import { openDatabase, realClock } from '@harecross/kernel';
 import { lastIdx, makeFence, NO_FENCE, DurableState, type Replica } from '@harecross/state';
 
 /**
@@ -12,7 +12,7 @@
     process.stdout.write(`! ${line}\n`);
   },
 };
-const db = openDb(
+const db = openDatabase(
   directory,
   realClock,
   logger,
--- a/packages/trial/src/hunt.ts
+++ b/packages/trial/src/hunt.ts
@@ -2,7 +2,7 @@
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import yargs from 'yargs';
-import type { Run } from './scenario.js';
+import type { ScenarioResult } from './scenario.js';
 import { playDay } from './trouble/day.js';
 import { DEPLOYMENTS, lightOf } from './trouble/deployment.js';
 import { drawSchedule, KIND_NAMES, readSchedule, showSchedule, type Trouble } from './trouble/schedule.js';
@@ -45,9 +45,9 @@
 }
 
 /** The violated rules with their numbers of violations. */
-function describeViolations(run: Run): string {
+function describeViolations(run: ScenarioResult): string {
   const counts = new Map<string, number>();
-  for (const { rule } of run.bad) counts.set(rule, (counts.get(rule) ?? 0) + 1);
+  for (const { rule } of run.violations) counts.set(rule, (counts.get(rule) ?? 0) + 1);
   return [...counts].map(([rule, count]) => `${rule} ${count}`).join(', ');
 }
 
@@ -61,23 +61,23 @@
   const tookS = ((performance.now() - startedAt) / 1000).toFixed(1);
   const accepted = run.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
   const tried = run.seen.filter((s) => s.k === 'pub.try').length;
-  const verdict = run.bad.length ? `BAD ${describeViolations(run)}` : 'clean';
+  const verdict = run.violations.length ? `BAD ${describeViolations(run)}` : 'clean';
   const out = [`${name} seed ${seed}: ${accepted}/${tried} accepted, ${tookS} s: ${verdict}`];
-  if (run.bad.length || options.notes) {
+  if (run.violations.length || options.notes) {
     out.push(`  ${showSchedule(schedule)}`, ...run.notes.map((n) => `  ${n}`));
-    out.push(...run.bad.slice(0, MAX_PRINTED_VIOLATIONS).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
+    out.push(...run.violations.slice(0, MAX_PRINTED_VIOLATIONS).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
   }
   process.stdout.write(`${out.join('\n')}\n`);
-  if (run.bad.length && options.shrink && schedule.length > 1) {
-    const { rule } = run.bad[0]!;
+  if (run.violations.length && options.shrink && schedule.length > 1) {
+    const { rule } = run.violations[0]!;
     const fewest = await shrink(schedule, async (subset) =>
-      (await playDay(seed, deployment, subset)).bad.some((v) => v.rule === rule),
+      (await playDay(seed, deployment, subset)).violations.some((v) => v.rule === rule),
     );
     process.stdout.write(
       `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${showSchedule(fewest)}'\n`,
     );
   }
-  return run.bad.length === 0;
+  return run.violations.length === 0;
 }
 
 /** Runs one simulation in a process of its own; resolves with whether it passed. */
--- a/packages/trial/src/oracle.ts
+++ b/packages/trial/src/oracle.ts
@@ -1,5 +1,5 @@
 /** The judge of a day: every rule, by what callers and operators saw and what was done to the fleet. */
-import type { Seen } from './journal.js';
+import type { JournalEvent } from './journal.js';
 import { counts } from './oracle/counts.js';
 import { gaps, owed, audits } from './oracle/deliveries.js';
 import { nodes, marks } from './oracle/in-force.js';
@@ -39,7 +39,7 @@
  * @example
  * const bad = judge(journal.seen); // [] when nothing happened that must never happen
  */
-export function judge(seen: readonly Seen[], bounds: Bounds = SIM): Violation[] {
+export function judge(seen: readonly JournalEvent[], bounds: Bounds = SIM): Violation[] {
   const record = new DayRecord(seen, bounds);
   for (const check of CHECKS) check(record);
   return record.violations();
--- a/packages/trial/src/oracle/counts.ts
+++ b/packages/trial/src/oracle/counts.ts
@@ -24,13 +24,13 @@
     const slack = Math.floor(0.04 * hi);
     const told = `${s.topic}: told ${s.count}${s.partial ? ' (partial)' : ''}, truth of the last 5 s was ${lo}..${hi}`;
     if (s.count > hi + slack || (!s.partial && s.count < lo - slack)) record.say('counts', s.t, told);
-    const since = s.asked - record.sky.changedAt(s.asked);
+    const since = s.asked - record.sky.lastHealthChange(s.asked);
     if (
       s.partial &&
       since < Infinity &&
       since > PARTIAL_MS &&
       record.sky.calm(s.asked - PARTIAL_MS, s.t) &&
-      !record.sky.ailing(s.asked - PARTIAL_MS, s.t)
+      !record.sky.anyUnhealthy(s.asked - PARTIAL_MS, s.t)
     )
       record.say('counts', s.t, `${told}; nothing changed for ${Math.round(since)} ms`);
   }
--- a/packages/trial/src/oracle/in-force.ts
+++ b/packages/trial/src/oracle/in-force.ts
@@ -11,7 +11,7 @@
   for (const s of record.seen) {
     if (s.k !== 'node.says' && s.k !== 'node.silent') continue;
     const due = record.taken.filter((x) => s.asked > x.t + record.bounds.inForceMs).at(-1);
-    const able = record.sky.well(s.node, s.asked - JOIN_MS, s.t);
+    const able = record.sky.wasHealthy(s.node, s.asked - JOIN_MS, s.t);
     if (s.k === 'node.silent') {
       if (due && able)
         record.say(
--- a/packages/trial/src/oracle/record.ts
+++ b/packages/trial/src/oracle/record.ts
@@ -1,7 +1,7 @@
 /** What a day's journal tells, in the form in which all checks ask for it; and the violations that they found. */
 import { familyOf, type FleetConfig } from '@harecross/schema';
-import type { Seen } from '../journal.js';
-import { Sky } from '../weather.js';
+import type { JournalEvent } from '../journal.js';
+import { FleetConditions } from '../fleet-conditions.js';
 import type { Bounds, Rule, Violation } from './rules.js';
 
 /** After the last fault and the last publish, this is time enough for any repair. */
@@ -9,7 +9,7 @@
 /** Nothing counts as wrong any more this long after the last change of the fleet. */
 export const CALM_MS = 12_000;
 
-export type Of<K extends Seen['k']> = Extract<Seen, { k: K }>;
+export type Of<K extends JournalEvent['k']> = Extract<JournalEvent, { k: K }>;
 export interface Pub {
   topic: string;
   sender: string;
@@ -79,14 +79,14 @@
   readonly lines: Line[] = [];
   readonly aways = new Map<string, Away[]>();
   readonly nodeOf = new Map<string, string>();
-  readonly sky: Sky;
+  readonly sky: FleetConditions;
   readonly end: number;
 
   constructor(
-    readonly seen: readonly Seen[],
+    readonly seen: readonly JournalEvent[],
     readonly bounds: Bounds,
   ) {
-    this.sky = new Sky(seen);
+    this.sky = new FleetConditions(seen);
     this.end = seen.find((s) => s.k === 'end')?.t ?? Infinity;
     for (const s of seen) if (s.k === 'conn.open') this.nodeOf.set(s.conn, s.node);
   }
--- a/packages/trial/src/oracle/waits.ts
+++ b/packages/trial/src/oracle/waits.ts
@@ -30,7 +30,7 @@
     const ms = s.t - p.t;
     const fam = record.familyAt(s.topic, p.t);
     if (record.bounds.timed && fam) {
-      const well = record.sky.well(s.node, p.t, s.t) && !record.sky.anyPoor(p.t, s.t);
+      const well = record.sky.wasHealthy(s.node, p.t, s.t) && !record.sky.anyPoorLink(p.t, s.t);
       if (s.tag === 'no answer') {
         if (well) record.say('held', s.t, `${what} got no answer in ${Math.round(ms)} ms, and the node was well`);
       } else if (well && ms > fam.patienceMs + record.bounds.wayMs)
@@ -68,7 +68,7 @@
 
 export function holdings(record: DayRecord): void {
   const accepted = [...record.pubs.values()].filter((p) => p.acceptedAt !== undefined).map((p) => p.acceptedAt!);
-  const returns = record.sky.returns().sort((a, b) => b - a);
+  const returns = record.sky.recoveryTimes().sort((a, b) => b - a);
   for (const s of record.seen) {
     if (s.k !== 'node.says') continue;
     for (const h of s.holdings ?? []) {
--- a/packages/trial/src/outage.ts
+++ b/packages/trial/src/outage.ts
@@ -1,6 +1,6 @@
 import { shardOf } from '@harecross/kernel';
 import yargs from 'yargs';
-import { build, configOf, SMALL } from './scenario.js';
+import { createMachines, fleetConfigOf, SMALL } from './scenario.js';
 import { Sim, type SimNode } from './sim.js';
 
 const KINDS = [
@@ -46,12 +46,12 @@
 
 async function runOne(kind: (typeof KINDS)[number], seed: number, measurements: Measurements): Promise<void> {
   const sim = new Sim(seed);
-  const machines = await build(sim, SMALL);
+  const machines = await createMachines(sim, SMALL);
   await sim.run(7_000);
-  void sim.outside.visit(
+  void sim.clientTransport.visit(
     machines.relays[5]!.config.client,
     'SubmitConfig',
-    { changeId: 'c', config: configOf(SMALL) },
+    { changeId: 'c', config: fleetConfigOf(SMALL) },
     9_000,
   );
   await sim.run(12_000);
@@ -76,7 +76,7 @@
     void (async () => {
       for (let seq = 1; publishing; seq++) {
         const sentAt = sim.now;
-        const response = await sim.outside.visit(
+        const response = await sim.clientTransport.visit(
           machines.relays[4]!.config.client,
           'Publish',
           { sender: 'p', topic, seq, body: 'x' },
@@ -119,7 +119,7 @@
       void sim.stop(victim);
       break;
     case 'syncs stop its loop':
-      victim.stallMs = [1_000, 3_000];
+      victim.syncStallMs = [1_000, 3_000];
       break;
   }
   let detectedAt = 0;
--- a/packages/trial/src/scale.ts
+++ b/packages/trial/src/scale.ts
@@ -1,7 +1,7 @@
 import { deserializeValue, serializeValue } from '@harecross/control';
 import { configFaults, familyOf, type FleetConfig } from '@harecross/schema';
 import yargs from 'yargs';
-import { build, configOf, SMALL, type Site } from './scenario.js';
+import { createMachines, fleetConfigOf, SMALL, type DeploymentSpec } from './scenario.js';
 import { Sim } from './sim.js';
 
 const options = yargs(process.argv.slice(2))
@@ -61,7 +61,7 @@
 /** Prints the cost of a configuration change with that many families in a fleet of 15 nodes. */
 async function measureFamilies(familyCount: number): Promise<void> {
   const sim = new Sim(options.seed);
-  await build(sim, { ...SMALL, domains: ['a', 'b', 'c'], stores: 4, relays: 11, relayDisks: 4, consumers: 0 });
+  await createMachines(sim, { ...SMALL, domains: ['a', 'b', 'c'], stores: 4, relays: 11, relayDisks: 4, consumers: 0 });
   await sim.run(15_000);
   const nodes = [...sim.nodes.values()];
   const { config, document } = largeConfig(familyCount);
@@ -70,15 +70,15 @@
     kib: number[] = [],
     cpuMs: number[] = [];
   for (let i = 1; i <= 5; i++) {
-    sim.traffic.clear();
-    sim.answers.clear();
-    sim.measure = true;
+    sim.requestTraffic.clear();
+    sim.responseBytes.clear();
+    sim.measureTraffic = true;
     const startedAt = sim.now;
     const cpuBefore = process.cpuUsage();
     let answered = 0,
       everywhere = 0;
     const receiver = nodes[Math.floor(sim.random.next() * nodes.length)]!;
-    void sim.outside
+    void sim.clientTransport
       .visit(receiver.config.client, 'SubmitConfig', { revision: i, config, document }, 10_000)
       .then(() => {
         answered = sim.now;
@@ -91,10 +91,13 @@
     }
     const { user, system } = process.cpuUsage(cpuBefore);
     cpuMs.push((user + system) / 1_000);
-    sim.measure = false;
+    sim.measureTraffic = false;
     answeredMs.push(answered - startedAt);
     everywhereMs.push(everywhere - startedAt);
-    const bytes = [...[...sim.traffic].map(([method, t]): [string, number] => [method, t.bytes]), ...sim.answers];
+    const bytes = [
+      ...[...sim.requestTraffic].map(([method, t]): [string, number] => [method, t.bytes]),
+      ...sim.responseBytes,
+    ];
     kib.push(bytes.filter(([method]) => method.startsWith('Reg')).reduce((x, [, b]) => x + b, 0) / 1024);
     await sim.run(sim.now + 1_000);
   }
@@ -121,7 +124,7 @@
 
 for (const size of options.sizes.split(',').map(Number)) {
   const stores = Math.max(3, Math.round(size / 5));
-  const site: Site = {
+  const site: DeploymentSpec = {
     ...SMALL,
     domains: ['a', 'b', 'c', 'd', 'e'],
     stores,
@@ -130,7 +133,7 @@
     consumers: 0,
   };
   const sim = new Sim(options.seed);
-  const machines = await build(sim, site);
+  const machines = await createMachines(sim, site);
   await sim.run(15_000);
   const register = (n: (typeof machines.stores)[number]) => n.kernel!.use('register');
   const nodes = [...sim.nodes.values()];
@@ -147,10 +150,10 @@
     );
 
   // Traffic of the idle fleet over 10 s.
-  sim.measure = true;
+  sim.measureTraffic = true;
   await sim.run(25_000);
-  sim.measure = false;
-  const total = [...sim.traffic.values()].reduce((x, t) => ({ n: x.n + t.n, bytes: x.bytes + t.bytes }), {
+  sim.measureTraffic = false;
+  const total = [...sim.requestTraffic.values()].reduce((x, t) => ({ n: x.n + t.n, bytes: x.bytes + t.bytes }), {
     n: 0,
     bytes: 0,
   });
@@ -160,8 +163,8 @@
   for (let i = 0; i < 5; i++) {
     const receiver = nodes[Math.floor(sim.random.next() * nodes.length)]!;
     let answered = 0;
-    void sim.outside
-      .visit(receiver.config.client, 'SubmitConfig', { changeId: `s${i}`, config: configOf(site) }, 10_000)
+    void sim.clientTransport
+      .visit(receiver.config.client, 'SubmitConfig', { changeId: `s${i}`, config: fleetConfigOf(site) }, 10_000)
       .then(() => {
         answered = sim.now;
       });
@@ -208,7 +211,7 @@
     `${size} nodes (${machines.disks.length} disks): ${(total.n / size / 10).toFixed(1)} requests between peers and ${(total.bytes / size / 10 / 1024).toFixed(1)} KiB per node and s; configuration in force everywhere ${spreadMs.map((x) => Math.round(x)).join('/')} ms after its answer; frozen machine suspected by the first node after ${Math.round(firstSuspectedMs)} ms, by all after ${Math.round(allSuspectedMs)} ms; its ${lostShards.length} shards served again after ${Math.round(servedMs)} ms; ${otherShardsMoved} other shards moved\n`,
   );
   if (options.methods)
-    for (const [method, t] of [...sim.traffic].sort((x, y) => y[1].bytes - x[1].bytes))
+    for (const [method, t] of [...sim.requestTraffic].sort((x, y) => y[1].bytes - x[1].bytes))
       process.stdout.write(
         `   ${method}: ${(t.n / size / 10).toFixed(2)} requests, ${(t.bytes / size / 10 / 1024).toFixed(2)} KiB per node and s\n`,
       );
--- a/packages/trial/src/sweep.ts
+++ b/packages/trial/src/sweep.ts
@@ -2,11 +2,26 @@
 import { fileURLToPath } from 'node:url';
 import { SCENARIOS } from './faults.js';
 import { recovery } from './oracle.js';
-import { DUNARE, play, SINE_SALOUM, SMALL, type Run, type Scenario, type Site } from './scenario.js';
-import { planOf, pairOf, showPlan, shrink, storm, type Step } from './storm.js';
+import {
+  DUNARE,
+  runScenario,
+  SINE_SALOUM,
+  SMALL,
+  type ScenarioResult,
+  type Scenario,
+  type DeploymentSpec,
+} from './scenario.js';
+import {
+  randomFaults,
+  faultPair,
+  formatFaults,
+  minimizeFaults,
+  scheduleScenario,
+  type ScheduledFault,
+} from './fault-schedule.js';
 import yargs from 'yargs';
 
-const SITES = new Map<string, Site>([SMALL, SINE_SALOUM, DUNARE].map((s) => [s.name, s]));
+const SITES = new Map<string, DeploymentSpec>([SMALL, SINE_SALOUM, DUNARE].map((s) => [s.name, s]));
 
 const options = yargs(process.argv.slice(2))
   .scriptName('sweep')
@@ -52,12 +67,12 @@
 const keep = options.keep?.split(',').map(Number);
 
 /** The scenario that a name stands for, with its faults if they are drawn from the seed. */
-function scenarioOf(name: string, site: string, seed: number): { scenario: Scenario; steps?: Step[] } {
+function scenarioOf(name: string, site: string, seed: number): { scenario: Scenario; steps?: ScheduledFault[] } {
   const fullSite = site === '-' ? undefined : SITES.get(site)!;
   if (name === 'pair' || name === 'storm') {
-    const all = name === 'pair' ? pairOf(seed) : planOf(seed, options.storm ?? 4);
+    const all = name === 'pair' ? faultPair(seed) : randomFaults(seed, options.storm ?? 4);
     const steps = all.filter((_, i) => !keep || keep.includes(i));
-    return { scenario: storm(steps, fullSite), steps };
+    return { scenario: scheduleScenario(steps, fullSite), steps };
   }
   const scenario = SCENARIOS.get(name)!;
   return {
@@ -69,12 +84,12 @@
 async function runOne(name: string, site: string, seed: number): Promise<boolean> {
   const { scenario, steps } = scenarioOf(name, site, seed);
   const label = `${site === '-' ? '' : `${site} `}${name} seed ${seed}`;
-  let run: Run;
+  let run: ScenarioResult;
   try {
-    run = await play(seed, scenario);
+    run = await runScenario(seed, scenario);
   } catch (e) {
     process.stdout.write(
-      `${label}: ${steps ? `${showPlan(steps)}: ` : ''}the run itself failed: ${e instanceof Error ? e.message : String(e)}\n`,
+      `${label}: ${steps ? `${formatFaults(steps)}: ` : ''}the run itself failed: ${e instanceof Error ? e.message : String(e)}\n`,
     );
     return false;
   }
@@ -88,8 +103,8 @@
   let out = `${label}: ${accepted}/${countOf('pub.try')} accepted, ${countOf('deliver')} delivered, ${countOf('conn.open')} conns, ${run.sim.events} events, accept p50/p99 ${quantile(latencies, 0.5)}/${quantile(latencies, 0.99)} ms, `;
   if (recovered)
     out += `back after ${recovered.accepted.quarterMs}/${recovered.accepted.mostMs} accepted and ${recovered.delivered.quarterMs}/${recovered.delivered.mostMs} delivered ms, `;
-  out += `${run.bad.length} violations\n`;
-  if (steps && (options.notes || run.bad.length)) out += `   ${showPlan(steps)}\n`;
+  out += `${run.violations.length} violations\n`;
+  if (steps && (options.notes || run.violations.length)) out += `   ${formatFaults(steps)}\n`;
   if (options.notes) for (const x of run.notes) out += `   ${x}\n`;
   if (options.counters)
     out += `   ${[...run.counters]
@@ -98,23 +113,24 @@
       .map(([k, v]) => `${k} ${v}`)
       .join(', ')}\n`;
   const rules = new Map<string, number>();
-  for (const v of run.bad) rules.set(v.rule, (rules.get(v.rule) ?? 0) + 1);
-  if (run.bad.length) out += `   BAD ${[...rules].map(([k, v]) => `${k} ${v}`).join(', ')}\n`;
-  for (const v of run.bad.slice(0, 8)) out += `   ${v.rule} at ${v.t}: ${v.what}\n`;
-  if (run.bad.length && options.lines) out += run.sim.lines.slice(-options.lines).join('\n') + '\n';
+  for (const v of run.violations) rules.set(v.rule, (rules.get(v.rule) ?? 0) + 1);
+  if (run.violations.length) out += `   BAD ${[...rules].map(([k, v]) => `${k} ${v}`).join(', ')}\n`;
+  for (const v of run.violations.slice(0, 8)) out += `   ${v.rule} at ${v.t}: ${v.what}\n`;
+  if (run.violations.length && options.lines) out += run.sim.lines.slice(-options.lines).join('\n') + '\n';
   process.stdout.write(out);
-  if (run.bad.length && steps && options.shrink) {
-    const fewest = await shrink(
+  if (run.violations.length && steps && options.shrink) {
+    const fewest = await minimizeFaults(
       steps,
-      async (subset) => (await play(seed, storm(subset, SITES.get(site)))).bad.map((v) => v.rule),
-      run.bad[0]!.rule,
+      async (subset) =>
+        (await runScenario(seed, scheduleScenario(subset, SITES.get(site)))).violations.map((v) => v.rule),
+      run.violations[0]!.rule,
     );
     const ids = fewest.map((s) => steps.indexOf(s)).join(',');
     process.stdout.write(
-      `   fewest: ${showPlan(fewest)}\n   again: npm run sweep -- --${name === 'pair' ? 'pairs' : `storm ${steps.length}`} --keep ${ids}${site === '-' ? '' : ` --site ${site}`} --from ${seed} --seeds 1\n`,
+      `   fewest: ${formatFaults(fewest)}\n   again: npm run sweep -- --${name === 'pair' ? 'pairs' : `storm ${steps.length}`} --keep ${ids}${site === '-' ? '' : ` --site ${site}`} --from ${seed} --seeds 1\n`,
     );
   }
-  return run.bad.length === 0;
+  return run.violations.length === 0;
 }
 
 if (options.run !== undefined) {
--- a/packages/trial/src/trouble/day.ts
+++ b/packages/trial/src/trouble/day.ts
@@ -1,7 +1,7 @@
 /** A day of drawn troubles in the simulator, on the shape of a deployment. */
-import { play, weakSets, type Run, type Scenario, type Stage } from '../scenario.js';
-import { Marker } from '../actors.js';
-import { seeded } from '../sim.js';
+import { runScenario, weakReplicaSets, type ScenarioResult, type Scenario, type ScenarioContext } from '../scenario.js';
+import { MarkerChecker } from '../simulated-clients.js';
+import { seededRandom } from '../sim.js';
 import type { Deployment } from './deployment.js';
 import { siteOf } from './deployment.js';
 import { playOf } from './kinds.js';
@@ -36,7 +36,7 @@
   const site = siteOf(deployment);
   return {
     site,
-    forMs: DAY_MS,
+    faultPhaseMs: DAY_MS,
     opts: { files: true, delayMs: [0.5, 4], log },
     bounds: { wayMs: WAY_MS, timed: true, inForceMs: deployment.applyMs },
     machines: async (sim) => {
@@ -48,7 +48,7 @@
       return { stores: nodes('store'), relays, disks: machines.counted().map((m) => m.main) };
     },
     first: (stage) => {
-      parts.orders = new Orders(stage.world, parts.machines!, site);
+      parts.orders = new Orders(stage.clientContext, parts.machines!, site);
       // The day reads the newest configuration at its end; the platform's operator does so at a core machine.
       stage.crowd.operator = parts.orders.operator;
       return parts.orders.change();
@@ -58,7 +58,7 @@
 }
 
 async function playTroubles(
-  stage: Stage,
+  stage: ScenarioContext,
   machines: Machines,
   orders: Orders,
   troubles: readonly Trouble[],
@@ -69,7 +69,7 @@
     machines,
     orders,
     tolerance: new Tolerance(machines.sim.clock, losses, syncMs, () => {
-      const { broken, thin } = weakSets(machines.sim, losses);
+      const { broken, thin } = weakReplicaSets(machines.sim, losses);
       if (broken.length) stage.note(`without a majority already: ${broken.join(', ')}`);
       else if (thin.length) stage.note(`do not bear the declared losses yet: ${thin.join(', ')}`);
     }),
@@ -78,7 +78,7 @@
   await Promise.all(
     troubles.map(async (trouble) => {
       await pause(s, trouble.at);
-      await playOf(trouble.kind)(s, trouble, seeded(trouble.pick));
+      await playOf(trouble.kind)(s, trouble, seededRandom(trouble.pick));
     }),
   );
   while (s.tolerance.count() > 0) await pause(s, 500);
@@ -92,20 +92,20 @@
 
 /** After the last trouble every set has its majority again, bears the next loss, and clients are served. */
 function judgeWhole(s: TroubleStage): void {
-  const { broken, thin } = weakSets(s.machines.sim, s.machines.deployment.losses);
-  if (broken.length) s.stage.wrong('lost', `no majority is left of ${broken.join(', ')}`);
-  else if (thin.length) s.stage.wrong('lost', `the next loss would end the majority of ${thin.join(', ')}`);
-  const { seen } = s.stage.world.journal;
+  const { broken, thin } = weakReplicaSets(s.machines.sim, s.machines.deployment.losses);
+  if (broken.length) s.stage.reportViolation('lost', `no majority is left of ${broken.join(', ')}`);
+  else if (thin.length) s.stage.reportViolation('lost', `the next loss would end the majority of ${thin.join(', ')}`);
+  const { seen } = s.stage.clientContext.journal;
   const since = s.machines.sim.now - SERVED_MS;
   const answers = seen.filter((x) => x.k === 'pub.answer' && x.t > since && !x.topic.startsWith('mark/'));
   const accepted = answers.filter((x) => x.k === 'pub.answer' && x.out === 'accepted').length;
   if (accepted < answers.length * SERVED_SHARE || !accepted)
-    s.stage.wrong('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
+    s.stage.reportViolation('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
 }
 
 /** Asks every relay which configuration it serves by, all day. */
-function watchMarkers(stage: Stage, orders: Orders): { stop(): void } {
-  const marker = new Marker(stage.world, MARKER_MS);
+function watchMarkers(stage: ScenarioContext, orders: Orders): { stop(): void } {
+  const marker = new MarkerChecker(stage.clientContext, MARKER_MS);
   marker.start(stage.relays.map((n) => n.config.client));
   let on = true;
   const follow = (): void => {
@@ -126,6 +126,6 @@
  * @example
  * const run = await playDay(7, DEPLOYMENTS.get('sss-control')!, drawSchedule(7, 6));
  */
-export function playDay(seed: number, deployment: Deployment, troubles: readonly Trouble[], log = false): Promise<Run> {
-  return play(seed, dayOf(deployment, troubles, log));
+export function playDay(seed: number, deployment: Deployment, troubles: readonly Trouble[], log = false): Promise<ScenarioResult> {
+  return runScenario(seed, dayOf(deployment, troubles, log));
 }
--- a/packages/trial/src/trouble/deployment.ts
+++ b/packages/trial/src/trouble/deployment.ts
@@ -1,5 +1,5 @@
 /** The shapes of the deployments under test, with the platform's timers, scaled down in their clients. */
-import type { Site } from '../scenario.js';
+import type { DeploymentSpec } from '../scenario.js';
 
 /** A deployment: which machines there are, what may be lost at once, and the platform's figures. */
 export interface Deployment {
@@ -84,7 +84,7 @@
 export const lightOf = (d: Deployment): Deployment => ({ ...d, accessCount: 1, consumers: 6 });
 
 /** Topics and rates of a day: as many as a small fleet shows its faults with. */
-export function siteOf(d: Deployment): Site {
+export function siteOf(d: Deployment): DeploymentSpec {
   return {
     name: d.name,
     domains: d.zones,
@@ -93,8 +93,8 @@
     stores: d.storeCount,
     consumers: d.consumers,
     families: [
-      { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', perS: 14, memoryS: 35, patienceMs: 3_000 },
-      { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', perS: 6, memoryS: 25, patienceMs: 2_000 },
+      { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', messagesPerS: 14, memoryS: 35, patienceMs: 3_000 },
+      { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', messagesPerS: 6, memoryS: 25, patienceMs: 2_000 },
     ],
   };
 }
--- a/packages/trial/src/trouble/loss-kinds.ts
+++ b/packages/trial/src/trouble/loss-kinds.ts
@@ -102,7 +102,7 @@
     if (trouble.how.includes('kill_all')) s.machines.kill(m);
     else s.machines.powerOff(m);
   }
-  s.stage.world.journal.add({ k: 'closing' });
+  s.stage.clientContext.journal.add({ k: 'closing' });
   await bringBack(s, [...dark, ...(victims?.machines ?? [])], trouble.forMs);
   await pause(s, RECOVERY_MS);
   victims?.back();
--- a/packages/trial/src/trouble/machine-kinds.ts
+++ b/packages/trial/src/trouble/machine-kinds.ts
@@ -57,9 +57,9 @@
   if (!victims) return;
   note(s, 'slow', victims.machines);
   const nodes = victims.machines.flatMap((m) => m.nodes);
-  for (const n of nodes) n.slowMs = SLOW_STEP_MS;
+  for (const n of nodes) n.maxExtraDelayMs = SLOW_STEP_MS;
   await pause(s, trouble.forMs);
-  for (const n of nodes) n.slowMs = 0;
+  for (const n of nodes) n.maxExtraDelayMs = 0;
   note(s, 'quick again', victims.machines);
   victims.back();
 };
@@ -106,9 +106,9 @@
   const nodes = randomSample(random, s.machines.of(trouble.on), trouble.count).flatMap((m) => m.nodes);
   const by = trouble.how.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
   s.stage.note(`the time of day jumps by ${by} ms on ${nodes.map((n) => n.name).join(' ')}`);
-  for (const n of nodes) n.stepMs += by;
+  for (const n of nodes) n.wallStepMs += by;
   await pause(s, trouble.forMs);
-  for (const n of nodes) n.stepMs -= by;
+  for (const n of nodes) n.wallStepMs -= by;
 };
 
 const addNodes: Play = async (s, trouble) => {
--- a/packages/trial/src/trouble/machines.ts
+++ b/packages/trial/src/trouble/machines.ts
@@ -219,7 +219,7 @@
       this.lists.push({ at: this.sim.now, core });
       for (const m of this.all)
         for (const n of m.nodes) {
-          if (n.up || m.held || m.removed || !n.life) {
+          if (n.up || m.held || m.removed || !n.incarnation) {
             endedAt.delete(n);
             continue;
           }
--- a/packages/trial/src/trouble/network-kinds.ts
+++ b/packages/trial/src/trouble/network-kinds.ts
@@ -82,10 +82,10 @@
   const until = clock.now() + trouble.forMs;
   const nodes = victims.machines.map((m) => m.main);
   for (let left = trouble.forMs; left > 0; left = until - clock.now()) {
-    for (const n of nodes) n.stallMs = [left, left];
+    for (const n of nodes) n.syncStallMs = [left, left];
     await pause(s, Math.min(left, 50));
   }
-  for (const n of nodes) n.stallMs = undefined;
+  for (const n of nodes) n.syncStallMs = undefined;
   victims.back();
 };
 
--- a/packages/trial/src/trouble/schedule.ts
+++ b/packages/trial/src/trouble/schedule.ts
@@ -1,5 +1,5 @@
 /** A day's troubles: drawn from a seed, shown, and read back to be replayed. */
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 /** Which machines a trouble strikes. */
 export const CLASSES = ['core', 'store', 'access'] as const;
@@ -150,7 +150,7 @@
  * drawSchedule(7, 6)
  */
 export function drawSchedule(seed: number, count: number, only?: readonly KindName[]): Trouble[] {
-  const random = seeded(seed ^ 0x7d0b1e);
+  const random = seededRandom(seed ^ 0x7d0b1e);
   const names = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
   const out = Array.from({ length: count }, () => drawTrouble(oneOf(random, names), DAY_MS * random.next(), random));
   if (random.next() < CLOSING_SHARE) out.push(drawTrouble('closing', DAY_MS, random));
--- a/packages/trial/src/trouble/stage.ts
+++ b/packages/trial/src/trouble/stage.ts
@@ -1,6 +1,6 @@
 /** What a trouble has at hand while it is played. */
 import { randomSample, sleep, type RandomSource } from '@harecross/kernel';
-import type { Stage } from '../scenario.js';
+import type { ScenarioContext } from '../scenario.js';
 import type { Machine, Machines } from './machines.js';
 import type { Orders } from './orders.js';
 import type { MachineClass, Trouble } from './schedule.js';
@@ -8,7 +8,7 @@
 
 /** The stage of a day with drawn troubles. */
 export interface TroubleStage {
-  stage: Stage;
+  stage: ScenarioContext;
   machines: Machines;
   orders: Orders;
   tolerance: Tolerance;
@@ -45,7 +45,7 @@
 
 /** Resolves at the next work of a client that is accepted, with the machine that stored it; or after a while without one. */
 export async function nextWork(s: TroubleStage, on: MachineClass, random: RandomSource): Promise<Machine | undefined> {
-  const { seen } = s.stage.world.journal;
+  const { seen } = s.stage.clientContext.journal;
   const from = seen.length;
   const accepted = (): boolean => seen.slice(from).some((x) => x.k === 'pub.answer' && x.out === 'accepted');
   for (let i = 0; i < WORK_LOOKS && !accepted(); i++) await pause(s, WORK_LOOK_MS);
