--- a/packages/harecross/src/diff.ts
+++ b/packages/harecross/src/config-diff.ts
@@ -6,7 +6,7 @@
  * @example
  * diffConfig(current, { families: [...current.families, news] }); // ['+ news/* (news)']
  */
-export function diff(current: FleetConfig, next: FleetConfig): string[] {
+export function diffConfig(current: FleetConfig, next: FleetConfig): string[] {
   const settings = (f: Family): string => {
     const fields = (Object.keys(f) as (keyof Family)[]).filter((field) => field !== 'topics').sort();
     return JSON.stringify(Object.fromEntries(fields.map((field) => [field, f[field]])));
--- a/packages/harecross/src/caller.ts
+++ b/packages/harecross/src/fleet-client.ts
@@ -20,7 +20,7 @@
 ]);
 
 /** Fields of an error body that the command line tool prints. All but `tag` occur only with some tags. */
-export interface FaultFields {
+export interface ErrorFields {
   tag?: string;
   step?: string;
   peer?: string;
@@ -31,14 +31,14 @@
 }
 
 /** HTTP response of a node. The body is the method's result if the status is 200, otherwise an error. */
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   body: unknown;
 }
 
 /** I/O and time that a call depends on; tests replace them. */
-export interface Surroundings {
-  post(client: string, method: string, body: unknown, timeoutMs: number): Promise<HttpAnswer>;
+export interface CallEnvironment {
+  post(client: string, method: string, body: unknown, timeoutMs: number): Promise<HttpResponse>;
   now(): number;
   pause(ms: number): Promise<void>;
 }
@@ -49,15 +49,15 @@
   method: Method;
   body: unknown;
   /** Timeout of one attempt, in ms. */
-  limitMs: number;
+  timeoutMs: number;
   /** How long to retry while no node serves the request, in ms. */
-  waitMs: number;
+  retryForMs: number;
 }
 
 /** `unclear`: the request may have been executed. Check its effect before sending it again. */
 export type Outcome =
   | { tag: 'done'; body: unknown }
-  | { tag: 'rejected'; status: number; error: FaultFields }
+  | { tag: 'rejected'; status: number; error: ErrorFields }
   | { tag: 'no_answer'; last: string }
   | { tag: 'unclear'; last: string };
 
@@ -74,7 +74,7 @@
  * @example
  * await post('127.0.0.1:7001', 'Fleet', {}, 3_000); // { status: 200, body: { ... } }
  */
-export async function post(client: string, method: string, body: unknown, timeoutMs: number): Promise<HttpAnswer> {
+export async function post(client: string, method: string, body: unknown, timeoutMs: number): Promise<HttpResponse> {
   const response = await request(`http://${client}/rpc/${method}`, {
     method: 'POST',
     headers: { 'content-type': 'application/json' },
@@ -94,23 +94,23 @@
  * @example
  * await callFleet(env, { at, method: 'ReadConfig', body: {}, timeoutMs: 10_000, retryForMs: 10_000 });
  */
-export async function callFleet(env: Surroundings, call: FleetCall): Promise<Outcome> {
+export async function callFleet(env: CallEnvironment, call: FleetCall): Promise<Outcome> {
   const repeatable = mayRepeat(Rpcs[call.method].repeatable, call.body);
-  const deadline = env.now() + call.waitMs;
+  const deadline = env.now() + call.retryForMs;
   let last = 'no address given';
   for (;;) {
     let delayMs = RETRY_DELAY_MS;
     for (const client of call.at) {
-      let response: HttpAnswer;
+      let response: HttpResponse;
       try {
-        response = await env.post(client, call.method, call.body, call.limitMs);
+        response = await env.post(client, call.method, call.body, call.timeoutMs);
       } catch (e) {
         last = `${client}: ${e instanceof Error ? e.message : String(e)}`;
         if (!repeatable && !isConnectError(e)) return { tag: 'unclear', last };
         continue;
       }
       if (response.status === 200) return { tag: 'done', body: response.body };
-      const error = (response.body as { error?: FaultFields } | undefined)?.error ?? {};
+      const error = (response.body as { error?: ErrorFields } | undefined)?.error ?? {};
       if (response.status !== 503) return { tag: 'rejected', status: response.status, error };
       last = `${client}: ${error.tag ?? response.status}`;
       if (!repeatable && !NOT_EXECUTED_TAGS.has(error.tag ?? '')) return { tag: 'unclear', last };
--- a/packages/harecross/src/view.ts
+++ b/packages/harecross/src/fleet-view.ts
@@ -2,17 +2,17 @@
 import type { Row } from './query.js';
 
 /** Sends one RPC to a node; undefined if there was no answer. */
-export type Ask = <M extends Method>(client: string, method: M, body: Visit<M>) => Promise<Answer<M> | undefined>;
+export type CallNode = <M extends Method>(client: string, method: M, body: Visit<M>) => Promise<Answer<M> | undefined>;
 
 /** State of the whole fleet as tables, and the nodes that did not answer. */
-export interface View {
+export interface FleetView {
   /** Peer address of the node whose view of the membership is shown. */
   at: string;
   tables: Map<string, Row[]>;
   /** Peer addresses of the nodes that did not answer. */
   silent: string[];
   /** Number of nodes that were queried. */
-  asked: number;
+  queriedNodes: number;
   tookMs: number;
 }
 
@@ -37,7 +37,7 @@
  * @example
  * const view = await fetchFleetView(['10.0.0.4:7000'], callNode, Date.now);
  */
-export async function look(addresses: string[], callNode: Ask, now: () => number): Promise<View | undefined> {
+export async function fetchFleetView(addresses: string[], callNode: CallNode, now: () => number): Promise<FleetView | undefined> {
   const startedAt = now();
   let fleet: Answer<'Fleet'> | undefined;
   for (const address of addresses) {
@@ -134,7 +134,7 @@
     at: fleet.at,
     tables,
     silent: present.filter((_, i) => nodes[i] === undefined).map((m) => m.peer),
-    asked: present.length,
+    queriedNodes: present.length,
     tookMs: Math.round(now() - startedAt),
   };
 }
@@ -144,10 +144,10 @@
  * @example
  * describeCompleteness(view); // 'from 15 of 15 nodes in 21 ms; membership as seen by 10.0.0.4:7100, live members last heard from at most 180 ms ago'
  */
-export function trust(view: View): string {
+export function describeCompleteness(view: FleetView): string {
   const oldestMs = Math.max(
     0,
     ...(view.tables.get('members') ?? []).filter((m) => m.get('state') === 'live').map((m) => Number(m.get('ageMs'))),
   );
-  return `from ${view.asked - view.silent.length} of ${view.asked} nodes in ${view.tookMs} ms; membership as seen by ${view.at}, live members last heard from at most ${oldestMs} ms ago${view.silent.length ? `; NO ANSWER from ${view.silent.join(', ')}` : ''}`;
+  return `from ${view.queriedNodes - view.silent.length} of ${view.queriedNodes} nodes in ${view.tookMs} ms; membership as seen by ${view.at}, live members last heard from at most ${oldestMs} ms ago${view.silent.length ? `; NO ANSWER from ${view.silent.join(', ')}` : ''}`;
 }
--- a/packages/harecross/src/main.ts
+++ b/packages/harecross/src/main.ts
@@ -4,11 +4,11 @@
 import { configFaults, type Answer, type FleetConfig, type Method, type Visit } from '@harecross/schema';
 import { createInterface } from 'node:readline/promises';
 import yargs from 'yargs';
-import { callFleet, newChangeId, post } from './caller.js';
-import { diff } from './diff.js';
-import { place, planFaults, type Constraints } from './place.js';
-import { answer, parse, table, type Row } from './query.js';
-import { look, TABLES, trust, type View } from './view.js';
+import { callFleet, newChangeId, post } from './fleet-client.js';
+import { diffConfig } from './config-diff.js';
+import { solvePlacement, findPlanViolations, type Constraints } from './placement-solver.js';
+import { runQuery, parseQuery, formatTable, type Row } from './query.js';
+import { fetchFleetView, TABLES, describeCompleteness, type FleetView } from './fleet-view.js';
 
 // Exit codes: 0 success, 1 rejected by the fleet or not possible, 2 usage error, 3 no answer or outcome unknown.
 
@@ -31,7 +31,7 @@
 ): Promise<Answer<M>> {
   const outcome = await callFleet(
     { post, now: () => performance.now(), pause: (ms) => new Promise((resolve) => setTimeout(resolve, ms)) },
-    { at: addresses, method, body, limitMs: timeoutMs, waitMs: waitS * 1000 },
+    { at: addresses, method, body, timeoutMs: timeoutMs, retryForMs: waitS * 1000 },
   );
   switch (outcome.tag) {
     case 'done':
@@ -75,7 +75,7 @@
 
 /** Runs one query or `fields TABLE` and prints the result; false if the line is invalid. */
 async function runLine(addresses: string[], line: string, json: boolean): Promise<boolean> {
-  const parsed = parse(line.startsWith('fields ') ? line.slice(7) : line);
+  const parsed = parseQuery(line.startsWith('fields ') ? line.slice(7) : line);
   if (parsed.tag === 'wrong') {
     process.stderr.write(`${parsed.why}\n`);
     return false;
@@ -84,9 +84,9 @@
     process.stderr.write(`no table '${parsed.query.table}'; tables: ${TABLES.join(', ')}\n`);
     return false;
   }
-  const view: View | undefined = await look(addresses, tryRpc, () => performance.now());
+  const view: FleetView | undefined = await fetchFleetView(addresses, tryRpc, () => performance.now());
   if (!view) return fail(3, `no answer from ${addresses.join(', ')}`);
-  const result = answer(parsed.query, view.tables.get(parsed.query.table)!);
+  const result = runQuery(parsed.query, view.tables.get(parsed.query.table)!);
   if (result.tag === 'wrong') {
     process.stderr.write(`${result.why}\n`);
     return false;
@@ -96,8 +96,12 @@
     return true;
   }
   const toObject = (row: Row): object => Object.fromEntries(result.fields.map((f) => [f, row.get(f)]));
-  if (json) printJson({ rows: result.rows.map(toObject), nodes: view.asked, silent: view.silent, tookMs: view.tookMs });
-  else process.stdout.write(`${table(result.fields, result.rows)}${result.rows.length} rows, ${trust(view)}\n`);
+  if (json)
+    printJson({ rows: result.rows.map(toObject), nodes: view.queriedNodes, silent: view.silent, tookMs: view.tookMs });
+  else
+    process.stdout.write(
+      `${formatTable(result.fields, result.rows)}${result.rows.length} rows, ${describeCompleteness(view)}\n`,
+    );
   return true;
 }
 
@@ -152,7 +156,7 @@
         const revision = current.revision === undefined ? '' : `, revision ${current.revision}`;
         if (a.revision !== undefined && a.revision <= (current.revision ?? -1))
           process.stdout.write(`revision ${a.revision} is not higher than the one in force and would have no effect\n`);
-        else for (const line of diff(current.config as FleetConfig, config)) process.stdout.write(`${line}\n`);
+        else for (const line of diffConfig(current.config as FleetConfig, config)) process.stdout.write(`${line}\n`);
         process.stdout.write(`compared with version ${current.version}${revision}; nothing was changed\n`);
         return;
       }
@@ -299,7 +303,7 @@
         fleet.keys.map((k) => [k.shard, k.copies.map((d: string) => peerOfDisk.get(d) ?? d)]),
       );
       const constraints = readJson(a.file);
-      const result = place(constraints, disks, current);
+      const result = solvePlacement(constraints, disks, current);
       switch (result.tag) {
         case 'wrong':
           for (const f of result.faults) process.stderr.write(`  ${f}\n`);
@@ -311,7 +315,7 @@
             'no placement satisfies all of the constraints above; removing any one of them resolves this conflict',
           );
         case 'plan': {
-          const violations = planFaults(constraints as Constraints, disks, result.plan.placement);
+          const violations = findPlanViolations(constraints as Constraints, disks, result.plan.placement);
           if (violations.length) return fail(1, `the solver returned an invalid plan: ${violations[0]}`);
           const countCopies = (copies: Iterable<string[]>, peer: string): number =>
             [...copies].filter((peers) => peers.includes(peer)).length;
@@ -330,7 +334,7 @@
                 ],
               ]),
           );
-          process.stdout.write(table(['machine', 'domain', 'copies now', 'planned'], rows));
+          process.stdout.write(formatTable(['machine', 'domain', 'copies now', 'planned'], rows));
           for (const p of result.plan.placement) {
             const old = current.get(p.shard) ?? [];
             const [added, removed] = [p.nodes.filter((x) => !old.includes(x)), old.filter((x) => !p.nodes.includes(x))];
--- a/packages/harecross/src/place.ts
+++ b/packages/harecross/src/placement-solver.ts
@@ -34,14 +34,14 @@
   peer: string;
   domain: string;
 }
-export interface Plan {
+export interface PlacementPlan {
   placement: Placed[];
   /** Number of copies that the plan puts on a machine where they are not now. */
   moved: number;
 }
 /** `between`: the constraints that cannot be satisfied together, as text. */
-export type Solved =
-  { tag: 'plan'; plan: Plan } | { tag: 'conflict'; between: string[] } | { tag: 'wrong'; faults: string[] };
+export type PlacementResult =
+  { tag: 'plan'; plan: PlacementPlan } | { tag: 'conflict'; between: string[] } | { tag: 'wrong'; faults: string[] };
 
 type ShardSelector = { shards?: number[]; topics?: string[] };
 const shardsOf = (selector: ShardSelector): number[] =>
@@ -114,7 +114,7 @@
   constraints: SolverConstraint[],
   disks: Disk[],
   current: Map<number, string[]>,
-): Plan | undefined {
+): PlacementPlan | undefined {
   const variables = new Map<string, Map<string, number>>();
   for (let s = 0; s < SHARD.shardCount; s++)
     for (const d of disks)
@@ -148,7 +148,7 @@
  * @example
  * solvePlacement({ copies: 3, perDomain: 1 }, disks, current); // { tag: 'plan', plan: { placement, moved } }
  */
-export function place(input: unknown, disks: Disk[], current: Map<number, string[]>): Solved {
+export function solvePlacement(input: unknown, disks: Disk[], current: Map<number, string[]>): PlacementResult {
   if (!constraintsValidator.Check(input))
     return {
       tag: 'wrong',
@@ -188,7 +188,7 @@
  * @example
  * findPlanViolations(constraints, disks, plan.placement); // []
  */
-export function planFaults(c: Constraints, disks: Disk[], placement: Placed[]): string[] {
+export function findPlanViolations(c: Constraints, disks: Disk[], placement: Placed[]): string[] {
   const violations: string[] = [];
   const domainOf = new Map(disks.map((d) => [d.peer, d.domain]));
   const copiesOn = new Map<string, number>();
--- a/packages/harecross/src/query.ts
+++ b/packages/harecross/src/query.ts
@@ -11,7 +11,7 @@
   limit: number;
 }
 
-export type Parsed = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
+export type ParseResult = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
 
 const OPS: Op[] = ['<=', '>=', '!=', '=', '<', '>', '~'];
 const KEYWORDS = new Set(['where', 'and', 'sort', 'show', 'limit']);
@@ -29,8 +29,8 @@
  * @example
  * parseQuery('keys where behind > 0 sort shard'); // { tag: 'query', query: { table: 'keys', ... } }
  */
-export function parse(line: string): Parsed {
-  const wrong = (why: string): Parsed => ({ tag: 'wrong', why });
+export function parseQuery(line: string): ParseResult {
+  const wrong = (why: string): ParseResult => ({ tag: 'wrong', why });
   const tokens = tokenize(line.replaceAll(',', ' '));
   const table = tokens.shift();
   if (!table) return wrong('name a table');
@@ -101,14 +101,14 @@
   }
 }
 
-export type Answered = { tag: 'rows'; fields: string[]; rows: Row[] } | { tag: 'wrong'; why: string };
+export type QueryResult = { tag: 'rows'; fields: string[]; rows: Row[] } | { tag: 'wrong'; why: string };
 
 /**
  * Runs a query on the rows of its table.
  * @example
  * runQuery(query, [new Map([['shard', 1]])]); // { tag: 'rows', fields: ['shard'], rows: [...] }
  */
-export function answer(query: Query, rows: Row[]): Answered {
+export function runQuery(query: Query, rows: Row[]): QueryResult {
   const fields = [...new Set(rows.flatMap((r) => [...r.keys()]))];
   const unknown = [...query.where, ...query.sort]
     .map((x) => x.field)
@@ -134,7 +134,7 @@
  * @example
  * formatTable(['a'], [new Map([['a', 1]])]); // 'a\n1\n'
  */
-export function table(fields: string[], rows: Row[]): string {
+export function formatTable(fields: string[], rows: Row[]): string {
   const format = (cell: Cell): string => (cell === undefined ? '-' : String(cell));
   const widths = fields.map((f) => Math.max(f.length, ...rows.map((r) => format(r.get(f)).length)));
   const line = (xs: string[]): string =>
