--- a/packages/trial/src/oracle.ts
+++ b/packages/trial/src/oracle.ts
@@ -1,46 +1,46 @@
-/** The judge of a day: every rule, by what callers and operators saw and what was done to the fleet. */
+/** Checks the journal of a run against every rule, by what clients and operators saw and which faults the fleet had. */
 import type { Seen } from './journal.js';
-import { counts } from './oracle/counts.js';
-import { gaps, owed, audits } from './oracle/deliveries.js';
-import { nodes, marks } from './oracle/in-force.js';
-import { operators } from './oracle/operators.js';
-import { publishes, removedAccepts } from './oracle/publishes.js';
-import { closing } from './oracle/recovery.js';
-import { subscriptions } from './oracle/subscriptions.js';
-import { waits, holdings } from './oracle/waits.js';
-import { DayRecord } from './oracle/record.js';
+import { checkListenerCounts } from './oracle/counts.js';
+import { checkOffsetOrder, checkCompleteness, checkReadBack } from './oracle/deliveries.js';
+import { checkNodeReports, checkMarkerTopics } from './oracle/in-force.js';
+import { checkOperatorAnswers } from './oracle/operators.js';
+import { checkPublishes, checkRemovedFamilies } from './oracle/publishes.js';
+import { checkRecovery } from './oracle/recovery.js';
+import { checkSubscriptions } from './oracle/subscriptions.js';
+import { checkWaits, checkQueueBounds } from './oracle/waits.js';
+import { RunRecord } from './oracle/record.js';
 import type { Bounds, Violation } from './oracle/rules.js';
 
 export { recovery } from './oracle/recovery.js';
 export { SETTLE_MS } from './oracle/record.js';
 export { RULES, TIMELESS_RULES, type Bounds, type Rule, type Violation } from './oracle/rules.js';
 
-const SIM: Bounds = { wayMs: 250, timed: true, inForceMs: 3_000 };
+const SIMULATOR_LIMITS: Bounds = { wayMs: 250, timed: true, inForceMs: 3_000 };
 
-/** In this order: some fill in what later ones ask for. */
-const CHECKS: readonly ((record: DayRecord) => void)[] = [
-  operators,
-  publishes,
-  nodes,
-  marks,
-  removedAccepts,
-  subscriptions,
-  gaps,
-  owed,
-  audits,
-  counts,
-  waits,
-  holdings,
-  closing,
+/** Order matters: some checks fill in fields of the record that later ones read. */
+const CHECKS: readonly ((record: RunRecord) => void)[] = [
+  checkOperatorAnswers,
+  checkPublishes,
+  checkNodeReports,
+  checkMarkerTopics,
+  checkRemovedFamilies,
+  checkSubscriptions,
+  checkOffsetOrder,
+  checkCompleteness,
+  checkReadBack,
+  checkListenerCounts,
+  checkWaits,
+  checkQueueBounds,
+  checkRecovery,
 ];
 
 /**
- * Judges a journal. It shares no code with what it judges but the meaning of topic patterns.
+ * Returns the violations in a journal. Shares no code with the service under test except the matching of topic patterns.
  * @example
- * const bad = judge(journal.seen); // [] when nothing happened that must never happen
+ * const violations = checkJournal(journal.seen); // [] if no rule was broken
  */
-export function judge(seen: readonly Seen[], bounds: Bounds = SIM): Violation[] {
-  const record = new DayRecord(seen, bounds);
+export function judge(seen: readonly Seen[], bounds: Bounds = SIMULATOR_LIMITS): Violation[] {
+  const record = new RunRecord(seen, bounds);
   for (const check of CHECKS) check(record);
   return record.violations();
 }
--- a/packages/trial/src/oracle/counts.ts
+++ b/packages/trial/src/oracle/counts.ts
@@ -1,37 +1,49 @@
-/** Listener counts: between the least and the most that truly listened. */
-import { push, type DayRecord } from './record.js';
+/** Listener counts: at least the lowest and at most the highest true number of listeners. */
+import { appendTo, type RunRecord } from './record.js';
 
-/** A count may be partial while a node ails, and this long after the last change of the fleet. */
+/** A count may be marked partial while a node is unhealthy, and for this long after the last change of the fleet. */
 const PARTIAL_MS = 12_000;
 
-/** Between the least and the most that truly listened in the last five seconds. */
-export function counts(record: DayRecord): void {
-  // Between asking and the answer a subscription may count or not; so may a conn whose check-ins are getting lost.
+/** Compares each count with the true numbers of listeners in the five seconds before it. */
+export function checkListenerCounts(record: RunRecord): void {
+  // Between the Subscribe and its answer a subscription may be counted or not; likewise one of a session whose keepalives get lost.
   const spans = new Map<string, { conn: string; asked: number; from: number; to: number }[]>();
-  const lost = new Map<string, number[]>();
-  for (const s of record.seen) if (s.k === 'probe.lost') push(lost, s.conn, s.asked);
-  for (const l of record.lines)
-    push(spans, l.topic, { conn: l.conn, asked: l.asked, from: l.okAt, to: l.endAt ?? Infinity });
-  for (const s of record.seen) {
-    if (s.k !== 'count') continue;
-    const sp = spans.get(s.topic) ?? [];
-    // Judged at the moments where the truth can change within the window.
-    const w0 = s.asked - 5_000;
-    const times = [w0, s.t, ...sp.flatMap((x) => [x.asked, x.from, x.to]).filter((t) => t > w0 && t < s.t)];
-    const sure = sp.filter((x) => !lost.get(x.conn)?.some((t) => t > w0 && t < s.t));
-    const lo = Math.min(...times.map((t) => sure.filter((x) => x.from <= t && t < x.to).length));
-    const hi = Math.max(...times.map((t) => sp.filter((x) => x.asked <= t && t < x.to).length));
-    const slack = Math.floor(0.04 * hi);
-    const told = `${s.topic}: told ${s.count}${s.partial ? ' (partial)' : ''}, truth of the last 5 s was ${lo}..${hi}`;
-    if (s.count > hi + slack || (!s.partial && s.count < lo - slack)) record.say('counts', s.t, told);
-    const since = s.asked - record.sky.changedAt(s.asked);
+  const lostProbes = new Map<string, number[]>();
+  for (const event of record.seen) if (event.k === 'probe.lost') appendTo(lostProbes, event.conn, event.asked);
+  for (const subscription of record.lines)
+    appendTo(spans, subscription.topic, {
+      conn: subscription.conn,
+      asked: subscription.requestedAt,
+      from: subscription.acknowledgedAt,
+      to: subscription.endedAt ?? Infinity,
+    });
+  for (const event of record.seen) {
+    if (event.k !== 'count') continue;
+    const topicSpans = spans.get(event.topic) ?? [];
+    // The true number changes only at these times within the window.
+    const windowStart = event.asked - 5_000;
+    const times = [
+      windowStart,
+      event.t,
+      ...topicSpans.flatMap((span) => [span.asked, span.from, span.to]).filter((t) => t > windowStart && t < event.t),
+    ];
+    const reliableSpans = topicSpans.filter(
+      (span) => !lostProbes.get(span.conn)?.some((t) => t > windowStart && t < event.t),
+    );
+    const least = Math.min(...times.map((t) => reliableSpans.filter((span) => span.from <= t && t < span.to).length));
+    const most = Math.max(...times.map((t) => topicSpans.filter((span) => span.asked <= t && t < span.to).length));
+    const slack = Math.floor(0.04 * most);
+    const description = `${event.topic}: told ${event.count}${event.partial ? ' (partial)' : ''}, truth of the last 5 s was ${least}..${most}`;
+    if (event.count > most + slack || (!event.partial && event.count < least - slack))
+      record.report('counts', event.t, description);
+    const since = event.asked - record.fleetConditions.changedAt(event.asked);
     if (
-      s.partial &&
+      event.partial &&
       since < Infinity &&
       since > PARTIAL_MS &&
-      record.sky.calm(s.asked - PARTIAL_MS, s.t) &&
-      !record.sky.ailing(s.asked - PARTIAL_MS, s.t)
+      record.fleetConditions.calm(event.asked - PARTIAL_MS, event.t) &&
+      !record.fleetConditions.ailing(event.asked - PARTIAL_MS, event.t)
     )
-      record.say('counts', s.t, `${told}; nothing changed for ${Math.round(since)} ms`);
+      record.report('counts', event.t, `${description}; nothing changed for ${Math.round(since)} ms`);
   }
 }
--- a/packages/trial/src/oracle/deliveries.ts
+++ b/packages/trial/src/oracle/deliveries.ts
@@ -1,93 +1,125 @@
-/** What each subscription owed: the run of its offsets, what came late, and what auditors read back. */
+/** Deliveries: the sequence of offsets, missing and late messages, and what auditors read back from history. */
 import { isUrgent } from '@harecross/schema';
-import { CALM_MS, SETTLE_MS, idOf, type DayRecord } from './record.js';
+import { CALM_MS, SETTLE_MS, messageId, type RunRecord } from './record.js';
 
-/** From accepted to the listener: while nothing is wrong, by urgency, and after a fault. */
-const REACH_MS = { urgent: 600, routine: 1_200, fault: 8_000 } as const;
+/** Limits on the time from acceptance to delivery: without faults by urgency, and after a fault. */
+const DELIVERY_LIMIT_MS = { urgent: 600, routine: 1_200, fault: 8_000 } as const;
 
-/** The run of offsets on each line. */
-export function gaps(record: DayRecord): void {
-  for (const l of record.lines) {
-    let prev = l.start - 1;
-    let prevAt = l.okAt;
-    const seqs = new Map<string, number>();
-    for (const d of l.got) {
-      const who = `${l.consumer} ${l.topic} offset ${d.offset} after ${prev}`;
-      if (d.offset <= prev)
-        record.say(
-          d.offset === prev || l.got.some((x) => x !== d && x.offset === d.offset) ? 'once' : 'order',
-          d.t,
-          who,
+/** Checks that each subscription receives offsets and sequence numbers in order, without repeats and gaps. */
+export function checkOffsetOrder(record: RunRecord): void {
+  for (const subscription of record.lines) {
+    let lastOffset = subscription.firstOffset - 1;
+    let lastDeliveredAt = subscription.acknowledgedAt;
+    const lastSeqBySender = new Map<string, number>();
+    for (const delivery of subscription.deliveries) {
+      const description = `${subscription.consumer} ${subscription.topic} offset ${delivery.offset} after ${lastOffset}`;
+      if (delivery.offset <= lastOffset)
+        record.report(
+          delivery.offset === lastOffset ||
+            subscription.deliveries.some((other) => other !== delivery && other.offset === delivery.offset)
+            ? 'once'
+            : 'order',
+          delivery.t,
+          description,
         );
-      else if (d.offset > prev + 1) {
-        const between = [...record.accepted(l.topic)].filter((p) => p.offset! > prev && p.offset! < d.offset);
-        const ok = between.length
-          ? between.every((p) => record.excused(l.topic, p.firstTry, prevAt, d.t))
-          : record.away(l.topic).some((w) => w.from <= d.t && prevAt <= w.to);
-        if (!ok) record.say('skipped', d.t, who);
+      else if (delivery.offset > lastOffset + 1) {
+        const between = [...record.accepted(subscription.topic)].filter(
+          (publish) => publish.offset! > lastOffset && publish.offset! < delivery.offset,
+        );
+        const excused = between.length
+          ? between.every((publish) =>
+              record.mayBeMissing(subscription.topic, publish.firstAttemptAt, lastDeliveredAt, delivery.t),
+            )
+          : record
+              .absences(subscription.topic)
+              .some((absence) => absence.from <= delivery.t && lastDeliveredAt <= absence.to);
+        if (!excused) record.report('skipped', delivery.t, description);
       }
-      prev = Math.max(prev, d.offset);
-      prevAt = d.t;
-      const q = seqs.get(d.sender);
-      if (q !== undefined && d.seq <= q)
-        record.say('order', d.t, `${l.consumer} ${l.topic} ${d.sender}#${d.seq} after #${q}`);
-      seqs.set(d.sender, d.seq);
-      if (l.cursor !== undefined) continue;
-      const p = record.pubs.get(idOf(d));
-      if (p?.acceptedAt !== undefined && p.acceptedAt < l.asked) {
-        record.say(
+      lastOffset = Math.max(lastOffset, delivery.offset);
+      lastDeliveredAt = delivery.t;
+      const lastSeq = lastSeqBySender.get(delivery.sender);
+      if (lastSeq !== undefined && delivery.seq <= lastSeq)
+        record.report(
+          'order',
+          delivery.t,
+          `${subscription.consumer} ${subscription.topic} ${delivery.sender}#${delivery.seq} after #${lastSeq}`,
+        );
+      lastSeqBySender.set(delivery.sender, delivery.seq);
+      if (subscription.cursor !== undefined) continue;
+      const publish = record.publishes.get(messageId(delivery));
+      if (publish?.acceptedAt !== undefined && publish.acceptedAt < subscription.requestedAt) {
+        record.report(
           'unasked',
-          d.t,
-          `${l.consumer} asked for ${l.topic} from now on and got offset ${d.offset}, accepted before`,
+          delivery.t,
+          `${subscription.consumer} asked for ${subscription.topic} from now on and got offset ${delivery.offset}, accepted before`,
         );
       }
     }
   }
 }
 
-/** What each line owed: by the end of the day, and in time. */
-export function owed(record: DayRecord): void {
-  for (const l of record.lines) {
-    const at = new Map(l.got.map((d) => [d.offset, d.t]));
-    const last = l.got.at(-1)?.offset ?? l.start - 1;
-    const node = record.nodeOf.get(l.conn) ?? '';
-    for (const p of record.accepted(l.topic)) {
-      const owed = p.offset! >= l.start || p.firstTry > l.okAt;
-      if (!owed || record.excused(l.topic, p.firstTry, l.okAt, l.endAt ?? record.end)) continue;
-      const got = at.get(p.offset!);
-      const what = `${p.sender}#${p.seq}`;
-      if (got === undefined && l.endAt === undefined && p.acceptedAt! <= record.end - SETTLE_MS) {
-        if (p.offset! < l.start)
-          record.say(
+/** Checks that each subscription received all its messages by the end of the run, and in time. */
+export function checkCompleteness(record: RunRecord): void {
+  for (const subscription of record.lines) {
+    const deliveredAt = new Map(subscription.deliveries.map((delivery) => [delivery.offset, delivery.t]));
+    const lastOffset = subscription.deliveries.at(-1)?.offset ?? subscription.firstOffset - 1;
+    const node = record.nodeOfConn.get(subscription.conn) ?? '';
+    for (const publish of record.accepted(subscription.topic)) {
+      const isDue = publish.offset! >= subscription.firstOffset || publish.firstAttemptAt > subscription.acknowledgedAt;
+      if (
+        !isDue ||
+        record.mayBeMissing(
+          subscription.topic,
+          publish.firstAttemptAt,
+          subscription.acknowledgedAt,
+          subscription.endedAt ?? record.end,
+        )
+      )
+        continue;
+      const receivedAt = deliveredAt.get(publish.offset!);
+      const what = `${publish.sender}#${publish.seq}`;
+      if (
+        receivedAt === undefined &&
+        subscription.endedAt === undefined &&
+        publish.acceptedAt! <= record.end - SETTLE_MS
+      ) {
+        if (publish.offset! < subscription.firstOffset)
+          record.report(
             'skipped',
-            p.acceptedAt!,
-            `${l.consumer} ${l.topic} began at ${l.start} but ${what}, published later, is at ${p.offset}`,
+            publish.acceptedAt!,
+            `${subscription.consumer} ${subscription.topic} began at ${subscription.firstOffset} but ${what}, published later, is at ${publish.offset}`,
           );
         else
-          record.say(
-            p.offset! > last ? 'lost' : 'skipped',
-            p.acceptedAt!,
-            `${l.consumer} ${l.topic} never got offset ${p.offset} (${what})`,
+          record.report(
+            publish.offset! > lastOffset ? 'lost' : 'skipped',
+            publish.acceptedAt!,
+            `${subscription.consumer} ${subscription.topic} never got offset ${publish.offset} (${what})`,
           );
         continue;
       }
-      if (!record.bounds.timed || p.offset! < l.start) continue;
-      // In time, to a conn that was well all the while.
-      const from = Math.max(p.acceptedAt!, l.okAt);
+      if (!record.bounds.timed || publish.offset! < subscription.firstOffset) continue;
+      // The time limits apply to sessions whose node and link had no fault meanwhile.
+      const from = Math.max(publish.acceptedAt!, subscription.acknowledgedAt);
       const config = record.configAt(from);
-      const urgent = config !== undefined && isUrgent(config, l.topic);
+      const urgent = config !== undefined && isUrgent(config, subscription.topic);
       for (const [limit, ok] of [
-        [urgent ? REACH_MS.urgent : REACH_MS.routine, (to: number) => record.sky.calm(from - CALM_MS, to)],
-        [REACH_MS.fault, (to: number) => record.sky.well(node, from, to) && record.sky.able(from, to)],
+        [
+          urgent ? DELIVERY_LIMIT_MS.urgent : DELIVERY_LIMIT_MS.routine,
+          (to: number) => record.fleetConditions.calm(from - CALM_MS, to),
+        ],
+        [
+          DELIVERY_LIMIT_MS.fault,
+          (to: number) => record.fleetConditions.well(node, from, to) && record.fleetConditions.able(from, to),
+        ],
       ] as const) {
         const to = from + limit + record.bounds.wayMs;
-        if ((got ?? Infinity) <= to || (l.endAt ?? record.end) <= to || to >= record.end) continue;
-        if (!ok(to) || record.sky.poor(l.consumer, from, to)) continue;
-        const how = got === undefined ? 'not at all' : `after ${Math.round(got - from)} ms`;
-        record.say(
+        if ((receivedAt ?? Infinity) <= to || (subscription.endedAt ?? record.end) <= to || to >= record.end) continue;
+        if (!ok(to) || record.fleetConditions.poor(subscription.consumer, from, to)) continue;
+        const how = receivedAt === undefined ? 'not at all' : `after ${Math.round(receivedAt - from)} ms`;
+        record.report(
           'late',
           from,
-          `${l.consumer} ${l.topic} offset ${p.offset} (${what}) came ${how}, ${limit} ms are allowed`,
+          `${subscription.consumer} ${subscription.topic} offset ${publish.offset} (${what}) came ${how}, ${limit} ms are allowed`,
         );
         break;
       }
@@ -95,32 +127,34 @@
   }
 }
 
-/** Auditors read back, with a cursor, what was accepted and is within memory, also where nobody listened. */
-export function audits(record: DayRecord): void {
-  const got = new Map<string, Set<number>>();
-  for (const s of record.seen) {
-    if (s.k !== 'deliver') continue;
-    const key = `${s.consumer}\n${s.topic}`;
-    const l = got.get(key) ?? new Set<number>();
-    l.add(s.offset);
-    got.set(key, l);
+/** Checks that auditors, which subscribe with a cursor, read back all accepted messages within the retention time, also of topics without listeners. */
+export function checkReadBack(record: RunRecord): void {
+  const receivedOffsets = new Map<string, Set<number>>();
+  for (const event of record.seen) {
+    if (event.k !== 'deliver') continue;
+    const key = `${event.consumer}\n${event.topic}`;
+    const offsets = receivedOffsets.get(key) ?? new Set<number>();
+    offsets.add(event.offset);
+    receivedOffsets.set(key, offsets);
   }
-  for (const s of record.seen) {
-    if (s.k !== 'audit') continue;
-    const end = record.seen.find((x) => x.k === 'audit.end' && x.consumer === s.consumer && x.t >= s.t)?.t;
-    const have = got.get(`${s.consumer}\n${s.topic}`);
-    for (const p of record.accepted(s.topic)) {
+  for (const event of record.seen) {
+    if (event.k !== 'audit') continue;
+    const end = record.seen.find(
+      (other) => other.k === 'audit.end' && other.consumer === event.consumer && other.t >= event.t,
+    )?.t;
+    const received = receivedOffsets.get(`${event.consumer}\n${event.topic}`);
+    for (const publish of record.accepted(event.topic)) {
       if (
-        p.offset! <= s.cursor ||
-        p.acceptedAt! > s.t ||
-        have?.has(p.offset!) ||
-        record.excused(s.topic, p.firstTry, 0, end ?? record.end)
+        publish.offset! <= event.cursor ||
+        publish.acceptedAt! > event.t ||
+        received?.has(publish.offset!) ||
+        record.mayBeMissing(event.topic, publish.firstAttemptAt, 0, end ?? record.end)
       )
         continue;
-      record.say(
+      record.report(
         'lost',
-        s.t,
-        `${s.consumer} read back ${s.topic} behind ${s.cursor} and had no offset ${p.offset} (${p.sender}#${p.seq})`,
+        event.t,
+        `${event.consumer} read back ${event.topic} behind ${event.cursor} and had no offset ${publish.offset} (${publish.sender}#${publish.seq})`,
       );
     }
   }
--- a/packages/trial/src/oracle/in-force.ts
+++ b/packages/trial/src/oracle/in-force.ts
@@ -1,85 +1,89 @@
-/** By which configuration nodes serve: what they say of themselves, and what marker topics show. */
+/** Which configuration nodes serve by: what they report themselves, and what marker topics show. */
 import type { FleetConfig } from '@harecross/schema';
-import { push, type DayRecord } from './record.js';
+import { appendTo, type RunRecord } from './record.js';
 
-/** A node that became well this lately may still be joining. */
+/** A node that became healthy within this time may still be joining. */
 const JOIN_MS = 3_000;
 
-/** What nodes say of themselves, and those that say nothing though they could. */
-export function nodes(record: DayRecord): void {
-  const before = new Map<string, { t: number; version: number }[]>();
-  for (const s of record.seen) {
-    if (s.k !== 'node.says' && s.k !== 'node.silent') continue;
-    const due = record.taken.filter((x) => s.asked > x.t + record.bounds.inForceMs).at(-1);
-    const able = record.sky.well(s.node, s.asked - JOIN_MS, s.t);
-    if (s.k === 'node.silent') {
-      if (due && able)
-        record.say(
+/** Checks the configuration versions that nodes report, and that healthy nodes answer. */
+export function checkNodeReports(record: RunRecord): void {
+  const reports = new Map<string, { t: number; version: number }[]>();
+  for (const event of record.seen) {
+    if (event.k !== 'node.says' && event.k !== 'node.silent') continue;
+    const dueConfig = record.taken.filter((accepted) => event.asked > accepted.t + record.bounds.inForceMs).at(-1);
+    const isWell = record.fleetConditions.well(event.node, event.asked - JOIN_MS, event.t);
+    if (event.k === 'node.silent') {
+      if (dueConfig && isWell)
+        record.report(
           'config_late',
-          s.t,
-          `${s.node} is well and says nothing; ${due.version} was taken ${Math.round(s.asked - due.t)} ms before`,
+          event.t,
+          `${event.node} is well and says nothing; ${dueConfig.version} was taken ${Math.round(event.asked - dueConfig.t)} ms before`,
         );
       continue;
     }
-    // Answers may overtake one another: only what was told before this was asked.
-    const was = Math.max(0, ...(before.get(s.node) ?? []).filter((x) => x.t < s.asked).map((x) => x.version));
-    if (s.version !== undefined && s.version < was)
-      record.say('fell_back', s.t, `${s.node} said ${s.version} after ${was}`);
-    if (s.version !== undefined) push(before, s.node, { t: s.t, version: s.version });
-    if (!due) continue;
-    const late = `${due.version} was taken ${Math.round(s.asked - due.t)} ms before`;
-    if (s.fresh && (s.version ?? 0) < due.version)
-      record.say('config_late', s.t, `${s.node} served by ${s.version}; ${late}`);
-    else if (!s.fresh && able) record.say('config_late', s.t, `${s.node} is well and does not serve; ${late}`);
+    // Answers may arrive out of order: only versions reported before this request was sent count.
+    const previousVersion = Math.max(
+      0,
+      ...(reports.get(event.node) ?? []).filter((report) => report.t < event.asked).map((report) => report.version),
+    );
+    if (event.version !== undefined && event.version < previousVersion)
+      record.report('fell_back', event.t, `${event.node} said ${event.version} after ${previousVersion}`);
+    if (event.version !== undefined) appendTo(reports, event.node, { t: event.t, version: event.version });
+    if (!dueConfig) continue;
+    const late = `${dueConfig.version} was taken ${Math.round(event.asked - dueConfig.t)} ms before`;
+    if (event.fresh && (event.version ?? 0) < dueConfig.version)
+      record.report('config_late', event.t, `${event.node} served by ${event.version}; ${late}`);
+    else if (!event.fresh && isWell)
+      record.report('config_late', event.t, `${event.node} is well and does not serve; ${late}`);
   }
 }
 
-/** Marker topics: each is in one configuration only, so a visit there shows by which one a node serves. */
-export function marks(record: DayRecord): void {
-  const markOf = (c: FleetConfig): number | undefined => {
+/** Checks marker topics. Each is in one configuration only, so a request for it shows which configuration the node serves by. */
+export function checkMarkerTopics(record: RunRecord): void {
+  const markerNumber = (c: FleetConfig): number | undefined => {
     for (const f of c.families) for (const p of f.topics) if (p.startsWith('mark/')) return Number(p.slice(5));
     return undefined;
   };
-  const versionOf = new Map(
-    record.taken.flatMap((x) => {
-      const m = markOf(x.config);
-      return m === undefined ? [] : [[m, x] as const];
+  const configByMarker = new Map(
+    record.taken.flatMap((accepted) => {
+      const marker = markerNumber(accepted.config);
+      return marker === undefined ? [] : [[marker, accepted] as const];
     }),
   );
-  const shown = new Map<string, { version: number; t: number }[]>();
-  for (const s of record.seen) {
-    if (s.k !== 'mark') continue;
-    const x = versionOf.get(s.mark);
-    if (!x) continue;
-    const next = record.taken.find((y) => y.version > x.version);
-    if (s.seen === 'in') {
-      const later = shown.get(s.node)?.find((e) => e.version > x.version && e.t < s.asked);
-      const how = `${s.by} on the marker of version ${x.version}`;
-      if (later)
-        record.say(
+  const observed = new Map<string, { version: number; t: number }[]>();
+  for (const event of record.seen) {
+    if (event.k !== 'mark') continue;
+    const config = configByMarker.get(event.mark);
+    if (!config) continue;
+    const nextConfig = record.taken.find((candidate) => candidate.version > config.version);
+    if (event.seen === 'in') {
+      const laterObservation = observed.get(event.node)?.find((e) => e.version > config.version && e.t < event.asked);
+      const observation = `${event.by} on the marker of version ${config.version}`;
+      if (laterObservation)
+        record.report(
           'fell_back',
-          s.t,
-          `${s.node}: ${how} after version ${later.version} was at work there ${Math.round(s.asked - later.t)} ms before`,
+          event.t,
+          `${event.node}: ${observation} after version ${laterObservation.version} was at work there ${Math.round(event.asked - laterObservation.t)} ms before`,
         );
-      if (next && s.asked > next.t + record.bounds.inForceMs)
-        record.say(
+      if (nextConfig && event.asked > nextConfig.t + record.bounds.inForceMs)
+        record.report(
           'config_late',
-          s.t,
-          `${s.node}: ${how} ${Math.round(s.asked - next.t)} ms after ${next.version} was taken`,
+          event.t,
+          `${event.node}: ${observation} ${Math.round(event.asked - nextConfig.t)} ms after ${nextConfig.version} was taken`,
         );
-      const l = shown.get(s.node) ?? [];
-      if (!l.some((e) => e.version >= x.version)) {
-        l.push({ version: x.version, t: s.t });
-        shown.set(s.node, l);
+      const observations = observed.get(event.node) ?? [];
+      if (!observations.some((e) => e.version >= config.version)) {
+        observations.push({ version: config.version, t: event.t });
+        observed.set(event.node, observations);
       }
     } else if (
-      s.asked > x.t + record.bounds.inForceMs &&
-      s.t < Math.min(next?.submitted ?? Infinity, record.revisedAfter(x))
+      event.asked > config.t + record.bounds.inForceMs &&
+      event.t < Math.min(nextConfig?.submittedAt ?? Infinity, record.firstHigherRevisionAt(config))
     ) {
-      record.say(
+      record.report(
         'config_late',
-        s.t,
-        `${s.node}: no marker of version ${x.version}, taken ${Math.round(s.asked - x.t)} ms before`,
+        event.t,
+        `${event.node}: no marker of version ${config.version}, taken ${Math.round(event.asked - config.t)} ms before`,
       );
     }
   }
--- a/packages/trial/src/oracle/operators.ts
+++ b/packages/trial/src/oracle/operators.ts
@@ -1,91 +1,115 @@
-/** What operators were told: each change is lost by nobody, and reads show the newest. */
+/** What operators were answered: no acknowledged change is lost, and reads return the newest configuration. */
 import type { FleetConfig } from '@harecross/schema';
-import { push, type DayRecord, type Of } from './record.js';
+import { appendTo, type RunRecord, type EventOfKind } from './record.js';
 
-export function operators(record: DayRecord): void {
-  for (const s of record.seen) {
-    if (s.k === 'cfg.submit') {
-      if (!record.submits.has(s.changeId)) record.submits.set(s.changeId, s);
-    } else if (s.k === 'cfg.answer') push(record.answers, s.changeId, s);
+export function checkOperatorAnswers(record: RunRecord): void {
+  for (const event of record.seen) {
+    if (event.k === 'cfg.submit') {
+      if (!record.submits.has(event.changeId)) record.submits.set(event.changeId, event);
+    } else if (event.k === 'cfg.answer') appendTo(record.answers, event.changeId, event);
   }
-  for (const as of record.answers.values())
-    for (const { t, version, revision } of as)
+  for (const answers of record.answers.values())
+    for (const { t, version, revision } of answers)
       if (revision !== undefined) record.revisions.push({ t, version: version!, revision });
   record.revisions.sort((a, b) => a.t - b.t);
-  for (const [id, sub] of record.submits) {
-    const as = record.told(id);
-    const a = as[0];
-    if (!a) {
-      record.say('unanswered', sub.t, `${id} never got an answer`);
+  for (const [id, submit] of record.submits) {
+    const answers = record.definiteAnswers(id);
+    const firstAnswer = answers[0];
+    if (!firstAnswer) {
+      record.report('unanswered', submit.t, `${id} never got an answer`);
       continue;
     }
-    if (!sub.valid && as.some((x) => x.out !== 'invalid'))
-      record.say('invalid_taken', a.t, `${id} is invalid and was answered ${a.out}`);
-    if (sub.valid && as.some((x) => x.out === 'invalid'))
-      record.say('unanswered', a.t, `${id} is valid and was called invalid`);
-    if (sub.revision !== undefined) revised(record, id, sub, as);
+    if (!submit.valid && answers.some((x) => x.out !== 'invalid'))
+      record.report('invalid_taken', firstAnswer.t, `${id} is invalid and was answered ${firstAnswer.out}`);
+    if (submit.valid && answers.some((x) => x.out === 'invalid'))
+      record.report('unanswered', firstAnswer.t, `${id} is valid and was called invalid`);
+    if (submit.revision !== undefined) checkRevisionAnswers(record, id, submit, answers);
     else
-      for (const x of as) {
-        if (x.out !== a.out || x.version !== a.version)
-          record.say('config_lost', x.t, `${id} was answered ${a.out} ${a.version}, then ${x.out} ${x.version}`);
+      for (const x of answers) {
+        if (x.out !== firstAnswer.out || x.version !== firstAnswer.version)
+          record.report(
+            'config_lost',
+            x.t,
+            `${id} was answered ${firstAnswer.out} ${firstAnswer.version}, then ${x.out} ${x.version}`,
+          );
       }
-    if (a.out !== 'taken' || !sub.valid) continue;
-    if (sub.expect !== undefined && a.version !== sub.expect + 1)
-      record.say('config_lost', a.t, `${id} expected ${sub.expect} and became ${a.version}`);
-    const twin = record.taken.find((x) => x.version === a.version);
-    if (twin) record.say('config_lost', a.t, `version ${a.version} given to ${twin.changeId} and ${id}`);
+    if (firstAnswer.out !== 'taken' || !submit.valid) continue;
+    if (submit.expect !== undefined && firstAnswer.version !== submit.expect + 1)
+      record.report('config_lost', firstAnswer.t, `${id} expected ${submit.expect} and became ${firstAnswer.version}`);
+    const duplicate = record.taken.find((x) => x.version === firstAnswer.version);
+    if (duplicate)
+      record.report(
+        'config_lost',
+        firstAnswer.t,
+        `version ${firstAnswer.version} given to ${duplicate.changeId} and ${id}`,
+      );
     record.taken.push({
-      version: a.version!,
-      t: a.t,
-      submitted: sub.t,
+      version: firstAnswer.version!,
+      t: firstAnswer.t,
+      submittedAt: submit.t,
       changeId: id,
-      revision: sub.revision,
-      document: sub.document,
-      config: sub.config as FleetConfig,
+      revision: submit.revision,
+      document: submit.document,
+      config: submit.config as FleetConfig,
     });
   }
   record.taken.sort((a, b) => a.version - b.version);
-  const unsure = [...record.submits.keys()].some((id) => !record.told(id).length);
-  for (const s of record.seen) {
-    if (s.k !== 'cfg.read') continue;
-    const least = record.taken.filter((x) => x.t <= s.asked).at(-1)?.version ?? 0;
-    if (s.version < least)
-      record.say(s.last ? 'read_back' : 'config_lost', s.t, `read version ${s.version}, but ${least} was taken before`);
-    const of = record.taken.find((x) => x.version === s.version);
+  const hasUnansweredSubmit = [...record.submits.keys()].some((id) => !record.definiteAnswers(id).length);
+  for (const event of record.seen) {
+    if (event.k !== 'cfg.read') continue;
+    const leastVersion = record.taken.filter((x) => x.t <= event.asked).at(-1)?.version ?? 0;
+    if (event.version < leastVersion)
+      record.report(
+        event.last ? 'read_back' : 'config_lost',
+        event.t,
+        `read version ${event.version}, but ${leastVersion} was taken before`,
+      );
+    const accepted = record.taken.find((x) => x.version === event.version);
     const differs =
-      of &&
-      (JSON.stringify([of.config, of.document]) !== JSON.stringify([s.config, s.document]) ||
-        (of.revision !== undefined && s.revision !== of.revision));
+      accepted &&
+      (JSON.stringify([accepted.config, accepted.document]) !== JSON.stringify([event.config, event.document]) ||
+        (accepted.revision !== undefined && event.revision !== accepted.revision));
     if (differs) {
-      record.say('read_back', s.t, `version ${s.version} reads differently from what ${of.changeId} sent`);
+      record.report(
+        'read_back',
+        event.t,
+        `version ${event.version} reads differently from what ${accepted.changeId} sent`,
+      );
     }
-    if (s.last && !unsure && !of && s.version > 0) record.say('read_back', s.t, `version ${s.version} was never sent`);
+    if (event.last && !hasUnansweredSubmit && !accepted && event.version > 0)
+      record.report('read_back', event.t, `version ${event.version} was never sent`);
   }
 }
 
-/** By revision the highest holds: an answer tells of the one sent or of a higher one, and of nothing lower than what was told before. */
-function revised(record: DayRecord, id: string, sub: Of<'cfg.submit'>, as: Of<'cfg.answer'>[]): void {
-  if (!sub.valid) return;
-  for (const x of as) {
-    if (x.revision! < sub.revision! || (x.out === 'taken') !== (x.revision === sub.revision))
-      record.say('config_lost', x.t, `${id} was answered with revision ${x.revision}`);
-    const of = record.submits.get(`revision-${x.revision}`);
-    if (!of) record.say('config_lost', x.t, `${id} was answered with revision ${x.revision}, which nobody sent`);
-    else if (!of.valid)
-      record.say('invalid_taken', x.t, `${id} was answered with revision ${x.revision}, which is invalid`);
-    const before = record.revisions.find((y) => y.t < x.asked! && y.revision > x.revision!);
-    if (before)
-      record.say(
+/** With revisions the highest is in force: an answer names the revision sent or a higher one, and none lower than an earlier answer did. */
+function checkRevisionAnswers(
+  record: RunRecord,
+  id: string,
+  submit: EventOfKind<'cfg.submit'>,
+  answers: EventOfKind<'cfg.answer'>[],
+): void {
+  if (!submit.valid) return;
+  for (const x of answers) {
+    if (x.revision! < submit.revision! || (x.out === 'taken') !== (x.revision === submit.revision))
+      record.report('config_lost', x.t, `${id} was answered with revision ${x.revision}`);
+    const accepted = record.submits.get(`revision-${x.revision}`);
+    if (!accepted)
+      record.report('config_lost', x.t, `${id} was answered with revision ${x.revision}, which nobody sent`);
+    else if (!accepted.valid)
+      record.report('invalid_taken', x.t, `${id} was answered with revision ${x.revision}, which is invalid`);
+    const higherBefore = record.revisions.find((y) => y.t < x.asked! && y.revision > x.revision!);
+    if (higherBefore)
+      record.report(
         'config_lost',
         x.t,
-        `${id} was answered with revision ${x.revision}; ${before.revision} was told before`,
+        `${id} was answered with revision ${x.revision}; ${higherBefore.revision} was told before`,
       );
-    const twin = record.revisions.find((y) => (y.version === x.version) !== (y.revision === x.revision));
-    if (twin)
-      record.say(
+    const duplicate = record.revisions.find((y) => (y.version === x.version) !== (y.revision === x.revision));
+    if (duplicate)
+      record.report(
         'config_lost',
         x.t,
-        `revision ${x.revision} is version ${x.version}, and ${twin.revision} is ${twin.version}`,
+        `revision ${x.revision} is version ${x.version}, and ${duplicate.revision} is ${duplicate.version}`,
       );
   }
 }
--- a/packages/trial/src/oracle/publishes.ts
+++ b/packages/trial/src/oracle/publishes.ts
@@ -1,89 +1,101 @@
-/** What publishers were told of each message, and what came of it. */
-import { CALM_MS, idOf, type DayRecord, type Pub } from './record.js';
+/** What publishers were answered for each message, and whether it was stored and delivered. */
+import { CALM_MS, messageId, type RunRecord, type PublishRecord } from './record.js';
 
-/** The one answer that a number was never accepted and never will be. */
-const FINAL = 'stale_seq';
-/** An accepted number may be sent again for so long. */
+/** The error tag that says that a sequence number was never accepted and never will be. */
+const FINAL_TAG = 'stale_seq';
+/** How long after its acceptance a repeated sequence number must be answered as accepted again. */
 const REPEAT_MS = 10_000;
 
-export function publishes(record: DayRecord): void {
-  const tried = new Map<number, number>();
-  for (const s of record.seen) {
-    if (s.k === 'pub.try') {
-      const id = idOf(s);
-      const p = record.pubs.get(id) ?? {
-        topic: s.topic,
-        sender: s.sender,
-        seq: s.seq,
-        body: s.body,
-        firstTry: s.t,
-        outs: [],
-        tries: 0,
+export function checkPublishes(record: RunRecord): void {
+  const attemptedAt = new Map<number, number>();
+  for (const event of record.seen) {
+    if (event.k === 'pub.try') {
+      const id = messageId(event);
+      const publish = record.publishes.get(id) ?? {
+        topic: event.topic,
+        sender: event.sender,
+        seq: event.seq,
+        body: event.body,
+        firstAttemptAt: event.t,
+        outcomes: [],
+        attempts: 0,
         line: false,
         refused: false,
       };
-      p.tries++;
-      p.line ||= s.line !== undefined;
-      tried.set(s.try, s.t);
-      record.pubs.set(id, p);
-    } else if (s.k === 'pub.answer') {
-      const p = record.pubs.get(idOf(s))!;
-      p.outs.push(s.out);
-      const what = `${s.topic} ${s.sender}#${s.seq}`;
-      if (s.tag === FINAL) p.finalAt ??= s.t;
-      if (s.out !== 'accepted') {
-        const asked = tried.get(s.try)!;
-        p.refused ||= s.tag === 'overloaded' || s.tag === 'unknown_topic';
-        // A final no after a first outcome is judged as one; any other answer will do while something is wrong.
+      publish.attempts++;
+      publish.line ||= event.line !== undefined;
+      attemptedAt.set(event.try, event.t);
+      record.publishes.set(id, publish);
+    } else if (event.k === 'pub.answer') {
+      const publish = record.publishes.get(messageId(event))!;
+      publish.outcomes.push(event.out);
+      const what = `${event.topic} ${event.sender}#${event.seq}`;
+      if (event.tag === FINAL_TAG) publish.finalRejectionAt ??= event.t;
+      if (event.out !== 'accepted') {
+        const attempted = attemptedAt.get(event.try)!;
+        publish.refused ||= event.tag === 'overloaded' || event.tag === 'unknown_topic';
+        // A final rejection after an acceptance is reported by rule `final` below; any other answer is allowed while the fleet has faults.
         if (
-          s.tag !== FINAL &&
-          p.acceptedAt !== undefined &&
-          asked >= p.acceptedAt &&
-          asked < p.acceptedAt + REPEAT_MS &&
-          record.sky.calm(asked - CALM_MS, s.t) &&
-          !record.away(s.topic).length
+          event.tag !== FINAL_TAG &&
+          publish.acceptedAt !== undefined &&
+          attempted >= publish.acceptedAt &&
+          attempted < publish.acceptedAt + REPEAT_MS &&
+          record.fleetConditions.calm(attempted - CALM_MS, event.t) &&
+          !record.absences(event.topic).length
         )
-          record.say(
+          record.report(
             'repeat',
-            s.t,
-            `${what}, accepted at ${Math.round(p.acceptedAt)}, was answered ${s.tag} when it came again`,
+            event.t,
+            `${what}, accepted at ${Math.round(publish.acceptedAt)}, was answered ${event.tag} when it came again`,
+          );
+        if (event.tag === FINAL_TAG && publish.line && !publish.refused)
+          record.report(
+            'overtaken',
+            event.t,
+            `${what} was on the way before a later one of its sender that was stored`,
           );
-        if (s.tag === FINAL && p.line && !p.refused)
-          record.say('overtaken', s.t, `${what} was on the way before a later one of its sender that was stored`);
         continue;
       }
-      if (p.offset !== undefined && p.offset !== s.offset)
-        record.say('once', s.t, `${what} accepted at ${p.offset} and at ${s.offset}`);
-      p.offset = s.offset!;
-      p.acceptedAt ??= s.t;
-      const m = record.byOffset.get(s.topic) ?? new Map<number, Pub>();
-      const other = m.get(s.offset!);
-      if (other && other !== p)
-        record.say('lost', s.t, `${s.topic} offset ${s.offset} given to ${other.sender}#${other.seq} and ${what}`);
-      m.set(s.offset!, p);
-      record.byOffset.set(s.topic, m);
+      if (publish.offset !== undefined && publish.offset !== event.offset)
+        record.report('once', event.t, `${what} accepted at ${publish.offset} and at ${event.offset}`);
+      publish.offset = event.offset!;
+      publish.acceptedAt ??= event.t;
+      const byOffset = record.acceptedByOffset.get(event.topic) ?? new Map<number, PublishRecord>();
+      const other = byOffset.get(event.offset!);
+      if (other && other !== publish)
+        record.report(
+          'lost',
+          event.t,
+          `${event.topic} offset ${event.offset} given to ${other.sender}#${other.seq} and ${what}`,
+        );
+      byOffset.set(event.offset!, publish);
+      record.acceptedByOffset.set(event.topic, byOffset);
     }
   }
-  const shown = new Set(record.seen.flatMap((s) => (s.k === 'deliver' ? [idOf(s)] : [])));
-  for (const [id, p] of record.pubs) {
-    let how = shown.has(id) ? 'delivered' : undefined;
-    if (p.acceptedAt !== undefined) how = 'accepted';
-    if (p.finalAt !== undefined && how)
-      record.say(
+  const deliveredIds = new Set(record.seen.flatMap((event) => (event.k === 'deliver' ? [messageId(event)] : [])));
+  for (const [id, publish] of record.publishes) {
+    let outcome = deliveredIds.has(id) ? 'delivered' : undefined;
+    if (publish.acceptedAt !== undefined) outcome = 'accepted';
+    if (publish.finalRejectionAt !== undefined && outcome)
+      record.report(
         'final',
-        p.finalAt,
-        `${p.topic} ${p.sender}#${p.seq} was told that it was never accepted and never will be, and was ${how}`,
+        publish.finalRejectionAt,
+        `${publish.topic} ${publish.sender}#${publish.seq} was told that it was never accepted and never will be, and was ${outcome}`,
       );
   }
 }
 
-export function removedAccepts(record: DayRecord): void {
-  const first = new Set<string>();
-  for (const s of record.seen) {
-    if (s.k !== 'pub.answer' || s.out !== 'accepted') continue;
-    if (first.has(idOf(s))) continue;
-    first.add(idOf(s));
-    if (record.removed(s.topic, s.t))
-      record.say('removed_flow', s.t, `${s.topic} ${s.sender}#${s.seq} accepted on a removed family`);
+export function checkRemovedFamilies(record: RunRecord): void {
+  const seenIds = new Set<string>();
+  for (const event of record.seen) {
+    if (event.k !== 'pub.answer' || event.out !== 'accepted') continue;
+    if (seenIds.has(messageId(event))) continue;
+    seenIds.add(messageId(event));
+    if (record.isRemoved(event.topic, event.t))
+      record.report(
+        'removed_flow',
+        event.t,
+        `${event.topic} ${event.sender}#${event.seq} accepted on a removed family`,
+      );
   }
 }
--- a/packages/trial/src/oracle/record.ts
+++ b/packages/trial/src/oracle/record.ts
@@ -1,165 +1,173 @@
-/** What a day's journal tells, in the form in which all checks ask for it; and the violations that they found. */
+/** The journal of a run, indexed for the checks; and the violations that they found. */
 import { familyOf, type FleetConfig } from '@harecross/schema';
 import type { Seen } from '../journal.js';
 import { Sky } from '../weather.js';
 import type { Bounds, Rule, Violation } from './rules.js';
 
-/** After the last fault and the last publish, this is time enough for any repair. */
+/** Time after the last fault and the last publish that suffices for every repair. */
 export const SETTLE_MS = 6_000;
-/** Nothing counts as wrong any more this long after the last change of the fleet. */
+/** This long after the last change of the fleet it must work as if nothing had happened. */
 export const CALM_MS = 12_000;
 
-export type Of<K extends Seen['k']> = Extract<Seen, { k: K }>;
-export interface Pub {
+export type EventOfKind<K extends Seen['k']> = Extract<Seen, { k: K }>;
+export interface PublishRecord {
   topic: string;
   sender: string;
   seq: number;
   body: string;
-  firstTry: number;
-  outs: string[];
+  firstAttemptAt: number;
+  outcomes: string[];
   offset?: number;
   acceptedAt?: number;
-  tries: number;
-  /** When it was told that it was never accepted and never will be. */
-  finalAt?: number;
-  /** Sent on a line, with others on the way; `refused` once a node was too full for it. */
+  attempts: number;
+  /** When the publisher was told that the message was never accepted and never will be. */
+  finalRejectionAt?: number;
+  /** Sent on a connection with several publishes in progress, on which requests arrive in order. */
   line: boolean;
+  /** Whether a node answered `overloaded` or `unknown_topic` to an attempt. */
   refused: boolean;
 }
-export interface Line {
+export interface SubscriptionRecord {
   consumer: string;
   topic: string;
   conn: string;
-  start: number;
-  asked: number;
-  okAt: number;
+  firstOffset: number;
+  requestedAt: number;
+  acknowledgedAt: number;
   cursor?: number;
-  got: Of<'deliver'>[];
-  endAt?: number;
-  endWhy?: string;
+  deliveries: EventOfKind<'deliver'>[];
+  endedAt?: number;
+  endReason?: string;
   leftAt?: number;
 }
-export interface Taken {
+export interface AcceptedConfig {
   version: number;
   t: number;
-  submitted: number;
+  submittedAt: number;
   changeId: string;
   revision?: number;
   document?: unknown;
   config: FleetConfig;
 }
-/** A time in which a topic's family may have been away, or another one; `to` is when it was surely back. */
-export interface Away {
+/** A time in which no topic family may have covered a topic; from `to` on one surely did again. */
+export interface AbsenceWindow {
   from: number;
   to: number;
 }
 
-export const idOf = (x: { topic: string; sender: string; seq: number }): string => `${x.topic}\n${x.sender}\n${x.seq}`;
-export const push = <K, V>(m: Map<K, V[]>, k: K, v: V): void => {
-  const l = m.get(k);
-  if (l) l.push(v);
-  else m.set(k, [v]);
+export const messageId = (x: { topic: string; sender: string; seq: number }): string =>
+  `${x.topic}\n${x.sender}\n${x.seq}`;
+export const appendTo = <K, V>(map: Map<K, V[]>, key: K, value: V): void => {
+  const values = map.get(key);
+  if (values) values.push(value);
+  else map.set(key, [value]);
 };
 
 /**
- * A day under judgement. The checks of operators, publishes and subscriptions fill in what later ones ask for.
+ * A run under check. The checks of operators, publishes and subscriptions fill in fields that later checks read.
  * @example
- * const record = new DayRecord(journal.seen, bounds); publishes(record); record.violations();
+ * const record = new RunRecord(journal.seen, bounds); checkPublishes(record); record.violations();
  */
-export class DayRecord {
+export class RunRecord {
   readonly out: Violation[] = [];
-  readonly pubs = new Map<string, Pub>();
+  readonly publishes = new Map<string, PublishRecord>();
   /** Accepted messages of each topic by offset. */
-  readonly byOffset = new Map<string, Map<number, Pub>>();
-  readonly taken: Taken[] = [];
-  readonly submits = new Map<string, Of<'cfg.submit'>>();
-  readonly answers = new Map<string, Of<'cfg.answer'>[]>();
-  /** What was told to be in force, by time. */
+  readonly acceptedByOffset = new Map<string, Map<number, PublishRecord>>();
+  /** Configurations acknowledged to operators, by version. */
+  readonly taken: AcceptedConfig[] = [];
+  readonly submits = new Map<string, EventOfKind<'cfg.submit'>>();
+  readonly answers = new Map<string, EventOfKind<'cfg.answer'>[]>();
+  /** The revisions that operators were told are in force, by time. */
   readonly revisions: { t: number; version: number; revision: number }[] = [];
-  readonly lines: Line[] = [];
-  readonly aways = new Map<string, Away[]>();
-  readonly nodeOf = new Map<string, string>();
-  readonly sky: Sky;
+  /** All subscriptions that were acknowledged. */
+  readonly lines: SubscriptionRecord[] = [];
+  readonly absencesByTopic = new Map<string, AbsenceWindow[]>();
+  readonly nodeOfConn = new Map<string, string>();
+  /** Which nodes and links had faults, by time. */
+  readonly fleetConditions: Sky;
   readonly end: number;
 
   constructor(
     readonly seen: readonly Seen[],
     readonly bounds: Bounds,
   ) {
-    this.sky = new Sky(seen);
-    this.end = seen.find((s) => s.k === 'end')?.t ?? Infinity;
-    for (const s of seen) if (s.k === 'conn.open') this.nodeOf.set(s.conn, s.node);
+    this.fleetConditions = new Sky(seen);
+    this.end = seen.find((event) => event.k === 'end')?.t ?? Infinity;
+    for (const event of seen) if (event.k === 'conn.open') this.nodeOfConn.set(event.conn, event.node);
   }
 
-  /** What was found, by time. */
+  /** The violations found, by time. */
   violations(): Violation[] {
     return this.out.sort((a, b) => a.t - b.t);
   }
 
-  say(rule: Rule, t: number, what: string): void {
+  report(rule: Rule, t: number, what: string): void {
     this.out.push({ rule, t: Math.round(t), what });
   }
 
-  accepted(topic: string): Iterable<Pub> {
-    return this.byOffset.get(topic)?.values() ?? [];
+  accepted(topic: string): Iterable<PublishRecord> {
+    return this.acceptedByOffset.get(topic)?.values() ?? [];
   }
 
-  told(changeId: string): Of<'cfg.answer'>[] {
+  definiteAnswers(changeId: string): EventOfKind<'cfg.answer'>[] {
     return (this.answers.get(changeId) ?? []).filter((a) => a.out !== 'unanswered');
   }
 
-  /** When a revision above this one was first sent: one that was overtaken before it was answered may have been in force. */
-  revisedAfter(x: Taken): number {
-    const of = x.revision;
-    if (of === undefined) return Infinity;
+  /** When a higher revision was first sent. One that was superseded before it was answered may have been in force. */
+  firstHigherRevisionAt(x: AcceptedConfig): number {
+    const revision = x.revision;
+    if (revision === undefined) return Infinity;
     return Math.min(
       Infinity,
       ...[...this.submits.values()]
-        .filter((s) => s.valid && s.revision !== undefined && s.revision > of)
-        .map((s) => s.t),
+        .filter((event) => event.valid && event.revision !== undefined && event.revision > revision)
+        .map((event) => event.t),
     );
   }
 
-  /** Whether the family of a topic was surely not in force: 3 s after the answer, up to the next submit that brings it back. */
-  removed(topic: string, t: number): boolean {
+  /** Whether no family surely covered a topic: from `configInForceMs` (3 s in the simulator) after the answer until the next submitted configuration that has it. */
+  isRemoved(topic: string, t: number): boolean {
     const last = this.taken.filter((x) => x.t + this.bounds.inForceMs + this.bounds.wayMs < t).at(-1);
     if (!last || familyOf(last.config, topic)) return false;
-    return ![...this.submits.values()].some((s) => {
-      const a = this.told(s.changeId)[0];
-      // One that was overtaken may have been in force before.
-      let v = a && a.out !== 'overtaken' ? 0 : Infinity;
-      if (a?.out === 'taken') v = a.version!;
-      return s.valid && s.t <= t && v > last.version && familyOf(s.config as FleetConfig, topic);
+    return ![...this.submits.values()].some((event) => {
+      const answer = this.definiteAnswers(event.changeId)[0];
+      // A superseded configuration may have been in force before.
+      let version = answer && answer.out !== 'overtaken' ? 0 : Infinity;
+      if (answer?.out === 'taken') version = answer.version!;
+      return event.valid && event.t <= t && version > last.version && familyOf(event.config as FleetConfig, topic);
     });
   }
 
-  /** The times in which no family may have held a topic: only then may anything of it be missing. */
-  away(topic: string): Away[] {
-    const had = this.aways.get(topic);
-    if (had) return had;
-    const out: Away[] = [];
-    let there = false;
+  /** The times in which no family may have covered a topic: only then may its messages be missing. */
+  absences(topic: string): AbsenceWindow[] {
+    const cached = this.absencesByTopic.get(topic);
+    if (cached) return cached;
+    const windows: AbsenceWindow[] = [];
+    let wasPresent = false;
     for (const x of this.taken) {
-      // Whatever the family that holds it is called: what stays there keeps everything.
-      const now = familyOf(x.config, topic) !== undefined;
-      const open = out.at(-1);
-      if (!now && there) out.push({ from: x.submitted, to: Infinity });
-      else if (now && open?.to === Infinity) open.to = x.t + this.bounds.inForceMs;
-      there = now;
+      // The name of the covering family does not matter: a topic that stays covered keeps all its messages.
+      const isPresent = familyOf(x.config, topic) !== undefined;
+      const current = windows.at(-1);
+      if (!isPresent && wasPresent) windows.push({ from: x.submittedAt, to: Infinity });
+      else if (isPresent && current?.to === Infinity) current.to = x.t + this.bounds.inForceMs;
+      wasPresent = isPresent;
     }
-    for (const s of this.submits.values()) {
-      if (!s.valid || familyOf(s.config as FleetConfig, topic)) continue;
-      const a = this.told(s.changeId)[0];
-      if (!a) out.push({ from: s.t, to: Infinity });
-      else if (a.out === 'overtaken') out.push({ from: s.t, to: a.t + this.bounds.inForceMs });
+    for (const event of this.submits.values()) {
+      if (!event.valid || familyOf(event.config as FleetConfig, topic)) continue;
+      const answer = this.definiteAnswers(event.changeId)[0];
+      if (!answer) windows.push({ from: event.t, to: Infinity });
+      else if (answer.out === 'overtaken') windows.push({ from: event.t, to: answer.t + this.bounds.inForceMs });
     }
-    this.aways.set(topic, out);
-    return out;
+    this.absencesByTopic.set(topic, windows);
+    return windows;
   }
 
-  /** Whether a message first tried at `at` (and stored no earlier) may be missing to someone who could first see it at `from` and got what is behind it at `to`. */
-  excused(topic: string, at: number, from: number, to: number): boolean {
-    return this.away(topic).some((w) => w.from <= to && from <= w.to && at <= w.to);
+  /**
+   * Whether a message may be missing for a reader: it was first attempted (and stored no earlier than) at `at`, the reader could first see it
+   * at `from`, and received a later message at `to`.
+   */
+  mayBeMissing(topic: string, at: number, from: number, to: number): boolean {
+    return this.absences(topic).some((absence) => absence.from <= to && from <= absence.to && at <= absence.to);
   }
 
   configAt(t: number): FleetConfig | undefined {
--- a/packages/trial/src/oracle/recovery.ts
+++ b/packages/trial/src/oracle/recovery.ts
@@ -1,30 +1,31 @@
-/** After the closing fault: whether the fleet serves again, and how soon. */
+/** Service after the last fault of a run (`closing`): whether the fleet serves again, and how soon. */
 import type { Seen } from '../journal.js';
-import { push, type DayRecord, type Of } from './record.js';
+import { appendTo, type RunRecord, type EventOfKind } from './record.js';
 
-export function closing(record: DayRecord): void {
-  const c = [...record.seen].reverse().find((s) => s.k === 'closing');
-  if (!c) return;
+export function checkRecovery(record: RunRecord): void {
+  const closingFault = [...record.seen].reverse().find((event) => event.k === 'closing');
+  if (!closingFault) return;
   const domains = new Map<string, string[]>();
-  for (const s of record.seen) if (s.k === 'node' && s.role === 'relay') push(domains, s.domain, s.node);
-  const from = c.t + 12_000;
+  for (const event of record.seen)
+    if (event.k === 'node' && event.role === 'relay') appendTo(domains, event.domain, event.node);
+  const from = closingFault.t + 12_000;
   const domainOf = new Map<number | string, string>();
-  for (const s of record.seen) {
-    if (s.k === 'conn.open') domainOf.set(s.conn, s.domain);
-    else if (s.k === 'pub.try') domainOf.set(s.try, s.domain);
+  for (const event of record.seen) {
+    if (event.k === 'conn.open') domainOf.set(event.conn, event.domain);
+    else if (event.k === 'pub.try') domainOf.set(event.try, event.domain);
   }
-  const alive = [...domains]
-    .filter(([, ns]) => ns.some((n) => record.sky.well(n, from - 3_000, from + 3_500)))
-    .map(([d]) => d);
-  for (const d of [undefined, ...alive]) {
-    const at = (of: number | string): boolean => d === undefined || domainOf.get(of) === d;
-    const where = d === undefined ? 'in all' : `in ${d}`;
+  const liveDomains = [...domains]
+    .filter(([, nodes]) => nodes.some((node) => record.fleetConditions.well(node, from - 3_000, from + 3_500)))
+    .map(([domain]) => domain);
+  for (const domain of [undefined, ...liveDomains]) {
+    const belongs = (id: number | string): boolean => domain === undefined || domainOf.get(id) === domain;
+    const where = domain === undefined ? 'in all' : `in ${domain}`;
     for (const what of ['accepted', 'delivered', 'attached'] as const) {
-      const before = rate(record, what, c.t - 8_000, c.t, at);
-      const after = rate(record, what, from, from + 4_000, at);
-      if (before === 0 && d !== undefined) continue;
+      const before = rate(record, what, closingFault.t - 8_000, closingFault.t, belongs);
+      const after = rate(record, what, from, from + 4_000, belongs);
+      if (before === 0 && domain !== undefined) continue;
       if (before === 0 || after < before / 4) {
-        record.say(
+        record.report(
           'served',
           from,
           `${where}: ${after.toFixed(1)} ${what} 12 s after the closing fault, ${before.toFixed(1)} before it`,
@@ -34,54 +35,60 @@
   }
 }
 
-/** Publishes accepted or messages delivered each second, or conns attached at the end, of some tries and conns. */
+/** Publishes accepted or messages delivered per second in (from, to], or client sessions open at `to`; only those that `belongs` selects. */
 function rate(
-  record: DayRecord,
+  record: RunRecord,
   what: 'accepted' | 'delivered' | 'attached',
-  a: number,
-  b: number,
-  at: (of: number | string) => boolean,
+  from: number,
+  to: number,
+  belongs: (id: number | string) => boolean,
 ): number {
   if (what === 'attached') {
     const ends = new Map<string, number>();
-    const opens: Of<'conn.open'>[] = [];
-    for (const s of record.seen) {
-      if (s.k === 'conn.end') ends.set(s.conn, s.t);
-      else if (s.k === 'conn.open') opens.push(s);
+    const opens: EventOfKind<'conn.open'>[] = [];
+    for (const event of record.seen) {
+      if (event.k === 'conn.end') ends.set(event.conn, event.t);
+      else if (event.k === 'conn.open') opens.push(event);
     }
-    return opens.filter((o) => at(o.conn) && o.t <= b && (ends.get(o.conn) ?? Infinity) > b).length;
+    return opens.filter((open) => belongs(open.conn) && open.t <= to && (ends.get(open.conn) ?? Infinity) > to).length;
   }
-  let n = 0;
-  for (const s of record.seen) {
-    if (s.t <= a || s.t > b) continue;
+  let count = 0;
+  for (const event of record.seen) {
+    if (event.t <= from || event.t > to) continue;
     if (
-      what === 'accepted' ? s.k === 'pub.answer' && s.out === 'accepted' && at(s.try) : s.k === 'deliver' && at(s.conn)
+      what === 'accepted'
+        ? event.k === 'pub.answer' && event.out === 'accepted' && belongs(event.try)
+        : event.k === 'deliver' && belongs(event.conn)
     )
-      n++;
+      count++;
   }
-  return (n * 1000) / (b - a);
+  return (count * 1000) / (to - from);
 }
 
 /**
- * How long after the closing fault a quarter and nine tenths of what was accepted and delivered each second were back,
- * over windows of a second; Infinity where they never were.
+ * How long after the closing fault the rates of accepted publishes and of deliveries were back at 25 % and 90 % of the rate before it,
+ * over windows of one second; Infinity if never.
  * @example
- * recovery(journal.seen); // { accepted: { quarterMs: 900, mostMs: 2100 }, delivered: ... }
+ * recoveryTimes(journal.seen); // { accepted: { quarterMs: 900, mostMs: 2100 }, delivered: ... }
  */
 export function recovery(
   seen: readonly Seen[],
 ): { accepted: { quarterMs: number; mostMs: number }; delivered: { quarterMs: number; mostMs: number } } | undefined {
-  const c = [...seen].reverse().find((s) => s.k === 'closing');
-  if (!c) return undefined;
-  const of = (ok: (s: Seen) => boolean): { quarterMs: number; mostMs: number } => {
-    const ts = seen.filter(ok).map((s) => s.t);
-    const n = (a: number, b: number): number => ts.filter((t) => t > a && t <= b).length / ((b - a) / 1000);
-    const before = n(c.t - 8_000, c.t);
-    const first = (share: number): number => {
-      for (let t = c.t; t < c.t + 16_000; t += 100) if (n(t, t + 1_000) >= before * share) return t - c.t;
+  const closingFault = [...seen].reverse().find((event) => event.k === 'closing');
+  if (!closingFault) return undefined;
+  const measure = (matches: (event: Seen) => boolean): { quarterMs: number; mostMs: number } => {
+    const times = seen.filter(matches).map((event) => event.t);
+    const perSecond = (a: number, b: number): number => times.filter((t) => t > a && t <= b).length / ((b - a) / 1000);
+    const before = perSecond(closingFault.t - 8_000, closingFault.t);
+    const reachedAfter = (fraction: number): number => {
+      for (let t = closingFault.t; t < closingFault.t + 16_000; t += 100)
+        if (perSecond(t, t + 1_000) >= before * fraction) return t - closingFault.t;
       return Infinity;
     };
-    return { quarterMs: first(0.25), mostMs: first(0.9) };
+    return { quarterMs: reachedAfter(0.25), mostMs: reachedAfter(0.9) };
+  };
+  return {
+    accepted: measure((event) => event.k === 'pub.answer' && event.out === 'accepted'),
+    delivered: measure((event) => event.k === 'deliver'),
   };
-  return { accepted: of((s) => s.k === 'pub.answer' && s.out === 'accepted'), delivered: of((s) => s.k === 'deliver') };
 }
--- a/packages/trial/src/oracle/rules.ts
+++ b/packages/trial/src/oracle/rules.ts
@@ -1,4 +1,4 @@
-/** The rules of the brief's "What must never happen", each a named check; behind the dash what follows from its other sentences. */
+/** The rules that no run may break: first the guarantees of the service, then limits that follow from its other requirements. */
 export const RULES = [
   'once',
   'order',
@@ -21,14 +21,14 @@
   'read_back',
   'served',
   'counts',
-  // -
+  // Limits on waiting times, retry times, delivery times and queue sizes.
   'held',
   'come_back',
   'late',
   'bounds',
 ] as const;
 export type Rule = (typeof RULES)[number];
-/** Rules that need no watch: the only ones judged where the machine has other work. */
+/** Rules that do not depend on timing: the only ones checked with real processes on a machine that runs other work too. */
 export const TIMELESS_RULES: readonly Rule[] = [
   'once',
   'order',
@@ -50,12 +50,12 @@
   what: string;
 }
 
-/** What the judge allows, in ms. The simulator's ways take up to 40 ms; a loaded machine's take longer. */
+/** Time limits of the checks, in ms. Network delay in the simulator is up to 40 ms; on a loaded machine answers take longer. */
 export interface Bounds {
-  /** On top of every bound, for the way of an answer to the observer. */
+  /** Added to every limit, for the time an answer takes to reach the observer. */
   wayMs: number;
-  /** Whether bounds on how long callers wait are judged: not on real processes of a machine that others use too. */
+  /** Whether limits on how long clients wait are checked: not with real processes on a shared machine. */
   timed: boolean;
-  /** A configuration is in force everywhere within this time after it was acknowledged. */
+  /** Time after its acknowledgement within which a configuration is in force on every node. */
   inForceMs: number;
 }
--- a/packages/trial/src/oracle/subscriptions.ts
+++ b/packages/trial/src/oracle/subscriptions.ts
@@ -1,166 +1,216 @@
-/** What each subscription was told and got. */
-import { idOf, push, type DayRecord, type Line, type Of, type Pub } from './record.js';
+/** What each subscription was answered and what was delivered to it. */
+import {
+  messageId,
+  appendTo,
+  type RunRecord,
+  type SubscriptionRecord,
+  type EventOfKind,
+  type PublishRecord,
+} from './record.js';
 
-/** Answers to Subscribe after which nothing may come of it; after the others something may. */
-const SURELY_NOT = new Set(['unknown_topic', 'cursor_expired', 'cursor_ahead']);
+/** Error tags of Subscribe after which nothing may be delivered. After any other error the subscription may exist all the same. */
+const REFUSED_TAGS = new Set(['unknown_topic', 'cursor_expired', 'cursor_ahead']);
 
-export function subscriptions(record: DayRecord): void {
-  const lines = new Map<string, Line>();
-  /** The first asking for a topic on a conn: asked again before it ended, it is the same subscription. */
-  const asks = new Map<string, { t: number; cursor?: number; gotAt: number }>();
+export function checkSubscriptions(record: RunRecord): void {
+  const subscriptions = new Map<string, SubscriptionRecord>();
+  /** The first Subscribe for a topic in a client session; a repeated one before the end is the same subscription. */
+  const requests = new Map<string, { t: number; cursor?: number; lastReceivedAt: number }>();
   const ended = new Map<string, { t: number; why: string }>();
-  const early = new Map<string, Of<'deliver'>[]>();
-  const shown = new Map<string, Of<'deliver'>>();
-  const turnedAway = (p: Pub): boolean => p.outs.length === p.tries && p.outs.every((o) => o === 'rejected');
-  /** When a consumer last got something of a topic. */
-  const gotAt = new Map<string, number>();
-  const byConn = new Map<string, Line[]>();
-  for (const s of record.seen) {
-    switch (s.k) {
+  const earlyDeliveries = new Map<string, EventOfKind<'deliver'>[]>();
+  const shownByOffset = new Map<string, EventOfKind<'deliver'>>();
+  const isAlwaysRejected = (publish: PublishRecord): boolean =>
+    publish.outcomes.length === publish.attempts && publish.outcomes.every((outcome) => outcome === 'rejected');
+  /** When a consumer last received a message of a topic. */
+  const lastReceivedAt = new Map<string, number>();
+  const subscriptionsByConn = new Map<string, SubscriptionRecord[]>();
+  for (const event of record.seen) {
+    switch (event.k) {
       case 'sub.ask':
-        if (!asks.has(`${s.conn}\n${s.topic}`)) {
-          asks.set(`${s.conn}\n${s.topic}`, {
-            t: s.t,
-            cursor: s.cursor,
-            gotAt: gotAt.get(`${s.consumer}\n${s.topic}`) ?? 0,
+        if (!requests.has(`${event.conn}\n${event.topic}`)) {
+          requests.set(`${event.conn}\n${event.topic}`, {
+            t: event.t,
+            cursor: event.cursor,
+            lastReceivedAt: lastReceivedAt.get(`${event.consumer}\n${event.topic}`) ?? 0,
           });
         }
         break;
       case 'unsub.ok':
       case 'sub.fail':
-        if (s.k === 'unsub.ok' || SURELY_NOT.has(s.tag)) asks.delete(`${s.conn}\n${s.topic}`);
-        if (s.k === 'unsub.ok') break;
-        if (s.tag === 'cursor_expired') expired(record, s.t, s.consumer, s.topic, s.cursor);
-        if (s.tag === 'cursor_ahead')
-          record.say('lost', s.t, `${s.consumer} ${s.topic}: told that ${s.cursor}, which it received, does not exist`);
+        if (event.k === 'unsub.ok' || REFUSED_TAGS.has(event.tag)) requests.delete(`${event.conn}\n${event.topic}`);
+        if (event.k === 'unsub.ok') break;
+        if (event.tag === 'cursor_expired')
+          checkExpiredCursor(record, event.t, event.consumer, event.topic, event.cursor);
+        if (event.tag === 'cursor_ahead')
+          record.report(
+            'lost',
+            event.t,
+            `${event.consumer} ${event.topic}: told that ${event.cursor}, which it received, does not exist`,
+          );
         break;
       case 'sub.ok': {
-        const key = `${s.conn}\n${s.topic}\n${s.sub}`;
-        // An answer may have got lost, and the frames of that subscription came first: it began with them.
-        const start = Math.min(s.next, early.get(key)?.[0]?.offset ?? Infinity);
-        const ask = asks.get(`${s.conn}\n${s.topic}`) ?? { t: s.t, cursor: s.cursor, gotAt: 0 };
-        const { cursor, gotAt: from } = ask;
-        const who = `${s.consumer} ${s.topic} resumed at ${start} after ${cursor}`;
-        if (cursor !== undefined && s.next <= cursor) record.say('once', s.t, who);
-        if (cursor !== undefined && start > cursor + 1) {
-          const between = [...record.accepted(s.topic)].filter((p) => p.offset! > cursor && p.offset! < start);
-          const ok = between.length
-            ? between.every((p) => record.excused(s.topic, p.firstTry, from, s.t))
-            : record.away(s.topic).some((w) => w.from <= s.t && from <= w.to);
-          if (!ok) record.say('skipped', s.t, who);
+        const key = `${event.conn}\n${event.topic}\n${event.sub}`;
+        // The first answer may have been lost, and frames of the subscription received before this one: then it began with them.
+        const firstOffset = Math.min(event.next, earlyDeliveries.get(key)?.[0]?.offset ?? Infinity);
+        const request = requests.get(`${event.conn}\n${event.topic}`) ?? {
+          t: event.t,
+          cursor: event.cursor,
+          lastReceivedAt: 0,
+        };
+        const { cursor, lastReceivedAt: from } = request;
+        const description = `${event.consumer} ${event.topic} resumed at ${firstOffset} after ${cursor}`;
+        if (cursor !== undefined && event.next <= cursor) record.report('once', event.t, description);
+        if (cursor !== undefined && firstOffset > cursor + 1) {
+          const between = [...record.accepted(event.topic)].filter(
+            (publish) => publish.offset! > cursor && publish.offset! < firstOffset,
+          );
+          const excused = between.length
+            ? between.every((publish) => record.mayBeMissing(event.topic, publish.firstAttemptAt, from, event.t))
+            : record.absences(event.topic).some((absence) => absence.from <= event.t && from <= absence.to);
+          if (!excused) record.report('skipped', event.t, description);
         }
-        if (lines.has(key)) break; // asked twice, one subscription
-        const l: Line = {
-          consumer: s.consumer,
-          topic: s.topic,
-          conn: s.conn,
-          start,
-          asked: ask.t,
-          okAt: s.t,
+        if (subscriptions.has(key)) break; // repeated Subscribe, same subscription
+        const subscription: SubscriptionRecord = {
+          consumer: event.consumer,
+          topic: event.topic,
+          conn: event.conn,
+          firstOffset,
+          requestedAt: request.t,
+          acknowledgedAt: event.t,
           cursor,
-          got: early.get(key) ?? [],
+          deliveries: earlyDeliveries.get(key) ?? [],
         };
-        // The stream and the answers are two ways: LEFT or the conn's end may have been seen before the answer.
-        const over = ended.get(key) ?? ended.get(s.conn);
-        if (over) {
-          l.endAt = over.t;
-          l.endWhy = over.why;
-          if (ended.has(key)) l.leftAt = over.t;
+        // Answers do not arrive on the stream: LEFT or the end of the session may have been seen before the answer.
+        const ending = ended.get(key) ?? ended.get(event.conn);
+        if (ending) {
+          subscription.endedAt = ending.t;
+          subscription.endReason = ending.why;
+          if (ended.has(key)) subscription.leftAt = ending.t;
         }
-        early.delete(key);
-        lines.set(key, l);
-        record.lines.push(l);
-        push(byConn, s.conn, l);
+        earlyDeliveries.delete(key);
+        subscriptions.set(key, subscription);
+        record.lines.push(subscription);
+        appendTo(subscriptionsByConn, event.conn, subscription);
         break;
       }
       case 'left': {
-        const key = `${s.conn}\n${s.topic}\n${s.sub}`;
-        const l = lines.get(key);
-        ended.set(key, { t: s.t, why: s.reason });
-        asks.delete(`${s.conn}\n${s.topic}`);
-        if (l) {
-          l.leftAt ??= s.t;
-          l.endAt ??= s.t;
-          l.endWhy ??= s.reason;
+        const key = `${event.conn}\n${event.topic}\n${event.sub}`;
+        const subscription = subscriptions.get(key);
+        ended.set(key, { t: event.t, why: event.reason });
+        requests.delete(`${event.conn}\n${event.topic}`);
+        if (subscription) {
+          subscription.leftAt ??= event.t;
+          subscription.endedAt ??= event.t;
+          subscription.endReason ??= event.reason;
         }
-        if (s.reason === 'cursor_expired') expired(record, s.t, s.consumer, s.topic, s.cursor);
+        if (event.reason === 'cursor_expired')
+          checkExpiredCursor(record, event.t, event.consumer, event.topic, event.cursor);
         if (
-          s.reason === 'topic_removed' &&
-          !record.away(s.topic).some((w) => w.from <= s.t && s.t <= w.to + record.bounds.wayMs)
+          event.reason === 'topic_removed' &&
+          !record
+            .absences(event.topic)
+            .some((absence) => absence.from <= event.t && event.t <= absence.to + record.bounds.wayMs)
         ) {
-          record.say('lost', s.t, `${s.consumer} was told that ${s.topic} was removed, which it never was`);
+          record.report(
+            'lost',
+            event.t,
+            `${event.consumer} was told that ${event.topic} was removed, which it never was`,
+          );
         }
         break;
       }
       case 'conn.end':
-        ended.set(s.conn, { t: s.t, why: s.why });
-        for (const l of byConn.get(s.conn) ?? [])
-          if (l.endAt === undefined) {
-            l.endAt = s.t;
-            l.endWhy = s.why;
+        ended.set(event.conn, { t: event.t, why: event.why });
+        for (const subscription of subscriptionsByConn.get(event.conn) ?? [])
+          if (subscription.endedAt === undefined) {
+            subscription.endedAt = event.t;
+            subscription.endReason = event.why;
           }
         break;
       case 'deliver': {
-        const key = `${s.conn}\n${s.topic}\n${s.sub}`;
-        const l = lines.get(key);
-        const p = record.pubs.get(idOf(s));
-        const what = `${s.topic} ${s.sender}#${s.seq}`;
-        if (!p || p.body !== s.body || p.firstTry > s.t)
-          record.say('invented', s.t, `${what} was delivered but never published so`);
-        else if (turnedAway(p)) record.say('turned_away', s.t, `${what} was rejected on every try and delivered`);
-        const b = shown.get(`${s.topic}\n${s.offset}`);
-        if (b && (b.sender !== s.sender || b.seq !== s.seq || b.body !== s.body))
-          record.say('lost', s.t, `${s.topic} offset ${s.offset} shown as two messages`);
-        shown.set(`${s.topic}\n${s.offset}`, s);
-        if (p?.offset !== undefined && p.offset !== s.offset)
-          record.say('once', s.t, `${what} accepted at ${p.offset}, delivered at ${s.offset}`);
-        if (record.removed(s.topic, s.t))
-          record.say('removed_flow', s.t, `${s.consumer} ${s.topic} offset ${s.offset} delivered on a removed family`);
-        gotAt.set(`${s.consumer}\n${s.topic}`, s.t);
-        const got = `${s.consumer} got ${s.topic} offset ${s.offset}`;
-        if (l) {
-          if (l.leftAt !== undefined) record.say('left', s.t, `${got} after it had left`);
-          l.got.push(s);
-        } else if (ended.has(key)) record.say('left', s.t, `${got} after it had left`);
-        else if (!asks.has(`${s.conn}\n${s.topic}`)) record.say('unasked', s.t, `${got} on a conn that never asked`);
-        else push(early, key, s);
+        const key = `${event.conn}\n${event.topic}\n${event.sub}`;
+        const subscription = subscriptions.get(key);
+        const publish = record.publishes.get(messageId(event));
+        const what = `${event.topic} ${event.sender}#${event.seq}`;
+        if (!publish || publish.body !== event.body || publish.firstAttemptAt > event.t)
+          record.report('invented', event.t, `${what} was delivered but never published so`);
+        else if (isAlwaysRejected(publish))
+          record.report('turned_away', event.t, `${what} was rejected on every try and delivered`);
+        const earlier = shownByOffset.get(`${event.topic}\n${event.offset}`);
+        if (earlier && (earlier.sender !== event.sender || earlier.seq !== event.seq || earlier.body !== event.body))
+          record.report('lost', event.t, `${event.topic} offset ${event.offset} shown as two messages`);
+        shownByOffset.set(`${event.topic}\n${event.offset}`, event);
+        if (publish?.offset !== undefined && publish.offset !== event.offset)
+          record.report('once', event.t, `${what} accepted at ${publish.offset}, delivered at ${event.offset}`);
+        if (record.isRemoved(event.topic, event.t))
+          record.report(
+            'removed_flow',
+            event.t,
+            `${event.consumer} ${event.topic} offset ${event.offset} delivered on a removed family`,
+          );
+        lastReceivedAt.set(`${event.consumer}\n${event.topic}`, event.t);
+        const got = `${event.consumer} got ${event.topic} offset ${event.offset}`;
+        if (subscription) {
+          if (subscription.leftAt !== undefined) record.report('left', event.t, `${got} after it had left`);
+          subscription.deliveries.push(event);
+        } else if (ended.has(key)) record.report('left', event.t, `${got} after it had left`);
+        else if (!requests.has(`${event.conn}\n${event.topic}`))
+          record.report('unasked', event.t, `${got} on a conn that never asked`);
+        else appendTo(earlyDeliveries, key, event);
         break;
       }
       default:
         break;
     }
   }
-  // Where the answer to Subscribe got lost its frames are still asked for; where another was told of, they are not.
-  const toldOf = new Set(record.lines.map((l) => `${l.conn}\n${l.topic}`));
-  for (const [key, l] of early)
-    if (toldOf.has(key.slice(0, key.lastIndexOf('\n'))))
-      record.say(
+  // If every answer to Subscribe was lost, deliveries are still legitimate. If the client was told of another subscription to the topic,
+  // deliveries on this one are not.
+  const announced = new Set(record.lines.map((subscription) => `${subscription.conn}\n${subscription.topic}`));
+  for (const [key, deliveries] of earlyDeliveries)
+    if (announced.has(key.slice(0, key.lastIndexOf('\n'))))
+      record.report(
         'unasked',
-        l[0]!.t,
-        `${key.replaceAll('\n', ' ')} got ${l.length} messages on a subscription it was never told of`,
+        deliveries[0]!.t,
+        `${key.replaceAll('\n', ' ')} got ${deliveries.length} messages on a subscription it was never told of`,
       );
 }
 
-function expired(record: DayRecord, t: number, consumer: string, topic: string, cursor: number | undefined): void {
+function checkExpiredCursor(
+  record: RunRecord,
+  t: number,
+  consumer: string,
+  topic: string,
+  cursor: number | undefined,
+): void {
   if (cursor === undefined) return;
-  const behind = [...record.accepted(topic)].filter((p) => p.offset! > cursor && p.acceptedAt! <= t);
-  // A try whose outcome nobody learned may stand behind the cursor, of any age: then the judge can't tell.
-  const unsure = [...record.pubs.values()].some(
-    (p) =>
-      p.topic === topic &&
-      p.offset === undefined &&
-      p.firstTry <= t &&
-      !(p.outs.length === p.tries && p.outs.every((o) => o === 'rejected')),
+  const behind = [...record.accepted(topic)].filter((publish) => publish.offset! > cursor && publish.acceptedAt! <= t);
+  // An attempt with an unknown outcome may be stored after the cursor, however old: then nothing can be said of the oldest missing message.
+  const hasUnknownOutcome = [...record.publishes.values()].some(
+    (publish) =>
+      publish.topic === topic &&
+      publish.offset === undefined &&
+      publish.firstAttemptAt <= t &&
+      !(publish.outcomes.length === publish.attempts && publish.outcomes.every((outcome) => outcome === 'rejected')),
   );
-  const next = behind.find((p) => p.offset === cursor + 1);
-  // Offsets are given as messages are stored, so the oldest it lacks is the next. One first tried long ago may have been stored as long ago.
+  const next = behind.find((publish) => publish.offset === cursor + 1);
+  // Offsets are assigned in the order of storing, so the oldest missing message has the next offset. It may have been stored as early as
+  // its first attempt, so its age counts from there.
   const oldest =
     next ??
-    (unsure ? undefined : behind.reduce<Pub | undefined>((a, p) => (!a || p.offset! < a.offset! ? p : a), undefined));
-  const fam = record.familyAt(topic, t);
+    (hasUnknownOutcome
+      ? undefined
+      : behind.reduce<PublishRecord | undefined>(
+          (least, publish) => (!least || publish.offset! < least.offset! ? publish : least),
+          undefined,
+        ));
+  const family = record.familyAt(topic, t);
   const what = `${consumer} could not resume ${topic} behind ${cursor}`;
-  if (fam && oldest && !record.excused(topic, oldest.firstTry, 0, t) && t - oldest.firstTry < fam.memoryS * 1000) {
-    record.say('resume', t, `${what}; the oldest it lacks is ${Math.round(t - oldest.acceptedAt!)} ms old`);
+  if (
+    family &&
+    oldest &&
+    !record.mayBeMissing(topic, oldest.firstAttemptAt, 0, t) &&
+    t - oldest.firstAttemptAt < family.memoryS * 1000
+  ) {
+    record.report('resume', t, `${what}; the oldest it lacks is ${Math.round(t - oldest.acceptedAt!)} ms old`);
   }
-  if (fam && !behind.length && !unsure) record.say('resume', t, `${what} though it lacks nothing`);
+  if (family && !behind.length && !hasUnknownOutcome) record.report('resume', t, `${what} though it lacks nothing`);
 }
--- a/packages/trial/src/oracle/waits.ts
+++ b/packages/trial/src/oracle/waits.ts
@@ -1,10 +1,13 @@
-/** What callers wait for, and the bounds of what nodes keep. */
-import { push, type DayRecord, type Of } from './record.js';
+/** How long publishers wait, the retry times they are given, and the size limits of queues and history on nodes. */
+import { appendTo, type RunRecord, type EventOfKind } from './record.js';
 
-/** A rejection is for when nobody serves the key; finding that out takes no longer. Whether a topic exists two nodes may see differently for a while. */
+/**
+ * Limit on the time until a publish is rejected: long enough to find out that no node serves the shard. `unknown_topic` is exempt:
+ * two nodes may disagree for a while on whether a topic exists.
+ */
 const REJECT_MS = 1_500;
-/** Bounds of a node's holdings, as told to operators in docs/operators.md. */
-const HOLDINGS = new Map([
+/** Size limits of the queues and buffers of a node, as documented in docs/operators.md. */
+const DOCUMENTED_BOUNDS = new Map([
   ['edge', 3_000],
   ['publish', 2_000],
   ['fan', 1_000],
@@ -12,53 +15,67 @@
   ['conn.oversized', 2 * 1024 * 1024],
 ]);
 
-export function waits(record: DayRecord): void {
-  const tries = new Map<number, Of<'pub.try'>>();
-  const hints = new Map<string, { t: number; ms: number }[]>();
-  const silent = new Map<number, Of<'pub.try'>>();
-  for (const s of record.seen) {
-    if (s.k === 'pub.try') {
-      tries.set(s.try, s);
-      silent.set(s.try, s);
+export function checkWaits(record: RunRecord): void {
+  const attempts = new Map<number, EventOfKind<'pub.try'>>();
+  const retryHints = new Map<string, { t: number; ms: number }[]>();
+  const unanswered = new Map<number, EventOfKind<'pub.try'>>();
+  for (const event of record.seen) {
+    if (event.k === 'pub.try') {
+      attempts.set(event.try, event);
+      unanswered.set(event.try, event);
     }
-    if (s.k === 'conn.end' && s.retryMs !== undefined && s.why !== 'replaced')
-      push(hints, `${record.nodeOf.get(s.conn)} ${s.why}`, { t: s.t, ms: s.retryMs });
-    if (s.k !== 'pub.answer') continue;
-    silent.delete(s.try);
-    const p = tries.get(s.try)!;
-    const what = `${s.topic} ${s.sender}#${s.seq} at ${s.node}`;
-    const ms = s.t - p.t;
-    const fam = record.familyAt(s.topic, p.t);
-    if (record.bounds.timed && fam) {
-      const well = record.sky.well(s.node, p.t, s.t) && !record.sky.anyPoor(p.t, s.t);
-      if (s.tag === 'no answer') {
-        if (well) record.say('held', s.t, `${what} got no answer in ${Math.round(ms)} ms, and the node was well`);
-      } else if (well && ms > fam.patienceMs + record.bounds.wayMs)
-        record.say(
+    if (event.k === 'conn.end' && event.retryMs !== undefined && event.why !== 'replaced')
+      appendTo(retryHints, `${record.nodeOfConn.get(event.conn)} ${event.why}`, { t: event.t, ms: event.retryMs });
+    if (event.k !== 'pub.answer') continue;
+    unanswered.delete(event.try);
+    const attempt = attempts.get(event.try)!;
+    const what = `${event.topic} ${event.sender}#${event.seq} at ${event.node}`;
+    const elapsedMs = event.t - attempt.t;
+    const family = record.familyAt(event.topic, attempt.t);
+    if (record.bounds.timed && family) {
+      const isWell =
+        record.fleetConditions.well(event.node, attempt.t, event.t) &&
+        !record.fleetConditions.anyPoor(attempt.t, event.t);
+      if (event.tag === 'no answer') {
+        if (isWell)
+          record.report('held', event.t, `${what} got no answer in ${Math.round(elapsedMs)} ms, and the node was well`);
+      } else if (isWell && elapsedMs > family.patienceMs + record.bounds.wayMs)
+        record.report(
           'held',
-          s.t,
-          `${what} was answered ${s.out} after ${Math.round(ms)} ms; its patience is ${fam.patienceMs} ms`,
+          event.t,
+          `${what} was answered ${event.out} after ${Math.round(elapsedMs)} ms; its patience is ${family.patienceMs} ms`,
         );
-      else if (well && s.out === 'rejected' && s.tag !== 'unknown_topic' && ms > REJECT_MS + record.bounds.wayMs)
-        record.say('held', s.t, `${what} was rejected (${s.tag}) only after ${Math.round(ms)} ms`);
+      else if (
+        isWell &&
+        event.out === 'rejected' &&
+        event.tag !== 'unknown_topic' &&
+        elapsedMs > REJECT_MS + record.bounds.wayMs
+      )
+        record.report('held', event.t, `${what} was rejected (${event.tag}) only after ${Math.round(elapsedMs)} ms`);
     }
-    if (s.status === 503 || s.status === 504) {
-      if (s.retryMs === undefined || s.retryMs <= 0)
-        record.say('come_back', s.t, `${what} was answered ${s.status} ${s.tag} without a time to come back`);
-      else push(hints, `${s.node} ${s.tag}`, { t: s.t, ms: s.retryMs });
+    if (event.status === 503 || event.status === 504) {
+      if (event.retryMs === undefined || event.retryMs <= 0)
+        record.report(
+          'come_back',
+          event.t,
+          `${what} was answered ${event.status} ${event.tag} without a time to come back`,
+        );
+      else appendTo(retryHints, `${event.node} ${event.tag}`, { t: event.t, ms: event.retryMs });
     }
   }
-  for (const [who, hs] of hints) {
-    // In any second with enough answers, the times to come back are spread.
-    for (let i = 0; i < hs.length;) {
-      const group = hs.filter((h) => h.t >= hs[i]!.t && h.t < hs[i]!.t + 1_000).map((h) => h.ms);
+  for (const [source, hints] of retryHints) {
+    // Retry times given within one second must be spread out, so that clients don't return together; judged from 12 answers on.
+    for (let i = 0; i < hints.length;) {
+      const group = hints
+        .filter((hint) => hint.t >= hints[i]!.t && hint.t < hints[i]!.t + 1_000)
+        .map((hint) => hint.ms);
       const distinct = new Set(group).size;
-      const wide = Math.max(...group) - Math.min(...group);
-      if (group.length >= 12 && (distinct < group.length / 3 || wide < Math.max(...group) / 4)) {
-        record.say(
+      const spreadMs = Math.max(...group) - Math.min(...group);
+      if (group.length >= 12 && (distinct < group.length / 3 || spreadMs < Math.max(...group) / 4)) {
+        record.report(
           'come_back',
-          hs[i]!.t,
-          `${who}: ${group.length} were told to come back at ${distinct} times, ${wide} ms apart at most`,
+          hints[i]!.t,
+          `${source}: ${group.length} were told to come back at ${distinct} times, ${spreadMs} ms apart at most`,
         );
       }
       i += Math.max(1, group.length);
@@ -66,31 +83,39 @@
   }
 }
 
-export function holdings(record: DayRecord): void {
-  const accepted = [...record.pubs.values()].filter((p) => p.acceptedAt !== undefined).map((p) => p.acceptedAt!);
-  const returns = record.sky.returns().sort((a, b) => b - a);
-  for (const s of record.seen) {
-    if (s.k !== 'node.says') continue;
-    for (const h of s.holdings ?? []) {
-      const bound = HOLDINGS.get(h.name);
+export function checkQueueBounds(record: RunRecord): void {
+  const accepted = [...record.publishes.values()]
+    .filter((publish) => publish.acceptedAt !== undefined)
+    .map((publish) => publish.acceptedAt!);
+  const returns = record.fleetConditions.returns().sort((a, b) => b - a);
+  for (const event of record.seen) {
+    if (event.k !== 'node.says') continue;
+    for (const holding of event.holdings ?? []) {
+      const bound = DOCUMENTED_BOUNDS.get(holding.name);
       if (bound === undefined)
-        record.say('bounds', s.t, `${s.node} has a holding '${h.name}' that the docs do not know`);
-      else if (h.bound > bound || h.most > bound)
-        record.say(
+        record.report('bounds', event.t, `${event.node} has a holding '${holding.name}' that the docs do not know`);
+      else if (holding.bound > bound || holding.most > bound)
+        record.report(
           'bounds',
-          s.t,
-          `${s.node} ${h.name}: ${h.most} held with a bound of ${h.bound}; ${bound} is promised`,
+          event.t,
+          `${event.node} ${holding.name}: ${holding.most} held with a bound of ${holding.bound}; ${bound} is promised`,
         );
     }
-    if (s.kept === undefined) continue;
-    const fams = record.taken.filter((x) => x.t <= s.t).at(-1)?.config.families ?? [];
-    const keep = Math.max(0, ...fams.map((f) => f.memoryS)) * 1_500 + 15_000 + 15_000;
-    // Everything accepted so lately, what is still under way or unknown, and a barrier for each time a key was taken.
-    // What a machine finds on its disk begins its life in memory anew, and may come to others so: an age counts from the last return.
-    let back = s.t - keep;
-    for (const r of returns) if (r <= s.t && r >= back) back = Math.min(back, r - keep);
-    const may = accepted.filter((t) => t > back).length * 1.2 + 1_500;
-    if (s.kept > may)
-      record.say('bounds', s.t, `${s.node} keeps ${s.kept} entries; ${Math.round(may)} were accepted lately enough`);
+    if (event.kept === undefined) continue;
+    const families = record.taken.filter((x) => x.t <= event.t).at(-1)?.config.families ?? [];
+    const keepMs = Math.max(0, ...families.map((f) => f.memoryS)) * 1_500 + 15_000 + 15_000;
+    // Allows everything accepted within the retention time, plus what is in progress or has an unknown outcome, plus one barrier entry
+    // per ownership change. A machine that restarts counts the age of what it loads from its disk from its start, and may copy it to
+    // other machines that way: so the age counts from the last return of a machine.
+    let countedFrom = event.t - keepMs;
+    for (const returnedAt of returns)
+      if (returnedAt <= event.t && returnedAt >= countedFrom) countedFrom = Math.min(countedFrom, returnedAt - keepMs);
+    const allowed = accepted.filter((t) => t > countedFrom).length * 1.2 + 1_500;
+    if (event.kept > allowed)
+      record.report(
+        'bounds',
+        event.t,
+        `${event.node} keeps ${event.kept} entries; ${Math.round(allowed)} were accepted lately enough`,
+      );
   }
 }
