--- a/packages/trial/src/faults.ts
+++ b/packages/trial/src/faults.ts
@@ -1,4 +1,4 @@
-/** Every scenario with faults, by name. */
+/** All fault scenarios, by name. */
 import { CLIENT_FAULTS } from './faults/client-faults.js';
 import { CLOCK_FAULTS } from './faults/clock-faults.js';
 import { DISK_FAULTS } from './faults/disk-faults.js';
@@ -7,7 +7,7 @@
 import { OPERATOR_FAULTS } from './faults/operator-faults.js';
 import type { Scenario } from './scenario.js';
 
-/** Every fault of the brief, by name. */
+/** All fault scenarios, by the name that the sweep takes. */
 export const SCENARIOS = new Map<string, Scenario>([
   ...MACHINE_FAULTS,
   ...DISK_FAULTS,
--- a/packages/trial/src/faults/client-faults.ts
+++ b/packages/trial/src/faults/client-faults.ts
@@ -1,8 +1,8 @@
-/** Scenarios of clients that stay away, vanish, come in crowds or press too hard. */
+/** Scenarios in which clients disconnect for long, vanish, arrive all at once or overload the fleet. */
 import { SHARD } from '@harecross/kernel';
 import { Consumer, Pipeliner, Sender } from '../actors.js';
 import type { Scenario } from '../scenario.js';
-import { any, CROWDED, pause } from './common.js';
+import { randomElement, CROWDED, pause } from './common.js';
 
 export const CLIENT_FAULTS: [string, Scenario][] = [
   [
@@ -10,58 +10,58 @@
     {
       forMs: 130_000,
       skewMs: 60_000,
-      faults: async (s) => {
-        // Consumers stay away for nearly as long as messages are remembered, and take up their cursors at whichever node, while history is
-        // trimmed, keys change hands, machines come back so late that they are given snapshots, clocks jump, and the power fails.
-        const aways = async (): Promise<void> => {
-          for (const c of s.crowd.consumers)
-            if (s.random.next() < 0.5) {
-              c.domain = any(s, s.site.domains);
-              void c.away(12_000 + 11_000 * s.random.next());
+      faults: async (context) => {
+        // Consumers disconnect for nearly the retention time and resume with their cursors at any node. Meanwhile history is trimmed,
+        // shards change owners, a machine returns so late that its replicas need snapshots, clocks jump, and the power fails.
+        const sendConsumersAway = async (): Promise<void> => {
+          for (const consumer of context.crowd.consumers)
+            if (context.random.next() < 0.5) {
+              consumer.domain = randomElement(context, context.site.domains);
+              void consumer.away(12_000 + 11_000 * context.random.next());
             }
-          await pause(s, 24_000);
+          await pause(context, 24_000);
         };
-        const late = any(s, s.stores);
-        s.note(`${late.name} is gone for long`);
-        s.sim.kill(late);
+        const longAbsent = randomElement(context, context.stores);
+        context.note(`${longAbsent.name} is gone for long`);
+        context.sim.kill(longAbsent);
         for (let i = 0; i < 3; i++) {
-          void aways();
-          await pause(s, 8_000);
-          const n = any(
-            s,
-            s.disks.filter((x) => x !== late),
+          void sendConsumersAway();
+          await pause(context, 8_000);
+          const node = randomElement(
+            context,
+            context.disks.filter((other) => other !== longAbsent),
           );
           if (i === 1) {
-            s.note('all power fails');
-            for (const x of s.sim.nodes.values()) s.sim.kill(x);
-            await pause(s, 800);
-            for (const x of s.sim.nodes.values())
-              if (x !== late) {
-                x.skewMs += (s.random.next() * 2 - 1) * 3_600_000;
-                await s.sim.start(x);
+            context.note('all power fails');
+            for (const other of context.sim.nodes.values()) context.sim.kill(other);
+            await pause(context, 800);
+            for (const other of context.sim.nodes.values())
+              if (other !== longAbsent) {
+                other.skewMs += (context.random.next() * 2 - 1) * 3_600_000;
+                await context.sim.start(other);
               }
           } else {
-            s.note(`stop ${n.name}`);
-            await s.sim.stop(n);
-            await pause(s, 600);
-            await s.sim.start(n);
+            context.note(`stop ${node.name}`);
+            await context.sim.stop(node);
+            await pause(context, 600);
+            await context.sim.start(node);
           }
-          await pause(s, 18_000);
+          await pause(context, 18_000);
         }
-        await s.sim.start(late);
-        void aways();
-        await pause(s, 5_000);
-        const n = any(
-          s,
-          s.disks.filter((x) => x !== late),
+        await context.sim.start(longAbsent);
+        void sendConsumersAway();
+        await pause(context, 5_000);
+        const node = randomElement(
+          context,
+          context.disks.filter((other) => other !== longAbsent),
         );
-        s.note(`kill ${n.name}`);
-        s.sim.kill(n);
-        await pause(s, 25_000);
-        await s.sim.start(n);
-        const snapshots = late.kernel!.counters.get('copy.snapshots') ?? 0;
-        s.note(`${late.name} was given ${snapshots} snapshots`);
-        if (!snapshots) throw new Error('no copy was given a snapshot: the fault was not caused');
+        context.note(`kill ${node.name}`);
+        context.sim.kill(node);
+        await pause(context, 25_000);
+        await context.sim.start(node);
+        const snapshots = longAbsent.kernel!.counters.get('copy.snapshots') ?? 0;
+        context.note(`${longAbsent.name} was given ${snapshots} snapshots`);
+        if (!snapshots) throw new Error('no replica received a snapshot: the scenario did not cause its fault');
       },
     },
   ],
@@ -69,57 +69,60 @@
     'handovers',
     {
       forMs: 35_000,
-      faults: async (s) => {
-        // Owners are stopped, killed and silenced in turn while eight publishes at a time are on their way to many of their topics.
-        const more = s.crowd.topics
+      faults: async (context) => {
+        // Owners are stopped, killed and cut off in turn while up to eight publishes at a time are in progress on many of their topics.
+        const extra = context.crowd.topics
           .slice(4, 16)
-          .map((t, i) => new Pipeliner(s.world, `many${i}`, any(s, s.site.domains), t, 60));
-        for (const m of more) m.start();
+          .map(
+            (topic, i) =>
+              new Pipeliner(context.world, `many${i}`, randomElement(context, context.site.domains), topic, 60),
+          );
+        for (const pipeliner of extra) pipeliner.start();
         for (let i = 0; i < 6; i++) {
-          const n = any(s, s.disks);
-          s.note(`${['stop', 'kill', 'silence'][i % 3]} ${n.name}`);
+          const node = randomElement(context, context.disks);
+          context.note(`${['stop', 'kill', 'silence'][i % 3]} ${node.name}`);
           if (i % 3 === 0) {
-            await s.sim.stop(n);
-            await pause(s, 700);
-            await s.sim.start(n);
+            await context.sim.stop(node);
+            await pause(context, 700);
+            await context.sim.start(node);
           } else if (i % 3 === 1) {
-            s.sim.kill(n);
-            await pause(s, 2_000);
-            await s.sim.start(n);
+            context.sim.kill(node);
+            await pause(context, 2_000);
+            await context.sim.start(node);
           } else {
-            for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name);
-            await pause(s, 2_500);
-            s.sim.heal();
+            for (const other of context.sim.nodes.values()) if (other !== node) context.sim.cut(node.name, other.name);
+            await pause(context, 2_500);
+            context.sim.heal();
           }
-          await pause(s, 3_000);
+          await pause(context, 3_000);
         }
-        for (const m of more) m.stop();
-        await pause(s, 3_000);
+        for (const pipeliner of extra) pipeliner.stop();
+        await pause(context, 3_000);
       },
     },
   ],
   [
     'churn',
     {
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 40; i++) {
-          const c = any(s, s.crowd.consumers);
-          const x = s.random.next();
-          if (x < 0.4) c.drop();
-          else if (x < 0.7) void c.away(500 + 12_000 * s.random.next());
-          else if (x < 0.85) {
-            c.domain = any(s, s.site.domains);
-            c.drop('moved');
+          const consumer = randomElement(context, context.crowd.consumers);
+          const choice = context.random.next();
+          if (choice < 0.4) consumer.drop();
+          else if (choice < 0.7) void consumer.away(500 + 12_000 * context.random.next());
+          else if (choice < 0.85) {
+            consumer.domain = randomElement(context, context.site.domains);
+            consumer.drop('moved');
           } else {
-            const t = any(s, [...c.want]);
-            if (t) {
-              await c.unsubscribe(t);
-              void pause(s, 6_000 * s.random.next()).then(() => c.again(t));
+            const topic = randomElement(context, [...consumer.want]);
+            if (topic) {
+              await consumer.unsubscribe(topic);
+              void pause(context, 6_000 * context.random.next()).then(() => consumer.again(topic));
             }
           }
-          await pause(s, 300);
+          await pause(context, 300);
         }
-        await pause(s, 8_000);
+        await pause(context, 8_000);
       },
     },
   ],
@@ -128,36 +131,37 @@
     {
       site: CROWDED,
       forMs: 40_000,
-      faults: async (s) => {
-        // Phones vanish without closing, conns are reset nearly all at once, callers move, and an owner dies just then.
-        const op = s.crowd.operator;
-        let on = true;
+      faults: async (context) => {
+        // Clients vanish without closing, 90 % of the streams are reset at once, clients move to other domains, and a store machine is killed
+        // at that moment.
+        const operator = context.crowd.operator;
+        let counting = true;
         void (async () => {
-          while (on) {
-            await pause(s, 120);
-            void op.count(any(s, s.crowd.topics));
-            void op.count('u/0');
+          while (counting) {
+            await pause(context, 120);
+            void operator.count(randomElement(context, context.crowd.topics));
+            void operator.count('u/0');
           }
         })();
         for (let i = 0; i < 3; i++) {
-          const gone = s.crowd.consumers.filter(() => s.random.next() < 0.25);
-          s.note(`${gone.length} phones vanish`);
-          for (const c of gone) c.vanish();
-          await pause(s, 4_000);
-          const n = any(s, s.stores);
-          s.note(`mass reset, and ${n.name} dies`);
-          s.sim.resetStreams(0.9);
-          s.sim.kill(n);
-          await pause(s, 2_000);
-          for (const c of s.crowd.consumers.filter((x) => !gone.includes(x)).slice(0, 12)) {
-            c.domain = any(s, s.site.domains);
-            c.drop('moved');
+          const vanished = context.crowd.consumers.filter(() => context.random.next() < 0.25);
+          context.note(`${vanished.length} phones vanish`);
+          for (const consumer of vanished) consumer.vanish();
+          await pause(context, 4_000);
+          const node = randomElement(context, context.stores);
+          context.note(`mass reset, and ${node.name} dies`);
+          context.sim.resetStreams(0.9);
+          context.sim.kill(node);
+          await pause(context, 2_000);
+          for (const consumer of context.crowd.consumers.filter((other) => !vanished.includes(other)).slice(0, 12)) {
+            consumer.domain = randomElement(context, context.site.domains);
+            consumer.drop('moved');
           }
-          await s.sim.start(n);
-          for (const c of gone) c.start();
-          await pause(s, 4_000);
+          await context.sim.start(node);
+          for (const consumer of vanished) consumer.start();
+          await pause(context, 4_000);
         }
-        on = false;
+        counting = false;
       },
     },
   ],
@@ -165,23 +169,23 @@
     'crowd',
     {
       forMs: 15_000,
-      faults: async (s) => {
-        s.note('a crowd arrives at once');
-        const more = Array.from(
+      faults: async (context) => {
+        context.note('a crowd arrives at once');
+        const extra = Array.from(
           { length: 240 },
           (_, i) =>
             new Consumer(
-              s.world,
+              context.world,
               `crowd${i}`,
-              any(s, s.site.domains),
-              [s.crowd.topics[i % s.crowd.topics.length]!, 'u/0'],
+              randomElement(context, context.site.domains),
+              [context.crowd.topics[i % context.crowd.topics.length]!, 'u/0'],
               { jitterMs: 50 },
             ),
         );
-        for (const c of more) c.start();
-        await pause(s, 8_000);
-        for (const c of more.slice(0, 120)) c.stop();
-        await pause(s, 3_000);
+        for (const consumer of extra) consumer.start();
+        await pause(context, 8_000);
+        for (const consumer of extra.slice(0, 120)) consumer.stop();
+        await pause(context, 3_000);
       },
     },
   ],
@@ -189,47 +193,58 @@
     'overload',
     {
       forMs: 30_000,
-      faults: async (s) => {
-        // Disks get so slow that visits pile up; the bounds are made small for the while, so that a small site meets them.
-        const was = { ownerQueueLimit: SHARD.ownerQueueLimit };
-        // Eight publishes on the way would fill so small a holding alone.
-        for (const x of s.crowd.senders) if (x instanceof Pipeliner) x.stop();
-        const seen = s.world.journal.seen;
+      faults: async (context) => {
+        // Disks become so slow that publishes queue up. The queue limit is lowered meanwhile, so that a small deployment reaches it.
+        const original = { ownerQueueLimit: SHARD.ownerQueueLimit };
+        // The eight publishes that a pipelined sender has in progress would fill so small a queue alone.
+        for (const sender of context.crowd.senders) if (sender instanceof Pipeliner) sender.stop();
+        const seen = context.world.journal.seen;
         try {
-          for (const n of s.disks) n.kernel!.use('owner').resizePublishQueue(8);
-          for (const n of s.disks) n.diskMs = 250;
-          const more = Array.from(
+          for (const node of context.disks) node.kernel!.use('owner').resizePublishQueue(8);
+          for (const node of context.disks) node.diskMs = 250;
+          const floodSenders = Array.from(
             { length: 30 },
             (_, i) =>
               new Sender(
-                s.world,
+                context.world,
                 `flood${i}`,
-                any(s, s.site.domains),
-                s.crowd.topics.filter((_, j) => j % 30 === i),
+                randomElement(context, context.site.domains),
+                context.crowd.topics.filter((_, j) => j % 30 === i),
                 60,
                 { triesN: 12 },
               ),
           );
-          const from = seen.length;
-          for (const x of more) x.start();
-          await pause(s, 9_000);
-          for (const x of more) x.stop();
-          const share = (prefix: string): number => {
-            const a = seen.slice(from).filter((x) => x.k === 'pub.answer' && x.topic.startsWith(prefix));
-            return a.filter((x) => x.k === 'pub.answer' && x.out === 'rejected').length / Math.max(1, a.length);
+          const firstEvent = seen.length;
+          for (const sender of floodSenders) sender.start();
+          await pause(context, 9_000);
+          for (const sender of floodSenders) sender.stop();
+          const rejectedShare = (prefix: string): number => {
+            const answers = seen
+              .slice(firstEvent)
+              .filter((event) => event.k === 'pub.answer' && event.topic.startsWith(prefix));
+            return (
+              answers.filter((event) => event.k === 'pub.answer' && event.out === 'rejected').length /
+              Math.max(1, answers.length)
+            );
           };
-          const prefix = (urgency: string): string => s.site.families.find((f) => f.urgency === urgency)!.prefix;
-          const [u, r] = [share(prefix('urgent')), share(prefix('routine'))];
-          s.note(`rejected: urgent ${(100 * u).toFixed(1)} %, routine ${(100 * r).toFixed(1)} %`);
-          if (r === 0) throw new Error('nothing was rejected: the fault was not caused');
-          if (u > r / 2) throw new Error(`urgent ${u.toFixed(3)} and routine ${r.toFixed(3)} were rejected alike`);
+          const prefix = (urgency: string): string =>
+            context.site.families.find((family) => family.urgency === urgency)!.prefix;
+          const [urgentShare, routineShare] = [rejectedShare(prefix('urgent')), rejectedShare(prefix('routine'))];
+          context.note(
+            `rejected: urgent ${(100 * urgentShare).toFixed(1)} %, routine ${(100 * routineShare).toFixed(1)} %`,
+          );
+          if (routineShare === 0) throw new Error('no publish was rejected: the scenario did not cause its fault');
+          if (urgentShare > routineShare / 2)
+            throw new Error(
+              `rejected share of urgent publishes is ${urgentShare.toFixed(3)}, over half of the ${routineShare.toFixed(3)} of routine ones`,
+            );
         } finally {
-          for (const n of s.disks) {
-            n.diskMs = 2;
-            n.kernel?.use('owner').resizePublishQueue(was.ownerQueueLimit);
+          for (const node of context.disks) {
+            node.diskMs = 2;
+            node.kernel?.use('owner').resizePublishQueue(original.ownerQueueLimit);
           }
         }
-        await pause(s, 6_000);
+        await pause(context, 6_000);
       },
     },
   ],
--- a/packages/trial/src/faults/clock-faults.ts
+++ b/packages/trial/src/faults/clock-faults.ts
@@ -1,18 +1,18 @@
-/** Scenarios in which clocks are wrong, jump, or run at a wrong rate. */
+/** Scenarios in which clocks are skewed, jump, or run too fast or too slow. */
 import type { Scenario } from '../scenario.js';
-import { any, pause } from './common.js';
+import { randomElement, pause } from './common.js';
 
 export const CLOCK_FAULTS: [string, Scenario][] = [
   [
     'skew',
     {
       skewMs: 300_000,
-      faults: async (s) => {
-        const n = any(s, s.stores);
-        s.sim.kill(n);
-        await pause(s, 4_000);
-        await s.sim.start(n);
-        await pause(s, 4_000);
+      faults: async (context) => {
+        const node = randomElement(context, context.stores);
+        context.sim.kill(node);
+        await pause(context, 4_000);
+        await context.sim.start(node);
+        await pause(context, 4_000);
       },
     },
   ],
@@ -20,25 +20,25 @@
     'clock-jump',
     {
       forMs: 45_000,
-      faults: async (s) => {
-        // Machines without a clock of their own come back with the wrong time: an hour behind, or an hour ahead.
+      faults: async (context) => {
+        // Machines without a hardware clock restart with a wall clock that is an hour behind or ahead.
         const hour = 3_600_000;
-        for (const [i, n] of [...s.relays.slice(0, 3), s.stores[0]!, s.stores[1]!].entries()) {
-          s.sim.kill(n);
-          n.skewMs += (i % 2 ? 1 : -1) * hour;
-          s.note(`${n.name} comes back ${i % 2 ? 'an hour ahead' : 'an hour behind'}`);
-          await pause(s, 800);
-          await s.sim.start(n);
-          await pause(s, 3_500);
+        for (const [i, node] of [...context.relays.slice(0, 3), context.stores[0]!, context.stores[1]!].entries()) {
+          context.sim.kill(node);
+          node.skewMs += (i % 2 ? 1 : -1) * hour;
+          context.note(`${node.name} comes back ${i % 2 ? 'an hour ahead' : 'an hour behind'}`);
+          await pause(context, 800);
+          await context.sim.start(node);
+          await pause(context, 3_500);
         }
-        // All of them at once, and every consumer resumes where it left off.
-        for (const c of s.crowd.consumers) void c.away(4_000);
-        for (const n of s.sim.nodes.values()) s.sim.kill(n);
-        for (const n of s.sim.nodes.values()) {
-          n.skewMs += hour;
-          await s.sim.start(n);
+        // All machines restart with a wrong clock at once, and every consumer resumes with its cursor.
+        for (const consumer of context.crowd.consumers) void consumer.away(4_000);
+        for (const node of context.sim.nodes.values()) context.sim.kill(node);
+        for (const node of context.sim.nodes.values()) {
+          node.skewMs += hour;
+          await context.sim.start(node);
         }
-        await pause(s, 12_000);
+        await pause(context, 12_000);
       },
     },
   ],
@@ -46,18 +46,18 @@
     'wrong-rates',
     {
       forMs: 40_000,
-      faults: async (s) => {
-        // Clocks run up to 3 % fast or slow, and are corrected by minutes while the machines run.
-        for (const n of s.sim.nodes.values()) s.sim.setRate(n, 0.97 + 0.06 * s.random.next());
+      faults: async (context) => {
+        // Clocks run up to 3 % too fast or too slow, and wall clocks are stepped by up to 15 minutes while the machines run.
+        for (const node of context.sim.nodes.values()) context.sim.setRate(node, 0.97 + 0.06 * context.random.next());
         for (let i = 0; i < 3; i++) {
-          const n = any(s, s.stores);
-          n.stepMs += (s.random.next() * 2 - 1) * 900_000;
-          s.note(`kill ${n.name}; its wall clock is off by ${Math.round(n.stepMs)} ms`);
-          s.sim.kill(n);
-          await pause(s, 3_000);
-          await s.sim.start(n);
-          s.sim.resetStreams(0.5);
-          await pause(s, 5_000);
+          const node = randomElement(context, context.stores);
+          node.stepMs += (context.random.next() * 2 - 1) * 900_000;
+          context.note(`kill ${node.name}; its wall clock is off by ${Math.round(node.stepMs)} ms`);
+          context.sim.kill(node);
+          await pause(context, 3_000);
+          await context.sim.start(node);
+          context.sim.resetStreams(0.5);
+          await pause(context, 5_000);
         }
       },
     },
--- a/packages/trial/src/faults/common.ts
+++ b/packages/trial/src/faults/common.ts
@@ -1,4 +1,4 @@
-/** Sites of the scenarios' own, and small helpers that all of them use. */
+/** Deployments for particular scenarios, and helpers for all of them. */
 import { sleep } from '@harecross/kernel';
 import { SMALL, type Site, type Stage } from '../scenario.js';
 
@@ -6,7 +6,8 @@
 export const EIGHT_DISKS: Site = { ...SMALL, name: 'eight-disks', stores: 4, relayDisks: 4 };
 /** Topics with 0, 1, 5 and more than 50 listeners. */
 export const CROWDED: Site = { ...SMALL, name: 'crowded', consumers: 60 };
-/** One of these, by the stage's random numbers. */
-export const any = <T>(s: Stage, xs: T[]): T => xs[Math.floor(s.random.next() * xs.length)]!;
-/** Lets virtual time pass. */
-export const pause = (s: Stage, ms: number): Promise<void> => sleep(s.sim.clock, ms);
+/** A random element, by the random numbers of the scenario. */
+export const randomElement = <T>(context: Stage, items: T[]): T =>
+  items[Math.floor(context.random.next() * items.length)]!;
+/** Waits in virtual time. */
+export const pause = (context: Stage, ms: number): Promise<void> => sleep(context.sim.clock, ms);
--- a/packages/trial/src/faults/disk-faults.ts
+++ b/packages/trial/src/faults/disk-faults.ts
@@ -1,78 +1,78 @@
-/** Scenarios in which disks are lost, stall or fill up, and power fails. */
+/** Scenarios of lost, stalled and full disks, and of power failures. */
 import type { Scenario } from '../scenario.js';
-import { any, pause } from './common.js';
+import { randomElement, pause } from './common.js';
 
 export const DISK_FAULTS: [string, Scenario][] = [
   [
     'lost-disk',
     {
       forMs: 70_000,
-      faults: async (s) => {
-        const n = any(s, s.stores);
-        s.note(`disk of ${n.name} dies`);
-        s.sim.loseDisk(n);
-        if (s.random.next() < 0.5) {
-          await pause(s, 4_000);
-          await s.sim.start(n);
-          s.note(`${n.name} is back, empty`);
+      faults: async (context) => {
+        const node = randomElement(context, context.stores);
+        context.note(`disk of ${node.name} dies`);
+        context.sim.loseDisk(node);
+        if (context.random.next() < 0.5) {
+          await pause(context, 4_000);
+          await context.sim.start(node);
+          context.note(`${node.name} is back, empty`);
         }
-        await pause(s, 50_000);
-        const m = any(
-          s,
-          s.disks.filter((x) => x !== n),
+        await pause(context, 50_000);
+        const second = randomElement(
+          context,
+          context.disks.filter((other) => other !== node),
         );
-        s.note(`kill ${m.name}`);
-        s.sim.kill(m);
-        await pause(s, 4_000);
-        await s.sim.start(m);
+        context.note(`kill ${second.name}`);
+        context.sim.kill(second);
+        await pause(context, 4_000);
+        await context.sim.start(second);
       },
     },
   ],
   [
     'power',
     {
-      faults: async (s) => {
-        const n = any(s, s.stores);
-        const m = any(
-          s,
-          s.disks.filter((x) => x !== n),
+      faults: async (context) => {
+        const node = randomElement(context, context.stores);
+        const second = randomElement(
+          context,
+          context.disks.filter((other) => other !== node),
         );
-        s.note(`power of ${n.name} and ${m.name} fails`);
-        s.sim.kill(n);
-        s.sim.kill(m);
-        await pause(s, 2_000);
-        await s.sim.start(n);
-        await pause(s, 3_000);
-        await s.sim.start(m);
+        context.note(`power of ${node.name} and ${second.name} fails`);
+        context.sim.kill(node);
+        context.sim.kill(second);
+        await pause(context, 2_000);
+        await context.sim.start(node);
+        await pause(context, 3_000);
+        await context.sim.start(second);
       },
     },
   ],
   [
     'blackout',
     {
-      faults: async (s) => {
-        s.note('all power fails');
-        for (const n of s.sim.nodes.values()) s.sim.kill(n);
-        s.world.journal.add({ k: 'closing' });
-        await pause(s, 1_500);
-        for (const n of s.sim.nodes.values()) await s.sim.start(n);
-        await pause(s, 16_000);
+      faults: async (context) => {
+        context.note('all power fails');
+        for (const node of context.sim.nodes.values()) context.sim.kill(node);
+        context.world.journal.add({ k: 'closing' });
+        await pause(context, 1_500);
+        for (const node of context.sim.nodes.values()) await context.sim.start(node);
+        await pause(context, 16_000);
       },
     },
   ],
   [
     'blackout-lost-disk',
     {
-      faults: async (s) => {
-        // The power of all machines fails, and one of the disks does not survive it: what was acknowledged is on the others.
-        const n = any(s, s.disks);
-        s.note(`all power fails, and the disk of ${n.name} dies`);
-        for (const x of s.sim.nodes.values()) if (x !== n) s.sim.kill(x);
-        s.sim.loseDisk(n);
-        s.world.journal.add({ k: 'closing' });
-        await pause(s, 1_500);
-        for (const x of s.sim.nodes.values()) await s.sim.start(x);
-        await pause(s, 16_000);
+      faults: async (context) => {
+        // All machines lose power, and one disk is lost too: everything acknowledged must be on the other disks.
+        const node = randomElement(context, context.disks);
+        context.note(`all power fails, and the disk of ${node.name} dies`);
+        for (const other of context.sim.nodes.values()) if (other !== node) context.sim.kill(other);
+        context.sim.loseDisk(node);
+        context.world.journal.add({ k: 'closing' });
+        await pause(context, 1_500);
+        for (const other of context.sim.nodes.values()) await context.sim.start(other);
+        await pause(context, 16_000);
       },
     },
   ],
@@ -80,14 +80,14 @@
     'wiped-seeds',
     {
       forMs: 75_000,
-      faults: async (s) => {
-        // The seeds' disks die one after another, each given time for repair: no second fleet may be founded.
-        for (const n of s.stores.slice(0, 3)) {
-          s.note(`disk of ${n.name} dies`);
-          s.sim.loseDisk(n);
-          await pause(s, 2_500);
-          await s.sim.start(n);
-          await pause(s, 20_000);
+      faults: async (context) => {
+        // The disks of the seeds are lost one after another, with time for repair between them: no second fleet may be bootstrapped.
+        for (const node of context.stores.slice(0, 3)) {
+          context.note(`disk of ${node.name} dies`);
+          context.sim.loseDisk(node);
+          await pause(context, 2_500);
+          await context.sim.start(node);
+          await pause(context, 20_000);
         }
       },
     },
@@ -96,15 +96,15 @@
     'stall',
     {
       forMs: 30_000,
-      faults: async (s) => {
-        // Syncs of 1 to 3 s that stop the whole loop: on one machine, then another; owners, copies and seats are among them.
+      faults: async (context) => {
+        // Disk syncs block the whole event loop for 1 to 3 s, on one machine after another: of shard owners, replicas and voters.
         for (let i = 0; i < 3; i++) {
-          const n = any(s, s.disks);
-          s.note(`syncs of ${n.name} stop its loop`);
-          n.stallMs = [1_000, 3_000];
-          await pause(s, 5_000);
-          n.stallMs = undefined;
-          await pause(s, 4_000);
+          const node = randomElement(context, context.disks);
+          context.note(`syncs of ${node.name} stop its loop`);
+          node.stallMs = [1_000, 3_000];
+          await pause(context, 5_000);
+          node.stallMs = undefined;
+          await pause(context, 4_000);
         }
       },
     },
@@ -113,16 +113,16 @@
     'full-disk',
     {
       forMs: 30_000,
-      faults: async (s) => {
-        const n = any(s, s.disks);
-        s.note(`disk of ${n.name} is full`);
-        s.sim.fillDisk(n, true);
-        for (let i = 0; i < 400 && n.up; i++) await pause(s, 50);
-        if (n.up) throw new Error(`${n.name} goes on with a full disk`);
-        await pause(s, 4_000);
-        s.sim.fillDisk(n, false);
-        await s.sim.start(n);
-        await pause(s, 6_000);
+      faults: async (context) => {
+        const node = randomElement(context, context.disks);
+        context.note(`disk of ${node.name} is full`);
+        context.sim.fillDisk(node, true);
+        for (let i = 0; i < 400 && node.up; i++) await pause(context, 50);
+        if (node.up) throw new Error(`${node.name} keeps running with a full disk`);
+        await pause(context, 4_000);
+        context.sim.fillDisk(node, false);
+        await context.sim.start(node);
+        await pause(context, 6_000);
       },
     },
   ],
--- a/packages/trial/src/faults/machine-faults.ts
+++ b/packages/trial/src/faults/machine-faults.ts
@@ -1,27 +1,27 @@
-/** Scenarios in which machines die, freeze, slow down, come and go. */
+/** Scenarios in which machines are killed, restarted, frozen, slowed down, added or removed. */
 import type { Scenario } from '../scenario.js';
-import { any, pause } from './common.js';
+import { randomElement, pause } from './common.js';
 
 export const MACHINE_FAULTS: [string, Scenario][] = [
   [
     'calm',
     {
-      faults: async (s) => {
-        await pause(s, 10_000);
+      faults: async (context) => {
+        await pause(context, 10_000);
       },
     },
   ],
   [
     'kill-relay',
     {
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 3; i++) {
-          const n = any(s, s.relays);
-          s.note(`kill ${n.name}`);
-          s.sim.kill(n);
-          await pause(s, 3_000);
-          await s.sim.start(n);
-          await pause(s, 2_000);
+          const node = randomElement(context, context.relays);
+          context.note(`kill ${node.name}`);
+          context.sim.kill(node);
+          await pause(context, 3_000);
+          await context.sim.start(node);
+          await pause(context, 2_000);
         }
       },
     },
@@ -29,14 +29,14 @@
   [
     'kill-store',
     {
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 3; i++) {
-          const n = any(s, s.stores);
-          s.note(`kill ${n.name}`);
-          s.sim.kill(n);
-          await pause(s, 1_000 + 5_000 * s.random.next());
-          await s.sim.start(n);
-          await pause(s, 3_000);
+          const node = randomElement(context, context.stores);
+          context.note(`kill ${node.name}`);
+          context.sim.kill(node);
+          await pause(context, 1_000 + 5_000 * context.random.next());
+          await context.sim.start(node);
+          await pause(context, 3_000);
         }
       },
     },
@@ -45,13 +45,13 @@
     'rolling',
     {
       forMs: 60_000,
-      faults: async (s) => {
-        for (const n of [...s.stores, ...s.relays]) {
-          s.note(`stop ${n.name}`);
-          if (!(await s.sim.stop(n))) s.note(`${n.name} had to be killed`);
-          await pause(s, 1_500);
-          await s.sim.start(n);
-          await pause(s, 3_000);
+      faults: async (context) => {
+        for (const node of [...context.stores, ...context.relays]) {
+          context.note(`stop ${node.name}`);
+          if (!(await context.sim.stop(node))) context.note(`${node.name} had to be killed`);
+          await pause(context, 1_500);
+          await context.sim.start(node);
+          await pause(context, 3_000);
         }
       },
     },
@@ -59,15 +59,15 @@
   [
     'freeze',
     {
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 3; i++) {
-          const n = any(s, [...s.stores, ...s.relays]);
-          s.note(`freeze ${n.name}`);
-          s.sim.freeze(n);
-          await pause(s, 1_000 + 6_000 * s.random.next());
-          s.sim.thaw(n);
-          s.note(`thaw ${n.name}`);
-          await pause(s, 2_000);
+          const node = randomElement(context, [...context.stores, ...context.relays]);
+          context.note(`freeze ${node.name}`);
+          context.sim.freeze(node);
+          await pause(context, 1_000 + 6_000 * context.random.next());
+          context.sim.thaw(node);
+          context.note(`thaw ${node.name}`);
+          await pause(context, 2_000);
         }
       },
     },
@@ -75,14 +75,14 @@
   [
     'slow',
     {
-      faults: async (s) => {
-        const n = any(s, s.disks);
-        n.slowMs = 150;
-        n.diskMs = 120;
-        await pause(s, 8_000);
-        n.slowMs = 0;
-        n.diskMs = 2;
-        await pause(s, 3_000);
+      faults: async (context) => {
+        const node = randomElement(context, context.disks);
+        node.slowMs = 150;
+        node.diskMs = 120;
+        await pause(context, 8_000);
+        node.slowMs = 0;
+        node.diskMs = 2;
+        await pause(context, 3_000);
       },
     },
   ],
@@ -90,16 +90,16 @@
     'slow-relay',
     {
       forMs: 25_000,
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 6; i++) {
-          const n = any(s, [...s.relays, ...s.stores]);
-          s.note(`${n.name} is slow`);
-          n.slowMs = 250;
-          n.diskMs = 100;
-          await pause(s, 500 + 2_500 * s.random.next());
-          n.slowMs = 0;
-          n.diskMs = 2;
-          await pause(s, 800);
+          const node = randomElement(context, [...context.relays, ...context.stores]);
+          context.note(`${node.name} is slow`);
+          node.slowMs = 250;
+          node.diskMs = 100;
+          await pause(context, 500 + 2_500 * context.random.next());
+          node.slowMs = 0;
+          node.diskMs = 2;
+          await pause(context, 800);
         }
       },
     },
@@ -107,13 +107,17 @@
   [
     'join',
     {
-      faults: async (s) => {
+      faults: async (context) => {
         for (const [i, disk] of [true, false, true].entries()) {
-          const n = s.sim.add(`new${i}`, { role: disk ? 'store' : 'relay', domain: any(s, s.site.domains), disk });
-          n.config.seeds = s.stores.slice(0, 3).map((x) => x.config.peer);
-          await s.sim.start(n);
-          s.note(`${n.name} joins`);
-          await pause(s, 6_000);
+          const node = context.sim.add(`new${i}`, {
+            role: disk ? 'store' : 'relay',
+            domain: randomElement(context, context.site.domains),
+            disk,
+          });
+          node.config.seeds = context.stores.slice(0, 3).map((other) => other.config.peer);
+          await context.sim.start(node);
+          context.note(`${node.name} joins`);
+          await pause(context, 6_000);
         }
       },
     },
@@ -122,13 +126,16 @@
     'closing',
     {
       forMs: 10_000,
-      faults: async (s) => {
-        s.note('closing fault: half of the relays and a store die for good');
-        // Of machines with disks a store and at most one relay: a majority of everything stays at either site.
-        const v = [...s.relays.filter((r, i) => (r.config.data ? i === 0 : i % 2 === 0)), any(s, s.stores)];
-        for (const n of v) s.sim.kill(n);
-        s.world.journal.add({ k: 'closing' });
-        await pause(s, 17_000);
+      faults: async (context) => {
+        context.note('closing fault: half of the relays and a store die for good');
+        // Of the machines with a disk, one store and at most one relay are killed: every replica set keeps its majority in either deployment.
+        const victims = [
+          ...context.relays.filter((relay, i) => (relay.config.data ? i === 0 : i % 2 === 0)),
+          randomElement(context, context.stores),
+        ];
+        for (const node of victims) context.sim.kill(node);
+        context.world.journal.add({ k: 'closing' });
+        await pause(context, 17_000);
       },
     },
   ],
@@ -136,12 +143,12 @@
     'domain-dies',
     {
       forMs: 12_000,
-      faults: async (s) => {
-        const d = any(s, s.site.domains);
-        s.note(`all machines of ${d} die for good`);
-        for (const n of s.sim.nodes.values()) if (n.config.domain === d) s.sim.kill(n);
-        s.world.journal.add({ k: 'closing' });
-        await pause(s, 17_000);
+      faults: async (context) => {
+        const domain = randomElement(context, context.site.domains);
+        context.note(`all machines of ${domain} die for good`);
+        for (const node of context.sim.nodes.values()) if (node.config.domain === domain) context.sim.kill(node);
+        context.world.journal.add({ k: 'closing' });
+        await pause(context, 17_000);
       },
     },
   ],
@@ -151,35 +158,36 @@
       forMs: 40_000,
       opts: { loss: 0.01 },
       skewMs: 60_000,
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 7; i++) {
-          const n = any(s, [...s.stores, ...s.relays]);
-          const x = s.random.next();
-          if (x < 0.35) {
-            s.note(`kill ${n.name}`);
-            s.sim.kill(n);
-            await pause(s, 500 + 4_000 * s.random.next());
-            await s.sim.start(n);
-          } else if (x < 0.6) {
-            s.note(`freeze ${n.name}`);
-            s.sim.freeze(n);
-            await pause(s, 500 + 4_000 * s.random.next());
-            s.sim.thaw(n);
-          } else if (x < 0.8) {
-            s.note(`cut ${n.name}`);
-            for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, s.random.next() < 0.5);
-            await pause(s, 500 + 4_000 * s.random.next());
-            s.sim.heal();
+          const node = randomElement(context, [...context.stores, ...context.relays]);
+          const choice = context.random.next();
+          if (choice < 0.35) {
+            context.note(`kill ${node.name}`);
+            context.sim.kill(node);
+            await pause(context, 500 + 4_000 * context.random.next());
+            await context.sim.start(node);
+          } else if (choice < 0.6) {
+            context.note(`freeze ${node.name}`);
+            context.sim.freeze(node);
+            await pause(context, 500 + 4_000 * context.random.next());
+            context.sim.thaw(node);
+          } else if (choice < 0.8) {
+            context.note(`cut ${node.name}`);
+            for (const other of context.sim.nodes.values())
+              if (other !== node) context.sim.cut(node.name, other.name, context.random.next() < 0.5);
+            await pause(context, 500 + 4_000 * context.random.next());
+            context.sim.heal();
           } else {
-            s.note(`stop ${n.name}`);
-            await s.sim.stop(n);
-            await pause(s, 700);
-            await s.sim.start(n);
+            context.note(`stop ${node.name}`);
+            await context.sim.stop(node);
+            await pause(context, 700);
+            await context.sim.start(node);
           }
-          if (s.random.next() < 0.3) s.sim.resetStreams(0.5);
-          await pause(s, 1_500);
+          if (context.random.next() < 0.3) context.sim.resetStreams(0.5);
+          await pause(context, 1_500);
         }
-        await pause(s, 4_000);
+        await pause(context, 4_000);
       },
     },
   ],
--- a/packages/trial/src/faults/network-faults.ts
+++ b/packages/trial/src/faults/network-faults.ts
@@ -1,44 +1,45 @@
-/** Scenarios in which links lose packets, break, or connections end. */
+/** Scenarios in which links lose packets or are cut, and connections are reset. */
 import { Consumer, Sender } from '../actors.js';
 import { configOf, type Scenario } from '../scenario.js';
-import { any, EIGHT_DISKS, pause } from './common.js';
+import { randomElement, EIGHT_DISKS, pause } from './common.js';
 
 export const NETWORK_FAULTS: [string, Scenario][] = [
   [
     'loss',
     {
       opts: { loss: 0.05, delayMs: [5, 40] },
-      faults: async (s) => {
-        await pause(s, 15_000);
+      faults: async (context) => {
+        await pause(context, 15_000);
       },
     },
   ],
   [
     'resets',
     {
-      faults: async (s) => {
+      faults: async (context) => {
         for (let i = 0; i < 10; i++) {
-          s.sim.resetStreams(0.1);
-          await pause(s, 500);
+          context.sim.resetStreams(0.1);
+          await pause(context, 500);
         }
-        s.note('mass reset');
-        s.sim.resetStreams(0.97);
-        await pause(s, 6_000);
+        context.note('mass reset');
+        context.sim.resetStreams(0.97);
+        await pause(context, 6_000);
       },
     },
   ],
   [
     'cut',
     {
-      faults: async (s) => {
-        const n = any(s, [...s.stores, ...s.relays]);
-        s.note(`cut off ${n.name}`);
-        const both = s.random.next() < 0.5;
-        for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, both);
-        await pause(s, 4_000 + 6_000 * s.random.next());
-        s.sim.heal();
-        s.note('healed');
-        await pause(s, 4_000);
+      faults: async (context) => {
+        const node = randomElement(context, [...context.stores, ...context.relays]);
+        context.note(`cut off ${node.name}`);
+        const both = context.random.next() < 0.5;
+        for (const other of context.sim.nodes.values())
+          if (other !== node) context.sim.cut(node.name, other.name, both);
+        await pause(context, 4_000 + 6_000 * context.random.next());
+        context.sim.heal();
+        context.note('healed');
+        await pause(context, 4_000);
       },
     },
   ],
@@ -47,40 +48,44 @@
     {
       site: EIGHT_DISKS,
       forMs: 30_000,
-      faults: async (s) => {
-        // Some links of one machine break: it keeps its majority of seats, but not that of every shard's copies.
-        const n = any(s, s.stores);
-        const far = s.disks
-          .filter((x) => x !== n)
-          .sort(() => s.random.next() - 0.5)
+      faults: async (context) => {
+        // Some links of one machine are cut: it still reaches a majority of the voters, but not of the replicas of every shard.
+        const node = randomElement(context, context.stores);
+        const unreachable = context.disks
+          .filter((event) => event !== node)
+          .sort(() => context.random.next() - 0.5)
           .slice(0, 3);
-        s.note(`${n.name} loses its links to ${far.map((x) => x.name).join(' ')}`);
-        for (const o of far) s.sim.cut(n.name, o.name);
-        await pause(s, 8_000);
-        const seen = s.world.journal.seen;
+        context.note(`${node.name} loses its links to ${unreachable.map((event) => event.name).join(' ')}`);
+        for (const other of unreachable) context.sim.cut(node.name, other.name);
+        await pause(context, 8_000);
+        const seen = context.world.journal.seen;
         const from = seen.length;
-        await pause(s, 8_000);
-        const a = seen.slice(from).filter((x) => x.k === 'pub.answer');
-        const ok = a.filter((x) => x.k === 'pub.answer' && x.out === 'accepted').length;
-        s.note(`accepted ${ok} of ${a.length} while the links were cut`);
-        if (ok < a.length * 0.99)
-          throw new Error(`only ${ok} of ${a.length} publishes were accepted while the links of ${n.name} were cut`);
-        s.sim.heal();
-        await pause(s, 5_000);
+        await pause(context, 8_000);
+        const answers = seen.slice(from).filter((event) => event.k === 'pub.answer');
+        const ok = answers.filter((event) => event.k === 'pub.answer' && event.out === 'accepted').length;
+        context.note(`accepted ${ok} of ${answers.length} while the links were cut`);
+        if (ok < answers.length * 0.99)
+          throw new Error(
+            `only ${ok} of ${answers.length} publishes were accepted while the links of ${node.name} were cut`,
+          );
+        context.sim.heal();
+        await pause(context, 5_000);
       },
     },
   ],
   [
     'split',
     {
-      faults: async (s) => {
-        const side = new Set([...s.sim.nodes.values()].filter(() => s.random.next() < 0.4).map((n) => n.name));
-        s.note(`split off ${[...side].join(' ')}`);
-        for (const a of s.sim.nodes.keys())
-          for (const b of s.sim.nodes.keys()) if (side.has(a) && !side.has(b)) s.sim.cut(a, b);
-        await pause(s, 5_000);
-        s.sim.heal();
-        await pause(s, 6_000);
+      faults: async (context) => {
+        const side = new Set(
+          [...context.sim.nodes.values()].filter(() => context.random.next() < 0.4).map((n) => n.name),
+        );
+        context.note(`split off ${[...side].join(' ')}`);
+        for (const a of context.sim.nodes.keys())
+          for (const b of context.sim.nodes.keys()) if (side.has(a) && !side.has(b)) context.sim.cut(a, b);
+        await pause(context, 5_000);
+        context.sim.heal();
+        await pause(context, 6_000);
       },
     },
   ],
@@ -88,30 +93,32 @@
     'stale-owner',
     {
       forMs: 22_000,
-      faults: async (s) => {
-        // An owner and a relay are cut off together, with publishes and listeners on both sides; when they come back the
-        // owner does not know yet that its keys were taken.
+      faults: async (context) => {
+        // An owner and relays are cut off together, with publishers and listeners on both sides. When the links are restored, the owner
+        // does not know yet that other nodes own its shards now.
         for (let i = 0; i < 2; i++) {
-          const x = any(s, s.stores);
-          const off = [x, ...s.relays.filter((r) => !r.config.data).slice(i, i + 2)];
-          s.note(`cut off ${off.map((n) => n.name).join(' ')}`);
-          for (const n of off) for (const o of s.sim.nodes.values()) if (!off.includes(o)) s.sim.cut(n.name, o.name);
-          const more = Array.from(
+          const owner = randomElement(context, context.stores);
+          const isolated = [owner, ...context.relays.filter((relay) => !relay.config.data).slice(i, i + 2)];
+          context.note(`cut off ${isolated.map((node) => node.name).join(' ')}`);
+          for (const node of isolated)
+            for (const other of context.sim.nodes.values())
+              if (!isolated.includes(other)) context.sim.cut(node.name, other.name);
+          const extraSenders = Array.from(
             { length: 12 },
             (_, j) =>
               new Sender(
-                s.world,
+                context.world,
                 `more${i}-${j}`,
-                any(s, s.site.domains),
-                s.crowd.topics.filter((_, t) => t % 12 === j),
+                randomElement(context, context.site.domains),
+                context.crowd.topics.filter((_, t) => t % 12 === j),
                 80,
               ),
           );
-          for (const m of more) m.start();
-          await pause(s, 4_500);
-          s.sim.heal();
-          await pause(s, 3_500);
-          for (const m of more) m.stop();
+          for (const sender of extraSenders) sender.start();
+          await pause(context, 4_500);
+          context.sim.heal();
+          await pause(context, 3_500);
+          for (const sender of extraSenders) sender.stop();
         }
       },
     },
@@ -120,29 +127,30 @@
     'link',
     {
       forMs: 30_000,
-      faults: async (s) => {
-        // The links between one relay and two machines with disks break and nothing else: what goes that way must go round.
-        const r = any(
-          s,
-          s.relays.filter((x) => !x.config.data),
+      faults: async (context) => {
+        // Only the links between one relay and two machines with a disk are cut: requests must take a detour through other nodes.
+        const relay = randomElement(
+          context,
+          context.relays.filter((event) => !event.config.data),
         );
-        const far = [...s.disks].sort(() => s.random.next() - 0.5).slice(0, 2);
-        s.note(`the links of ${r.name} to ${far.map((x) => x.name).join(' and ')} break`);
-        for (const o of far) s.sim.cut(r.name, o.name);
-        const seen = s.world.journal.seen;
+        const unreachable = [...context.disks].sort(() => context.random.next() - 0.5).slice(0, 2);
+        context.note(`the links of ${relay.name} to ${unreachable.map((event) => event.name).join(' and ')} break`);
+        for (const other of unreachable) context.sim.cut(relay.name, other.name);
+        const seen = context.world.journal.seen;
         const from = seen.length;
-        await pause(s, 16_000);
-        const a = seen
+        await pause(context, 16_000);
+        const answers = seen
           .slice(from)
           .filter(
-            (x): x is Extract<typeof x, { k: 'pub.answer' }> => x.k === 'pub.answer' && x.node === r.config.client,
+            (event): event is Extract<typeof event, { k: 'pub.answer' }> =>
+              event.k === 'pub.answer' && event.node === relay.config.client,
           );
-        const ok = a.filter((x) => x.out === 'accepted').length;
-        s.note(`accepted ${ok} of ${a.length} through ${r.name} meanwhile`);
-        if (a.length < 15 || ok < a.length * 0.95)
-          throw new Error(`only ${ok} of ${a.length} publishes through ${r.name} were accepted`);
-        s.sim.heal();
-        await pause(s, 5_000);
+        const ok = answers.filter((event) => event.out === 'accepted').length;
+        context.note(`accepted ${ok} of ${answers.length} through ${relay.name} meanwhile`);
+        if (answers.length < 15 || ok < answers.length * 0.95)
+          throw new Error(`only ${ok} of ${answers.length} publishes through ${relay.name} were accepted`);
+        context.sim.heal();
+        await pause(context, 5_000);
       },
     },
   ],
@@ -150,16 +158,18 @@
     'half-open',
     {
       forMs: 30_000,
-      faults: async (s) => {
-        // Streams die without a word to either side, while check-ins on other connections go on: nobody may miss a word.
+      faults: async (context) => {
+        // Streams stop without an error on either side, while keepalives on other connections continue: no consumer may miss a message.
         for (let i = 0; i < 3; i++) {
-          const deaf = s.crowd.consumers.filter(() => s.random.next() < 0.4);
-          s.note(`the streams of ${deaf.length} consumers are half-open`);
-          for (const c of deaf) s.sim.deaf.add(c.name);
-          await pause(s, 8_000);
+          const halfOpen = context.crowd.consumers.filter(() => context.random.next() < 0.4);
+          context.note(`the streams of ${halfOpen.length} consumers are half-open`);
+          for (const consumer of halfOpen) context.sim.deaf.add(consumer.name);
+          await pause(context, 8_000);
         }
-        const noticed = s.world.journal.seen.filter((x) => x.k === 'conn.end' && x.why === 'dead stream').length;
-        s.note(`${noticed} were noticed`);
+        const noticed = context.world.journal.seen.filter(
+          (event) => event.k === 'conn.end' && event.why === 'dead stream',
+        ).length;
+        context.note(`${noticed} were noticed`);
         if (noticed < 15) throw new Error(`only ${noticed} dead streams were noticed`);
       },
     },
@@ -168,11 +178,11 @@
     'thin-links',
     {
       forMs: 25_000,
-      faults: async (s) => {
-        // Two consumers whose links can't keep up with bulky messages: they are retired, nobody else is held up.
-        await s.crowd.operator.submit(
+      faults: async (context) => {
+        // Two consumers have links of limited bandwidth. The one whose link is too slow for large messages is closed as saturated; others must not be delayed.
+        await context.crowd.operator.submit(
           'bulk',
-          configOf(s.site, [
+          configOf(context.site, [
             {
               name: 'bulk',
               topics: ['bulk/*'],
@@ -184,31 +194,39 @@
           ]),
           true,
         );
-        s.sim.thin.set('thin0', 40_000);
-        s.sim.thin.set('thin1', 4_000_000);
-        const cs = ['thin0', 'thin1', 'wide0'].map(
-          (n) => new Consumer(s.world, n, any(s, s.site.domains), ['bulk/0', 'r/0', 'u/0']),
+        context.sim.thin.set('thin0', 40_000);
+        context.sim.thin.set('thin1', 4_000_000);
+        const consumers = ['thin0', 'thin1', 'wide0'].map(
+          (name) =>
+            new Consumer(context.world, name, randomElement(context, context.site.domains), ['bulk/0', 'r/0', 'u/0']),
         );
-        for (const c of cs) c.start();
-        const snd = [
-          new Sender(s.world, 'bulky', s.site.domains[0]!, ['bulk/0'], 400, { bodyBytes: 100_000 }),
-          new Sender(s.world, 'chatty', s.site.domains[0]!, ['bulk/0'], 12, { bodyBytes: 20_000 }),
+        for (const consumer of consumers) consumer.start();
+        const senders = [
+          new Sender(context.world, 'bulky', context.site.domains[0]!, ['bulk/0'], 400, { bodyBytes: 100_000 }),
+          new Sender(context.world, 'chatty', context.site.domains[0]!, ['bulk/0'], 12, { bodyBytes: 20_000 }),
         ];
-        await pause(s, 1_500);
-        for (const x of snd) x.start();
-        await pause(s, 12_000);
-        for (const x of snd) x.stop();
-        s.sim.thin.clear();
-        for (const c of cs) c.drop();
-        await pause(s, 5_000);
-        const retired = s.relays.reduce((n, r) => n + (r.kernel?.counters.get('conn.closed.saturated') ?? 0), 0);
-        if (!retired) throw new Error('no conn was saturated: the fault was not caused');
+        await pause(context, 1_500);
+        for (const sender of senders) sender.start();
+        await pause(context, 12_000);
+        for (const sender of senders) sender.stop();
+        context.sim.thin.clear();
+        for (const consumer of consumers) consumer.drop();
+        await pause(context, 5_000);
+        const closedAsSaturated = context.relays.reduce(
+          (count, relay) => count + (relay.kernel?.counters.get('conn.closed.saturated') ?? 0),
+          0,
+        );
+        if (!closedAsSaturated)
+          throw new Error('no client session was saturated: the scenario did not cause its fault');
         if (
-          s.world.journal.seen.some(
-            (x) => x.k === 'conn.end' && x.consumer !== 'thin0' && (x.why === 'saturated' || x.why === 'unknown_conn'),
+          context.world.journal.seen.some(
+            (event) =>
+              event.k === 'conn.end' &&
+              event.consumer !== 'thin0' &&
+              (event.why === 'saturated' || event.why === 'unknown_conn'),
           )
         )
-          throw new Error('a conn with a good link was retired');
+          throw new Error('a client session on a fast link was closed');
       },
     },
   ],
--- a/packages/trial/src/faults/operator-faults.ts
+++ b/packages/trial/src/faults/operator-faults.ts
@@ -1,42 +1,42 @@
-/** Scenarios of operators: configurations, races, emptied disks, the calendar and placements. */
+/** Scenarios of operator actions: configuration changes, concurrent changes, emptied disks, planned moves and placements. */
 import { isInPlannedRestart } from '@harecross/control';
 import { SESSION, SHARD } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
 import { Marker, Operator } from '../actors.js';
 import { configOf, type Scenario } from '../scenario.js';
-import { any, pause, SIX_DISKS } from './common.js';
+import { randomElement, pause, SIX_DISKS } from './common.js';
 
-/** A machine knows of its planned restart this long after its time at the latest: the controller's period and one agreed change. */
+/** Longest time from the start of a planned restart until the machine knows of it: one interval of the controller and one committed change. */
 const RESTART_KNOWN_MS = 1_000;
-/** A client that is sent away has left after this long: its detach is a way there. */
+/** Time within which a client that was asked to move has left: the network delay of its detach request. */
 const CLIENT_LEAVES_MS = 100;
 
 export const OPERATOR_FAULTS: [string, Scenario][] = [
   [
     'operators',
     {
-      faults: async (s) => {
-        const plus = (n: number) =>
-          configOf(s.site, [
-            { name: `extra${n}`, topics: [`x${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 },
+      faults: async (context) => {
+        const configWith = (suffix: number) =>
+          configOf(context.site, [
+            { name: `extra${suffix}`, topics: [`x${suffix}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 },
           ]);
-        const op = s.crowd.operator;
+        const operator = context.crowd.operator;
         for (let i = 0; i < 4; i++) {
-          const v = await op.read();
+          const version = await operator.read();
           await Promise.all([
-            op.submit(`race-${i}-a`, plus(i), true, v),
-            op.submit(`race-${i}-b`, plus(10 + i), true, v),
-            op.submit(`free-${i}`, plus(20 + i), true),
-            op.submit(`bad-${i}`, { families: [{ name: 7 }] }, false),
+            operator.submit(`race-${i}-a`, configWith(i), true, version),
+            operator.submit(`race-${i}-b`, configWith(10 + i), true, version),
+            operator.submit(`free-${i}`, configWith(20 + i), true),
+            operator.submit(`bad-${i}`, { families: [{ name: 7 }] }, false),
           ]);
           if (i === 1) {
-            const n = any(s, s.stores);
-            s.sim.kill(n);
-            void pause(s, 2_500).then(() => s.sim.start(n));
+            const node = randomElement(context, context.stores);
+            context.sim.kill(node);
+            void pause(context, 2_500).then(() => context.sim.start(node));
           }
-          await pause(s, 1_000);
-          if (i > 0) await op.submit(`free-${i - 1}`, plus(20 + i - 1), true);
-          await op.read();
+          await pause(context, 1_000);
+          if (i > 0) await operator.submit(`free-${i - 1}`, configWith(20 + i - 1), true);
+          await operator.read();
         }
       },
     },
@@ -45,13 +45,13 @@
     'remove-family',
     {
       forMs: 30_000,
-      faults: async (s) => {
-        const all = configOf(s.site).families;
-        const op = s.crowd.operator;
-        await op.submit('remove', { families: all.slice(0, 1) }, true);
-        await pause(s, 9_000);
-        await op.submit('again', { families: all }, true);
-        await pause(s, 9_000);
+      faults: async (context) => {
+        const families = configOf(context.site).families;
+        const operator = context.crowd.operator;
+        await operator.submit('remove', { families: families.slice(0, 1) }, true);
+        await pause(context, 9_000);
+        await operator.submit('again', { families }, true);
+        await pause(context, 9_000);
       },
     },
   ],
@@ -59,23 +59,27 @@
     'cut-config',
     {
       forMs: 25_000,
-      faults: async (s) => {
-        // Some nodes are cut off while the configuration changes: they must stop before they serve by an old one.
-        const base = configOf(s.site);
+      faults: async (context) => {
+        // Some nodes are cut off while the configuration changes: they must stop serving rather than serve by an old configuration.
+        const base = configOf(context.site);
         for (let i = 0; i < 2; i++) {
-          const off = [any(s, s.stores), any(s, s.relays), any(s, s.relays)];
-          s.note(`cut off ${off.map((n) => n.name).join(' ')}`);
-          for (const n of off)
-            for (const o of s.sim.nodes.values())
-              if (!off.includes(o)) s.sim.cut(n.name, o.name, s.random.next() < 0.7);
-          await s.crowd.operator.submit(
+          const isolated = [
+            randomElement(context, context.stores),
+            randomElement(context, context.relays),
+            randomElement(context, context.relays),
+          ];
+          context.note(`cut off ${isolated.map((node) => node.name).join(' ')}`);
+          for (const node of isolated)
+            for (const other of context.sim.nodes.values())
+              if (!isolated.includes(other)) context.sim.cut(node.name, other.name, context.random.next() < 0.7);
+          await context.crowd.operator.submit(
             `cut-${i}`,
             { families: i % 2 ? base.families : base.families.slice(0, 1) },
             true,
           );
-          await pause(s, 6_000);
-          s.sim.heal();
-          await pause(s, 4_000);
+          await pause(context, 6_000);
+          context.sim.heal();
+          await pause(context, 4_000);
         }
       },
     },
@@ -84,50 +88,54 @@
     'marks',
     {
       forMs: 45_000,
-      faults: async (s) => {
-        // Each configuration has a marker topic of its own; every access node is asked for the last two all the time, while
-        // configurations change and machines restart, are cut off and thaw.
-        const m = new Marker(s.world);
-        const base = configOf(s.site);
+      faults: async (context) => {
+        // Each configuration has its own marker topic. Every relay is polled for the last two, while configurations change and machines
+        // restart, are cut off, freeze and thaw.
+        const marker = new Marker(context.world);
+        const base = configOf(context.site);
         const submit = async (n: number): Promise<void> => {
-          m.at = n;
-          const mark = {
+          marker.at = n;
+          const markerFamily = {
             name: `mark${n}`,
             topics: [`mark/${n}`],
             urgency: 'routine' as const,
             patienceMs: 1_000,
             memoryS: 5,
           };
-          await s.crowd.operator.submit(`mark-${n}`, { families: [...base.families, mark] }, true);
+          await context.crowd.operator.submit(`mark-${n}`, { families: [...base.families, markerFamily] }, true);
         };
         await submit(1);
-        m.start(s.relays.map((r) => r.config.client));
+        marker.start(context.relays.map((relay) => relay.config.client));
         for (let n = 2; n <= 7; n++) {
-          const v = any(s, [...s.relays, ...s.stores]);
-          const x = s.random.next();
-          if (x < 0.3) {
-            s.note(`restart ${v.name}`);
-            s.sim.kill(v);
-            void pause(s, 900).then(() => s.sim.start(v));
-          } else if (x < 0.6) {
-            s.note(`freeze ${v.name}`);
-            s.sim.freeze(v);
-            void pause(s, 2_800).then(() => s.sim.thaw(v));
-          } else if (x < 0.9) {
-            s.note(`cut off ${v.name}`);
-            for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.random.next() < 0.7);
-            void pause(s, 3_500).then(() => s.sim.heal());
+          const victim = randomElement(context, [...context.relays, ...context.stores]);
+          const choice = context.random.next();
+          if (choice < 0.3) {
+            context.note(`restart ${victim.name}`);
+            context.sim.kill(victim);
+            void pause(context, 900).then(() => context.sim.start(victim));
+          } else if (choice < 0.6) {
+            context.note(`freeze ${victim.name}`);
+            context.sim.freeze(victim);
+            void pause(context, 2_800).then(() => context.sim.thaw(victim));
+          } else if (choice < 0.9) {
+            context.note(`cut off ${victim.name}`);
+            for (const other of context.sim.nodes.values())
+              if (other !== victim) context.sim.cut(victim.name, other.name, context.random.next() < 0.7);
+            void pause(context, 3_500).then(() => context.sim.heal());
           }
-          await pause(s, 300 * s.random.next());
+          await pause(context, 300 * context.random.next());
           await submit(n);
-          await pause(s, 4_500);
+          await pause(context, 4_500);
         }
-        m.stop();
-        await s.crowd.operator.submit('no marks', base, true);
-        await pause(s, 4_000);
-        const asked = s.world.journal.seen.filter((x) => x.k === 'mark').length;
-        s.note(`${asked} answers on markers`);
-        if (asked < 4_000) throw new Error(`only ${asked} answers on markers: too few to see a quarter of a second`);
+        marker.stop();
+        await context.crowd.operator.submit('no marks', base, true);
+        await pause(context, 4_000);
+        const answerCount = context.world.journal.seen.filter((event) => event.k === 'mark').length;
+        context.note(`${answerCount} answers on markers`);
+        if (answerCount < 4_000)
+          throw new Error(
+            `only ${answerCount} marker answers: too few to notice an old configuration that is served for 250 ms`,
+          );
       },
     },
   ],
@@ -135,32 +143,32 @@
     'revisions',
     {
       forMs: 50_000,
-      faults: async (s) => {
-        // Two operators at once, each with revisions of its own, resent and late, some invalid; families are renamed, cut in two and put
-        // inside one another under traffic. Markers show by which configuration every access node serves, while machines have trouble.
-        const m = new Marker(s.world);
-        const base = configOf(s.site).families;
-        const [r, u] = [base[0]!, base[1]!];
+      faults: async (context) => {
+        // Two operators submit revisions concurrently, some resent late and some invalid. Families are renamed, split and nested under
+        // traffic. Marker topics show which configuration every relay serves by, while machines restart, freeze and are cut off.
+        const marker = new Marker(context.world);
+        const base = configOf(context.site).families;
+        const [routine, urgent] = [base[0]!, base[1]!];
         const shapes: FleetConfig['families'][] = [
           base,
           [
-            { ...r, name: u.name },
-            { ...u, name: r.name },
+            { ...routine, name: urgent.name },
+            { ...urgent, name: routine.name },
           ],
-          [{ ...r, topics: ['r/*', 'r/1*'] }, u],
-          [r, { ...r, name: 'inner', topics: ['r/1*', 'r/2'] }, u],
+          [{ ...routine, topics: ['r/*', 'r/1*'] }, urgent],
+          [routine, { ...routine, name: 'inner', topics: ['r/1*', 'r/2'] }, urgent],
           [
-            { ...r, topics: ['r*'] },
-            { ...u, topics: ['u*', 'u/0'] },
+            { ...routine, topics: ['r*'] },
+            { ...urgent, topics: ['u*', 'u/0'] },
           ],
         ];
-        let n = 0;
-        const operators = [s.crowd.operator, new Operator(s.world, 'other')];
-        const order = (i: number): Promise<unknown> => {
-          const mark = ++n;
+        let lastMark = 0;
+        const operators = [context.crowd.operator, new Operator(context.world, 'other')];
+        const submitRevision = (i: number): Promise<unknown> => {
+          const mark = ++lastMark;
           const revision = mark * 3 + i;
           const families = [
-            ...shapes[Math.floor(s.random.next() * shapes.length)]!,
+            ...shapes[Math.floor(context.random.next() * shapes.length)]!,
             {
               name: 'mark',
               topics: [`mark/${mark}`],
@@ -172,48 +180,54 @@
           ];
           const document = { revision, words: ['any', { of: null }], limits: { header: 1 } };
           const done = operators[i]!.revise(revision, { families }, true, document);
-          if (s.random.next() < 0.4)
-            void pause(s, 9_000 * s.random.next()).then(() =>
+          if (context.random.next() < 0.4)
+            void pause(context, 9_000 * context.random.next()).then(() =>
               operators[1 - i]!.revise(revision, { families }, true, document),
             );
-          if (s.random.next() < 0.4)
+          if (context.random.next() < 0.4)
             void operators[i]!.revise(
               1_000 + mark * 2 + i,
               { families: [...families, { name: 'mark', topics: [`mark/${mark}`] }] },
               false,
               document,
             );
-          m.at = mark;
+          marker.at = mark;
           return done;
         };
-        await Promise.all([order(0), order(1)]);
-        m.start(s.relays.map((x) => x.config.client));
+        await Promise.all([submitRevision(0), submitRevision(1)]);
+        marker.start(context.relays.map((relay) => relay.config.client));
         for (let round = 0; round < 6; round++) {
-          const v = any(s, [...s.relays, ...s.stores]);
-          const x = s.random.next();
-          if (x < 0.3) {
-            s.note(`restart ${v.name}`);
-            s.sim.kill(v);
-            void pause(s, 900).then(() => s.sim.start(v));
-          } else if (x < 0.6) {
-            s.note(`freeze ${v.name}`);
-            s.sim.freeze(v);
-            void pause(s, 2_800).then(() => s.sim.thaw(v));
-          } else if (x < 0.9) {
-            s.note(`cut off ${v.name}`);
-            for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.random.next() < 0.7);
-            void pause(s, 3_500).then(() => s.sim.heal());
+          const victim = randomElement(context, [...context.relays, ...context.stores]);
+          const choice = context.random.next();
+          if (choice < 0.3) {
+            context.note(`restart ${victim.name}`);
+            context.sim.kill(victim);
+            void pause(context, 900).then(() => context.sim.start(victim));
+          } else if (choice < 0.6) {
+            context.note(`freeze ${victim.name}`);
+            context.sim.freeze(victim);
+            void pause(context, 2_800).then(() => context.sim.thaw(victim));
+          } else if (choice < 0.9) {
+            context.note(`cut off ${victim.name}`);
+            for (const other of context.sim.nodes.values())
+              if (other !== victim) context.sim.cut(victim.name, other.name, context.random.next() < 0.7);
+            void pause(context, 3_500).then(() => context.sim.heal());
           }
-          await pause(s, 300 * s.random.next());
-          await Promise.all([order(0), pause(s, 600 * s.random.next()).then(() => order(1))]);
-          await pause(s, 4_500);
+          await pause(context, 300 * context.random.next());
+          await Promise.all([
+            submitRevision(0),
+            pause(context, 600 * context.random.next()).then(() => submitRevision(1)),
+          ]);
+          await pause(context, 4_500);
         }
-        m.stop();
-        await pause(s, 4_000);
-        const told = s.world.journal.seen.filter((x) => x.k === 'cfg.answer');
-        const of = (out: string): number => told.filter((x) => x.k === 'cfg.answer' && x.out === out).length;
-        s.note(`${of('taken')} taken, ${of('overtaken')} overtaken, ${of('invalid')} invalid`);
-        if (of('taken') < 8 || of('overtaken') + of('invalid') < 3) throw new Error('too few of each kind');
+        marker.stop();
+        await pause(context, 4_000);
+        const answers = context.world.journal.seen.filter((event) => event.k === 'cfg.answer');
+        const countOf = (out: string): number =>
+          answers.filter((event) => event.k === 'cfg.answer' && event.out === out).length;
+        context.note(`${countOf('taken')} taken, ${countOf('overtaken')} overtaken, ${countOf('invalid')} invalid`);
+        if (countOf('taken') < 8 || countOf('overtaken') + countOf('invalid') < 3)
+          throw new Error('too few revisions were taken, or too few were overtaken or invalid');
       },
     },
   ],
@@ -221,25 +235,25 @@
     'late-change',
     {
       forMs: 25_000,
-      faults: async (s) => {
-        const op = s.crowd.operator;
-        const plus = (n: string) =>
-          configOf(s.site, [{ name: n, topics: [`${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
+      faults: async (context) => {
+        const operator = context.crowd.operator;
+        const configWith = (name: string) =>
+          configOf(context.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
         for (let i = 0; i < 4; i++) {
-          await op.submit(`c${i}`, plus(`n${i}`), true);
-          await op.read();
+          await operator.submit(`c${i}`, configWith(`n${i}`), true);
+          await operator.read();
         }
-        await op.submit('stale', plus('stale'), true, 1);
-        const n = any(s, s.disks);
-        s.sim.kill(n);
-        // Old changes come again, long after: each has its first outcome and changes nothing.
+        await operator.submit('stale', configWith('stale'), true, 1);
+        const node = randomElement(context, context.disks);
+        context.sim.kill(node);
+        // Old changes are resent much later: each must be answered with its first outcome and change nothing.
         for (let i = 0; i < 4; i++) {
-          await op.submit(`c${i}`, plus(`n${i}`), true);
-          await op.read();
+          await operator.submit(`c${i}`, configWith(`n${i}`), true);
+          await operator.read();
         }
-        await op.submit('stale', plus('stale'), true, 1);
-        await s.sim.start(n);
-        await pause(s, 3_000);
+        await operator.submit('stale', configWith('stale'), true, 1);
+        await context.sim.start(node);
+        await pause(context, 3_000);
       },
     },
   ],
@@ -248,56 +262,56 @@
     {
       site: SIX_DISKS,
       forMs: 45_000,
-      faults: async (s) => {
-        // A disk is emptied while a machine dies and comes back; copies never get fewer.
-        const op = s.crowd.operator;
-        const d = any(s, s.disks);
-        const disk = d.kernel!.use('register').disk!;
-        const least = (): number =>
+      faults: async (context) => {
+        // A disk is emptied while a machine is killed and restarted; no shard may have fewer replicas meanwhile.
+        const operator = context.crowd.operator;
+        const drained = randomElement(context, context.disks);
+        const disk = drained.kernel!.use('register').disk!;
+        const fewestReplicas = (): number =>
           Math.min(
             ...[
-              ...s.relays
-                .find((r) => r.up)!
+              ...context.relays
+                .find((relay) => relay.up)!
                 .kernel!.use('register')
                 .value!.shards.values(),
-            ].map((p) => p.copies.length),
+            ].map((placement) => placement.copies.length),
           );
-        const before = least();
-        const r = await op.ask('EmptyDisk', { disk });
-        if (r.status !== 200) throw new Error(`EmptyDisk: ${JSON.stringify(r.body)}`);
-        // Begun, taken back half-way, and begun again.
-        await pause(s, 1_200);
-        const back = await op.ask('CancelEmpty', { disk });
-        if (back.body.state !== 'active') throw new Error(`CancelEmpty: ${JSON.stringify(back.body)}`);
-        await pause(s, 5_000);
-        const whole = (await op.ask('EmptyStatus', { disk })).body.copies as number;
-        if (whole < 20) throw new Error(`only ${whole} copies came back to ${d.name}`);
-        await op.ask('EmptyDisk', { disk });
-        const n = any(
-          s,
-          s.disks.filter((x) => x !== d),
+        const before = fewestReplicas();
+        const response = await operator.ask('EmptyDisk', { disk });
+        if (response.status !== 200) throw new Error(`EmptyDisk: ${JSON.stringify(response.body)}`);
+        // Started, cancelled half-way, and started again.
+        await pause(context, 1_200);
+        const cancelled = await operator.ask('CancelEmpty', { disk });
+        if (cancelled.body.state !== 'active') throw new Error(`CancelEmpty: ${JSON.stringify(cancelled.body)}`);
+        await pause(context, 5_000);
+        const replicaCount = (await operator.ask('EmptyStatus', { disk })).body.copies as number;
+        if (replicaCount < 20) throw new Error(`only ${replicaCount} copies came back to ${drained.name}`);
+        await operator.ask('EmptyDisk', { disk });
+        const victim = randomElement(
+          context,
+          context.disks.filter((other) => other !== drained),
         );
-        await pause(s, 1_000);
-        s.note(`kill ${n.name} while ${d.name} is emptied`);
-        s.sim.kill(n);
-        let fewest = before;
-        const watch = async (ms: number): Promise<string> => {
+        await pause(context, 1_000);
+        context.note(`kill ${victim.name} while ${drained.name} is emptied`);
+        context.sim.kill(victim);
+        let fewestSeen = before;
+        const waitUntilEmptied = async (ms: number): Promise<string> => {
           for (let t = 0; t < ms; t += 200) {
-            await pause(s, 200);
-            fewest = Math.min(fewest, least());
-            const st = await op.ask('EmptyStatus', { disk });
-            if (st.body.state === 'emptied') return 'emptied';
+            await pause(context, 200);
+            fewestSeen = Math.min(fewestSeen, fewestReplicas());
+            const status = await operator.ask('EmptyStatus', { disk });
+            if (status.body.state === 'emptied') return 'emptied';
           }
           return 'not emptied';
         };
-        await pause(s, 4_000);
-        await s.sim.start(n);
-        const end = await watch(30_000);
-        if (end !== 'emptied') throw new Error(`${d.name} is ${end}`);
-        if (fewest < before) throw new Error(`a shard had ${fewest} copies, ${before} were wanted`);
-        s.note(`${d.name} is emptied and is taken away`);
-        s.sim.loseDisk(d);
-        await pause(s, 5_000);
+        await pause(context, 4_000);
+        await context.sim.start(victim);
+        const end = await waitUntilEmptied(30_000);
+        if (end !== 'emptied') throw new Error(`${drained.name} is ${end}`);
+        if (fewestSeen < before) throw new Error(`a shard had ${fewestSeen} copies, ${before} were wanted`);
+        context.note(`${drained.name} is emptied and is taken away`);
+        context.sim.loseDisk(drained);
+        await pause(context, 5_000);
       },
     },
   ],
@@ -306,52 +320,71 @@
     {
       site: SIX_DISKS,
       forMs: 60_000,
-      faults: async (s) => {
-        // A restart, an emptying and a new machine at known times; the keeper's machine dies in between.
-        const op = s.crowd.operator;
-        const at = (ms: number): number => Math.round(s.relays[0]!.kernel!.host.clock.wall() + ms);
-        const e = s.stores[0]!,
-          r = s.relays[s.relays.length - 1]!;
-        const a = s.sim.add('added', { role: 'store', domain: any(s, s.site.domains), disk: true });
-        a.config.seeds = s.stores.slice(0, 3).map((x) => x.config.peer);
+      faults: async (context) => {
+        // A new machine, a restart and an emptied disk at planned times; the machine of the elected controller is killed in between.
+        const operator = context.crowd.operator;
+        const wallTimeIn = (ms: number): number => Math.round(context.relays[0]!.kernel!.host.clock.wall() + ms);
+        const emptiedStore = context.stores[0]!,
+          restarted = context.relays[context.relays.length - 1]!;
+        const addedNode = context.sim.add('added', {
+          role: 'store',
+          domain: randomElement(context, context.site.domains),
+          disk: true,
+        });
+        addedNode.config.seeds = context.stores.slice(0, 3).map((node) => node.config.peer);
         const moves = [
-          { id: 'new', kind: 'add', node: a.config.peer, from: at(2_000), until: at(15_000) },
-          { id: 'restart', kind: 'restart', node: r.config.peer, from: at(16_000), until: at(24_000) },
-          { id: 'empty', kind: 'empty', node: e.config.peer, from: at(25_000), until: at(50_000) },
+          { id: 'new', kind: 'add', node: addedNode.config.peer, from: wallTimeIn(2_000), until: wallTimeIn(15_000) },
+          {
+            id: 'restart',
+            kind: 'restart',
+            node: restarted.config.peer,
+            from: wallTimeIn(16_000),
+            until: wallTimeIn(24_000),
+          },
+          {
+            id: 'empty',
+            kind: 'empty',
+            node: emptiedStore.config.peer,
+            from: wallTimeIn(25_000),
+            until: wallTimeIn(50_000),
+          },
         ];
-        const bad = await op.ask('PlanMoves', {
+        const pastMove = await operator.ask('PlanMoves', {
           changeId: 'past',
-          moves: [{ id: 'p', kind: 'empty', node: e.config.peer, from: 1, until: 2 }],
+          moves: [{ id: 'p', kind: 'empty', node: emptiedStore.config.peer, from: 1, until: 2 }],
         });
-        if (bad.body.error?.tag !== 'invalid_config') throw new Error('a move in the past was taken');
-        const p = await op.plan('plan', configOf(s.site), moves);
-        if (p.status !== 200) throw new Error(JSON.stringify(p.body));
-        await s.sim.start(a);
-        // It knows of its restart soon after that began, and its last client is sent away at the end of the spread.
-        const knows = (): boolean => isInPlannedRestart(r.kernel!.use('register').value, r.config.peer);
+        if (pastMove.body.error?.tag !== 'invalid_config') throw new Error('a planned move in the past was accepted');
+        const response = await operator.plan('plan', configOf(context.site), moves);
+        if (response.status !== 200) throw new Error(JSON.stringify(response.body));
+        await context.sim.start(addedNode);
+        // The machine learns of its restart soon after the planned start, and asks its last client to move at the end of the drain spread.
+        const knows = (): boolean => isInPlannedRestart(restarted.kernel!.use('register').value, restarted.config.peer);
         const restart = moves[1]!;
-        while (!knows() && at(0) <= restart.from + RESTART_KNOWN_MS) await pause(s, 50);
-        if (!knows()) throw new Error(`${r.name} does not know of its restart after ${RESTART_KNOWN_MS} ms`);
-        await pause(s, SESSION.plannedDrainSpreadMs + CLIENT_LEAVES_MS);
-        if (r.edge!.ready()) throw new Error(`${r.name} takes conns while it is away`);
-        const conns = r.kernel!.use('sessions').size;
-        if (conns) throw new Error(`${r.name} still has ${conns} conns`);
-        await s.sim.stop(r);
-        await pause(s, 1_500);
-        await s.sim.start(r);
-        await pause(s, 6_000);
-        const keeper = s.disks.find((x) => x.up && x.kernel?.use('controller').isElected());
-        if (keeper && keeper !== e) {
-          s.note(`keeper ${keeper.name} dies`);
-          s.sim.kill(keeper);
-          await pause(s, 6_000);
-          await s.sim.start(keeper);
+        while (!knows() && wallTimeIn(0) <= restart.from + RESTART_KNOWN_MS) await pause(context, 50);
+        if (!knows()) throw new Error(`${restarted.name} does not know of its restart after ${RESTART_KNOWN_MS} ms`);
+        await pause(context, SESSION.plannedDrainSpreadMs + CLIENT_LEAVES_MS);
+        if (restarted.edge!.ready())
+          throw new Error(`${restarted.name} accepts client sessions during its planned restart`);
+        const conns = restarted.kernel!.use('sessions').size;
+        if (conns) throw new Error(`${restarted.name} still has ${conns} client sessions`);
+        await context.sim.stop(restarted);
+        await pause(context, 1_500);
+        await context.sim.start(restarted);
+        await pause(context, 6_000);
+        const leader = context.disks.find((node) => node.up && node.kernel?.use('controller').isElected());
+        if (leader && leader !== emptiedStore) {
+          context.note(`keeper ${leader.name} dies`);
+          context.sim.kill(leader);
+          await pause(context, 6_000);
+          await context.sim.start(leader);
         }
-        await pause(s, 22_000);
-        const got = (await op.ask('Moves', {})).body.moves as { id: string; state: string; why: string }[];
-        const said = got.map((m) => `${m.id} ${m.state}${m.why ? ` (${m.why})` : ''}`).join(', ');
-        if (said !== 'new done, restart done, empty done') throw new Error(said);
-        if (!r.edge!.ready()) throw new Error(`${r.name} did not come back`);
+        await pause(context, 22_000);
+        const reported = (await operator.ask('Moves', {})).body.moves as { id: string; state: string; why: string }[];
+        const summary = reported
+          .map((move) => `${move.id} ${move.state}${move.why ? ` (${move.why})` : ''}`)
+          .join(', ');
+        if (summary !== 'new done, restart done, empty done') throw new Error(summary);
+        if (!restarted.edge!.ready()) throw new Error(`${restarted.name} did not come back`);
       },
     },
   ],
@@ -360,36 +393,37 @@
     {
       site: SIX_DISKS,
       forMs: 30_000,
-      faults: async (s) => {
-        // Copies are placed by hand on three machines; one of them dies for good meanwhile and comes back.
-        const op = s.crowd.operator;
-        const on = s.stores.map((n) => n.config.peer);
+      faults: async (context) => {
+        // Replicas are placed on three machines by configuration; one of them is killed meanwhile and restarted.
+        const operator = context.crowd.operator;
+        const storePeers = context.stores.map((store) => store.config.peer);
         const config = {
-          ...configOf(s.site),
-          placement: Array.from({ length: SHARD.shardCount }, (_, shard) => ({ shard, nodes: on })),
+          ...configOf(context.site),
+          placement: Array.from({ length: SHARD.shardCount }, (_, shard) => ({ shard, nodes: storePeers })),
         };
-        const r = await op.submit('placed', config, true);
-        if (r.out !== 'taken') throw new Error(`placement ${r.out}`);
-        await pause(s, 3_000);
-        const n = any(s, s.stores);
-        s.sim.kill(n);
-        await pause(s, 4_000);
-        await s.sim.start(n);
-        await pause(s, 20_000);
-        const v = s.relays[0]!.kernel!.use('register').value!;
-        const got = [...v.shards.values()].filter(
-          (p) =>
-            p.copies
-              .map((d) => v.disks.get(d)!.peer)
+        const answer = await operator.submit('placed', config, true);
+        if (answer.out !== 'taken') throw new Error(`placement ${answer.out}`);
+        await pause(context, 3_000);
+        const victim = randomElement(context, context.stores);
+        context.sim.kill(victim);
+        await pause(context, 4_000);
+        await context.sim.start(victim);
+        await pause(context, 20_000);
+        const fleetValue = context.relays[0]!.kernel!.use('register').value!;
+        const placedAsAsked = [...fleetValue.shards.values()].filter(
+          (placement) =>
+            placement.copies
+              .map((disk) => fleetValue.disks.get(disk)!.peer)
               .sort()
-              .join() === [...on].sort().join(),
+              .join() === [...storePeers].sort().join(),
         ).length;
-        if (got !== SHARD.shardCount) throw new Error(`${got} of ${SHARD.shardCount} shards are placed as asked`);
-        const bad = await op.ask('SubmitConfig', {
+        if (placedAsAsked !== SHARD.shardCount)
+          throw new Error(`${placedAsAsked} of ${SHARD.shardCount} shards are placed as asked`);
+        const invalid = await operator.ask('SubmitConfig', {
           changeId: 'nowhere',
           config: { ...config, placement: [{ shard: 99, nodes: ['9.9.9.9:1'] }] },
         });
-        if (bad.body.error?.faults?.length !== 2) throw new Error(JSON.stringify(bad.body));
+        if (invalid.body.error?.faults?.length !== 2) throw new Error(JSON.stringify(invalid.body));
       },
     },
   ],
--- a/packages/trial/src/soak.ts
+++ b/packages/trial/src/soak.ts
@@ -1,4 +1,4 @@
-/** Command line: a soak of real processes under overlapping signals, restarts and changes, drawn from the seed and judged. */
+/** Command line: a soak test of real processes under overlapping signals, restarts and changes, drawn from the seed and checked. */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -12,7 +12,7 @@
 import { configOf, crowd, SMALL, type Site } from './scenario.js';
 import { seeded } from './sim.js';
 import { drawSoak } from './soak/schedule.js';
-import { SOAK_LOSSES, SoakStage } from './soak/stage.js';
+import { SOAK_LOSSES, SoakFaultInjector } from './soak/stage.js';
 
 const options = yargs(process.argv.slice(2))
   .scriptName('soak')
@@ -28,17 +28,18 @@
   .strict()
   .parseSync();
 
-/** Founding, and the first connections. */
-const START_MS = 6_000;
-const CALM_MS = 3_000;
-/** How long an auditor reads back what was accepted: longer than a fleet needs after its last trouble. */
+/** Time for the bootstrap of the fleet and the first connections. */
+const BOOTSTRAP_MS = 6_000;
+/** Time without faults before, after and between the phases of a run. */
+const FAULT_FREE_MS = 3_000;
+/** How long an auditor reads back accepted messages: longer than a fleet needs to recover from its last fault. */
 const AUDIT_MS = 40_000;
-/** Answers take this long on their way to the observer on a machine that has other work. */
-const WAY_MS = 1_500;
+/** Longest time that an answer takes to reach the observer on a machine with other work. */
+const OBSERVATION_DELAY_MS = 1_500;
 const IN_FORCE_MS = 3_000;
 
-/** Clients go on with a node until its process is gone, whatever it says of its condition. */
-const untilGone = (fleet: Fleet): Way => ({
+/** A client transport that keeps using a node until its process has ended, whatever its readiness endpoint answers. */
+const whileProcessRuns = (fleet: Fleet): Way => ({
   ...fleet.way,
   nodes: (domain) =>
     fleet.relays
@@ -67,41 +68,41 @@
   };
   const journal = new Journal(() => clock.now());
   const fleet = await startFleet(site, folder);
-  const world: World = { clock, random: seeded(seed), way: untilGone(fleet), journal };
+  const world: World = { clock, random: seeded(seed), way: whileProcessRuns(fleet), journal };
   const { consumers, senders, operator } = crowd(world, site, { staysUntilEnd: true });
-  const tellNode = ({ config, role }: Fleet['procs'][number]): void =>
+  const recordNode = ({ config, role }: Fleet['procs'][number]): void =>
     journal.add({ k: 'node', node: config.client, domain: config.domain, role });
-  const say = (line: string): void => {
+  const log = (line: string): void => {
     if (options.log) consola.info(`${(clock.now() / 1000).toFixed(1)} s: ${line}`);
   };
-  fleet.procs.forEach(tellNode);
+  fleet.procs.forEach(recordNode);
   journal.add({ k: 'weather', well: [], ailing: [], able: true, rough: true, poor: [] });
-  await sleep(realClock, START_MS);
+  await sleep(realClock, BOOTSTRAP_MS);
   await operator.submit('first', configOf(site), true);
   for (const actor of [...consumers, ...senders]) actor.start();
-  await sleep(realClock, CALM_MS);
+  await sleep(realClock, FAULT_FREE_MS);
 
   const entries = drawSoak(seeded(seed), options.forS * 1000);
-  const stage = new SoakStage(fleet, site, operator, say, tellNode);
-  await stage.play(entries);
-  await sleep(realClock, CALM_MS);
+  const injector = new SoakFaultInjector(fleet, site, operator, log, recordNode);
+  await injector.play(entries);
+  await sleep(realClock, FAULT_FREE_MS);
   for (const sender of senders) sender.stop();
-  await sleep(realClock, CALM_MS);
+  await sleep(realClock, FAULT_FREE_MS);
   const audited = await audit(world, 'audit', configOf(site), AUDIT_MS);
   await sleep(realClock, SETTLE_MS);
   await operator.read(true);
-  const ended = stage.endedByThemselves();
+  const ended = injector.unexpectedExits();
   journal.add({ k: 'end' });
   for (const consumer of consumers) consumer.stop();
   await fleet.close();
 
-  const bad = judge(journal.seen, { wayMs: WAY_MS, timed: false, inForceMs: IN_FORCE_MS }).filter(({ rule }) =>
-    TIMELESS_RULES.includes(rule),
+  const violations = judge(journal.seen, { wayMs: OBSERVATION_DELAY_MS, timed: false, inForceMs: IN_FORCE_MS }).filter(
+    ({ rule }) => TIMELESS_RULES.includes(rule),
   );
-  report(seed, entries.length, fleet, journal, audited, bad);
+  report(seed, entries.length, fleet, journal, audited, violations);
   for (const process of ended) consola.error(`ended by itself: ${process}`);
   writeFileSync(join(folder, 'journal.json'), journal.seen.map((seen) => JSON.stringify(seen)).join('\n'));
-  const isClean = bad.length + ended.length === 0;
+  const isClean = violations.length + ended.length === 0;
   if (isClean) rmSync(folder, { recursive: true, force: true });
   else consola.error(`logs and journal are in ${folder}`);
   return isClean;
@@ -113,15 +114,15 @@
   fleet: Fleet,
   journal: Journal,
   audited: number,
-  bad: Violation[],
+  violations: Violation[],
 ): void {
   const accepted = journal.seen.filter((seen) => seen.k === 'pub.answer' && seen.out === 'accepted').length;
   const delivered = journal.seen.filter((seen) => seen.k === 'deliver').length;
   const counts = `${fleet.procs.length} processes, ${entryCount} entries, ${accepted} accepted, ${delivered} delivered`;
   consola.info(
-    `seed ${seed}: ${counts}, ${audited} topics read back: ${bad.length ? `${bad.length} violations` : 'clean'}`,
+    `seed ${seed}: ${counts}, ${audited} topics read back: ${violations.length ? `${violations.length} violations` : 'clean'}`,
   );
-  for (const { rule, t, what } of bad.slice(0, 20)) consola.error(`${rule} at ${t}: ${what}`);
+  for (const { rule, t, what } of violations.slice(0, 20)) consola.error(`${rule} at ${t}: ${what}`);
 }
 
 let failed = 0;
--- a/packages/trial/src/soak/schedule.ts
+++ b/packages/trial/src/soak/schedule.ts
@@ -1,27 +1,27 @@
-/** The schedule of a soak: what happens when, drawn from the seed. Entries overlap, and some come in series. */
+/** The fault schedule of a soak test, drawn from the seed. Faults overlap, and some come in series. */
 import { randomInt, type RandomSource } from '@harecross/kernel';
 
 export const SOAK_KINDS = ['term', 'kill', 'freeze', 'reload', 'reset', 'change', 'replace', 'wipe'] as const;
 export type SoakKind = (typeof SOAK_KINDS)[number];
 
-/** One thing that is done to the fleet. */
+/** One fault or operator action. */
 export interface SoakEntry {
   atMs: number;
   kind: SoakKind;
-  /** Draws the machines and times of the entry. */
+  /** Seed for the machines and durations of the entry. */
   seed: number;
 }
 
-/** From one entry to the next (ms). */
+/** Time between entries. */
 const GAP_MS: readonly [number, number] = [200, 2_500];
-/** Share of entries that are the first of a series of the same kind, and how long and how close a series is. */
+/** Share of entries that start a series of the same kind, and the number and interval of the entries in a series. */
 const SERIES_SHARE = 0.25;
 const SERIES_LENGTH: readonly [number, number] = [2, 5];
 const SERIES_GAP_MS = 150;
 const SEED_RANGE = 2 ** 31;
 
 /**
- * The entries of a soak, in order.
+ * The entries of a soak test, by time.
  * @example
  * drawSoak(seeded(7), 60_000)[0]; // { atMs: 1234, kind: 'term', seed: 99 }
  */
--- a/packages/trial/src/soak/stage.ts
+++ b/packages/trial/src/soak/stage.ts
@@ -1,4 +1,4 @@
-/** Does the entries of a soak to a fleet of real processes, within what the fleet has to bear. */
+/** Applies the entries of a soak test to a fleet of real processes, within the declared losses. */
 import { rmSync } from 'node:fs';
 import { randomInt, randomSample, sleep, realClock, type RandomSource } from '@harecross/kernel';
 import type { Operator } from '../actors.js';
@@ -8,23 +8,23 @@
 import { Tolerance, type Claim, type Losable } from '../trouble/tolerance.js';
 import type { SoakEntry, SoakKind } from './schedule.js';
 
-/** Machines with a disk that may be lost at once. */
+/** How many machines with a disk may be lost at once. */
 export const SOAK_LOSSES = 1;
-/** A machine counts as lost until this long after it is back. */
+/** A machine counts as lost for this long after its return. */
 const SYNC_MS = 4_000;
-/** An ended process is started again after this long. */
+/** Time from the end of a process to its next start. */
 const RESTART_MS: readonly [number, number] = [500, 2_000];
 const FREEZE_MS: readonly [number, number] = [300, 5_000];
-/** A process that has not answered by then has ended by itself. */
-const START_LIMIT_MS = 20_000;
-/** Relays that are never struck at the same time as the others: somebody must serve. */
-const LEAST_RELAYS = 2;
+/** How long a started process may take to answer; after that, a process that is down counts as an unexpected exit. */
+const START_TIMEOUT_MS = 20_000;
+/** Relays that always stay up, so that clients are served. */
+const MIN_RELAYS = 2;
 const RESET_SHARE = 0.5;
 
-/** A process as the count of losses sees it. */
+/** A process, with the state that the count of losses depends on. */
 class Machine implements Losable {
   removed = false;
-  struck = false;
+  affected = false;
 
   constructor(readonly proc: Proc) {}
 
@@ -33,18 +33,18 @@
   }
 
   isUp(): boolean {
-    return this.proc.up && !this.struck;
+    return this.proc.up && !this.affected;
   }
 }
 
 type Action = (random: RandomSource) => Promise<void>;
 
-/** The fleet of a soak, and what can be done to it. */
-export class SoakStage {
+/** Injects faults into the fleet of a soak test. */
+export class SoakFaultInjector {
   private readonly machines: Machine[];
   private readonly tolerance = new Tolerance<Machine>(realClock, SOAK_LOSSES, SYNC_MS);
-  private readonly actions: Record<SoakKind, Action>;
-  private changes = 0;
+  private readonly actionByKind: Record<SoakKind, Action>;
+  private changeCount = 0;
 
   constructor(
     private readonly fleet: Fleet,
@@ -54,10 +54,10 @@
     private readonly added: (proc: Proc) => void,
   ) {
     this.machines = fleet.procs.map((proc) => new Machine(proc));
-    this.actions = {
-      term: (random) => this.strike(random, 'SIGTERM', (proc) => this.terminate(proc, random)),
-      kill: (random) => this.strike(random, 'SIGKILL', (proc) => this.kill(proc, random)),
-      freeze: (random) => this.strike(random, 'SIGSTOP', (proc) => this.freeze(proc, random)),
+    this.actionByKind = {
+      term: (random) => this.applyToOne(random, 'SIGTERM', (proc) => this.terminate(proc, random)),
+      kill: (random) => this.applyToOne(random, 'SIGKILL', (proc) => this.kill(proc, random)),
+      freeze: (random) => this.applyToOne(random, 'SIGSTOP', (proc) => this.freeze(proc, random)),
       wipe: (random) => this.wipe(random),
       reload: (random) => this.reload(random),
       reset: () => this.reset(),
@@ -66,39 +66,39 @@
     };
   }
 
-  /** Begins each entry at its time, whatever is still under way; resolves when all are over. */
+  /** Starts each entry at its time, whether or not earlier ones are finished; resolves when all are. */
   async play(entries: SoakEntry[]): Promise<void> {
     const beganAt = realClock.now();
     const running: Promise<void>[] = [];
     for (const entry of entries) {
       await sleep(realClock, Math.max(0, beganAt + entry.atMs - realClock.now()));
-      running.push(this.actions[entry.kind](seeded(entry.seed)));
+      running.push(this.actionByKind[entry.kind](seeded(entry.seed)));
     }
     await Promise.all(running);
   }
 
-  private async strike(random: RandomSource, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
-    const claim = await this.tolerance.claim(() => this.strikable(), 1, random);
+  private async applyToOne(random: RandomSource, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
+    const claim = await this.tolerance.claim(() => this.candidates(), 1, random);
     if (!claim) return;
-    await this.during(claim, what, act);
+    await this.applyToClaim(claim, what, act);
     claim.back();
   }
 
-  /** Machines that may be struck: not the last relays. */
-  private strikable(): Machine[] {
-    const there = this.machines.filter((machine) => !machine.removed && machine.isUp());
-    const relays = there.filter((machine) => machine.proc.role === 'relay').length;
-    return there.filter((machine) => machine.proc.role !== 'relay' || relays > LEAST_RELAYS);
+  /** Machines that a fault may affect: no relay while only `MIN_RELAYS` of them are up. */
+  private candidates(): Machine[] {
+    const up = this.machines.filter((machine) => !machine.removed && machine.isUp());
+    const relays = up.filter((machine) => machine.proc.role === 'relay').length;
+    return up.filter((machine) => machine.proc.role !== 'relay' || relays > MIN_RELAYS);
   }
 
-  private async during(claim: Claim<Machine>, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
+  private async applyToClaim(claim: Claim<Machine>, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
     for (const machine of claim.machines) {
-      machine.struck = true;
+      machine.affected = true;
       this.say(`${what} ${machine.proc.name}`);
     }
     await Promise.all(claim.machines.map((machine) => act(machine.proc)));
-    await Promise.all(claim.machines.map((machine) => hasStarted(machine.proc)));
-    for (const machine of claim.machines) machine.struck = false;
+    await Promise.all(claim.machines.map((machine) => waitUntilAnswering(machine.proc)));
+    for (const machine of claim.machines) machine.affected = false;
   }
 
   private async terminate(proc: Proc, random: RandomSource): Promise<void> {
@@ -120,10 +120,10 @@
   }
 
   private async wipe(random: RandomSource): Promise<void> {
-    const stores = (): Machine[] => this.strikable().filter((machine) => machine.counted);
+    const stores = (): Machine[] => this.candidates().filter((machine) => machine.counted);
     const claim = await this.tolerance.claim(stores, 1, random);
     if (!claim) return;
-    await this.during(claim, 'disk lost:', async (proc) => {
+    await this.applyToClaim(claim, 'disk lost:', async (proc) => {
       await this.fleet.kill(proc);
       rmSync(proc.config.data!, { recursive: true, force: true });
       await sleep(realClock, between(random, RESTART_MS));
@@ -132,14 +132,14 @@
     claim.back();
   }
 
-  /** Processes that are not up though nobody keeps them down: they ended by themselves. */
-  endedByThemselves(): string[] {
+  /** Processes that are down although no fault stopped them. */
+  unexpectedExits(): string[] {
     return this.machines
-      .filter((machine) => !machine.removed && !machine.struck && !machine.proc.up)
+      .filter((machine) => !machine.removed && !machine.affected && !machine.proc.up)
       .map(({ proc }) => `${proc.name} (exits ${proc.exits.join(', ')})`);
   }
 
-  /** Only of processes that serve: one that is still loading has no handler for the signal yet. */
+  /** Sends SIGHUP only to serving processes: one that is still loading has no handler for the signal yet. */
   private async reload(random: RandomSource): Promise<void> {
     const serving = this.machines.filter((other) => !other.removed && other.isUp() && other.proc.well);
     const [machine] = randomSample(random, serving, 1);
@@ -154,22 +154,22 @@
   }
 
   private async change(): Promise<void> {
-    const name = `extra${++this.changes}`;
+    const name = `extra${++this.changeCount}`;
     const family = { name, topics: [`${name}/*`], urgency: 'routine' as const, patienceMs: 2_000, memoryS: 30 };
     const { out } = await this.operator.submit(`soak-${name}`, configOf(this.site, [family]), true);
     this.say(`configuration with ${name}: ${out}`);
   }
 
-  /** A store is replaced by plan: its successor comes first; once that counts no more, the old one goes for good. */
+  /** Planned replacement of a store: its successor is added first; once that no longer counts as lost, the old one is removed for good. */
   private async replace(random: RandomSource): Promise<void> {
-    const stores = (): Machine[] => this.strikable().filter((machine) => machine.proc.role === 'store');
+    const stores = (): Machine[] => this.candidates().filter((machine) => machine.proc.role === 'store');
     const claim = await this.tolerance.claim(stores, 1, random);
     if (!claim) return;
     const [old] = claim.machines as [Machine];
-    old.struck = true;
+    old.affected = true;
     const successor = await this.addLike(old.proc);
-    await hasStarted(successor.proc);
-    successor.struck = false;
+    await waitUntilAnswering(successor.proc);
+    successor.affected = false;
     claim.succeeded(successor);
     await sleep(realClock, SYNC_MS + randomInt(random, SYNC_MS));
     this.say(`${old.proc.name} goes for good`);
@@ -190,15 +190,15 @@
     this.added(proc);
     this.fleet.start(proc);
     const machine = new Machine(proc);
-    machine.struck = true;
+    machine.affected = true;
     this.machines.push(machine);
     return machine;
   }
 }
 
-/** A machine is back once its process answers: on a busy machine loading it takes seconds. */
-async function hasStarted(proc: Proc): Promise<void> {
-  const until = realClock.now() + START_LIMIT_MS;
+/** Waits until the process answers, or the timeout. On a busy machine loading a process takes seconds. */
+async function waitUntilAnswering(proc: Proc): Promise<void> {
+  const until = realClock.now() + START_TIMEOUT_MS;
   while (!proc.answers && realClock.now() < until) await sleep(realClock, 50);
 }
 
--- a/packages/trial/src/trouble/day.ts
+++ b/packages/trial/src/trouble/day.ts
@@ -1,116 +1,118 @@
-/** A day of drawn troubles in the simulator, on the shape of a deployment. */
+/** A simulated run with a schedule of random faults, on the machines of a deployment. */
 import { play, weakSets, type Run, type Scenario, type Stage } from '../scenario.js';
 import { Marker } from '../actors.js';
 import { seeded } from '../sim.js';
 import type { Deployment } from './deployment.js';
-import { siteOf } from './deployment.js';
+import { deploymentSpecOf } from './deployment.js';
 import { playOf } from './kinds.js';
 import { Machines } from './machines.js';
-import { Orders } from './orders.js';
+import { PlatformOperators } from './orders.js';
 import type { Trouble } from './schedule.js';
-import { note, pause, type TroubleStage } from './stage.js';
+import { note, pause, type FaultContext } from './stage.js';
 import { Tolerance } from './tolerance.js';
 
 /** Clocks of the machines differ by up to this much. */
 const SKEW_MS = 200;
-/** Marker topics are asked for this often, at every access machine: often enough to see an old configuration at work. */
-const MARKER_MS = 250;
-/** The fleet is left alone for this long before it is judged whole. */
+/** Polling interval of the marker topics on every relay: short enough to see a node that serves by an old configuration. */
+const MARKER_POLL_MS = 250;
+/** Time without faults before the fleet is checked for full redundancy. */
 const QUIET_MS = 6_000;
-/** Publishes of so long before the end of the day are counted, and this share of them must be accepted. */
-const SERVED_MS = 3_000;
+/** Of the publishes in this time before the end of the run, this share must be accepted. */
+const SERVED_WINDOW_MS = 3_000;
 const SERVED_SHARE = 0.9;
-/** A day lasts at least this long. */
-const DAY_MS = 20_000;
-/** On the way of an answer to its observer, on top of every bound. */
-const WAY_MS = 250;
+/** Minimum length of the part with faults. */
+const FAULT_PHASE_MS = 20_000;
+/** Added to every time limit, for the time an answer takes to reach the observer. */
+const OBSERVATION_DELAY_MS = 250;
 
-interface Parts {
+interface RunParts {
   machines?: Machines;
-  orders?: Orders;
+  operators?: PlatformOperators;
 }
 
-/** A day as the stage plays it. */
-function dayOf(deployment: Deployment, troubles: readonly Trouble[], log: boolean): Scenario {
-  const parts: Parts = {};
-  const site = siteOf(deployment);
+/** The scenario that creates the machines of the deployment and injects the faults. */
+function scenarioOf(deployment: Deployment, faults: readonly Trouble[], log: boolean): Scenario {
+  const parts: RunParts = {};
+  const site = deploymentSpecOf(deployment);
   return {
     site,
-    forMs: DAY_MS,
+    forMs: FAULT_PHASE_MS,
     opts: { files: true, delayMs: [0.5, 4], log },
-    bounds: { wayMs: WAY_MS, timed: true, inForceMs: deployment.applyMs },
+    bounds: { wayMs: OBSERVATION_DELAY_MS, timed: true, inForceMs: deployment.applyMs },
     machines: async (sim) => {
       const machines = new Machines(sim, deployment, SKEW_MS);
       parts.machines = machines;
-      machines.begin();
-      const nodes = (type: 'core' | 'store' | 'access') => machines.of(type).flatMap((m) => m.nodes);
-      const relays = [...nodes('core'), ...nodes('access')].filter((n) => n.config.role === 'relay');
-      return { stores: nodes('store'), relays, disks: machines.counted().map((m) => m.main) };
+      machines.startAll();
+      const nodes = (type: 'core' | 'store' | 'access') => machines.of(type).flatMap((machine) => machine.nodes);
+      const relays = [...nodes('core'), ...nodes('access')].filter((node) => node.config.role === 'relay');
+      return { stores: nodes('store'), relays, disks: machines.counted().map((machine) => machine.main) };
     },
-    first: (stage) => {
-      parts.orders = new Orders(stage.world, parts.machines!, site);
-      // The day reads the newest configuration at its end; the platform's operator does so at a core machine.
-      stage.crowd.operator = parts.orders.operator;
-      return parts.orders.change();
+    first: (scenario) => {
+      parts.operators = new PlatformOperators(scenario.world, parts.machines!, site);
+      // The run reads the newest configuration at its end; on the platform, operators read it from a core machine.
+      scenario.crowd.operator = parts.operators.operator;
+      return parts.operators.change();
     },
-    faults: (stage) => playTroubles(stage, parts.machines!, parts.orders!, troubles),
+    faults: (scenario) => injectFaults(scenario, parts.machines!, parts.operators!, faults),
   };
 }
 
-async function playTroubles(
-  stage: Stage,
+async function injectFaults(
+  scenario: Stage,
   machines: Machines,
-  orders: Orders,
-  troubles: readonly Trouble[],
+  operators: PlatformOperators,
+  faults: readonly Trouble[],
 ): Promise<void> {
   const { losses, syncMs } = machines.deployment;
-  const s: TroubleStage = {
-    stage,
+  const context: FaultContext = {
+    scenario,
     machines,
-    orders,
+    operators,
     tolerance: new Tolerance(machines.sim.clock, losses, syncMs, () => {
       const { broken, thin } = weakSets(machines.sim, losses);
-      if (broken.length) stage.note(`without a majority already: ${broken.join(', ')}`);
-      else if (thin.length) stage.note(`do not bear the declared losses yet: ${thin.join(', ')}`);
+      if (broken.length) scenario.note(`without a majority already: ${broken.join(', ')}`);
+      else if (thin.length) scenario.note(`do not bear the declared losses yet: ${thin.join(', ')}`);
     }),
   };
-  const marker = watchMarkers(stage, orders);
+  const marker = pollMarkers(scenario, operators);
   await Promise.all(
-    troubles.map(async (trouble) => {
-      await pause(s, trouble.at);
-      await playOf(trouble.kind)(s, trouble, seeded(trouble.pick));
+    faults.map(async (fault) => {
+      await pause(context, fault.at);
+      await playOf(fault.kind)(context, fault, seeded(fault.pick));
     }),
   );
-  while (s.tolerance.count() > 0) await pause(s, 500);
-  note(s, 'all troubles are over');
-  await pause(s, QUIET_MS);
-  judgeWhole(s);
-  await orders.change('idle');
+  while (context.tolerance.count() > 0) await pause(context, 500);
+  note(context, 'all troubles are over');
+  await pause(context, QUIET_MS);
+  checkRecovered(context);
+  await operators.change('idle');
   marker.stop();
-  machines.end();
+  machines.stopSupervision();
 }
 
-/** After the last trouble every set has its majority again, bears the next loss, and clients are served. */
-function judgeWhole(s: TroubleStage): void {
-  const { broken, thin } = weakSets(s.machines.sim, s.machines.deployment.losses);
-  if (broken.length) s.stage.wrong('lost', `no majority is left of ${broken.join(', ')}`);
-  else if (thin.length) s.stage.wrong('lost', `the next loss would end the majority of ${thin.join(', ')}`);
-  const { seen } = s.stage.world.journal;
-  const since = s.machines.sim.now - SERVED_MS;
-  const answers = seen.filter((x) => x.k === 'pub.answer' && x.t > since && !x.topic.startsWith('mark/'));
-  const accepted = answers.filter((x) => x.k === 'pub.answer' && x.out === 'accepted').length;
+/** After the last fault every replica set has its majority again and can lose as many members as declared, and clients are served. */
+function checkRecovered(context: FaultContext): void {
+  const { broken, thin } = weakSets(context.machines.sim, context.machines.deployment.losses);
+  if (broken.length) context.scenario.wrong('lost', `no majority is left of ${broken.join(', ')}`);
+  else if (thin.length) context.scenario.wrong('lost', `the next loss would end the majority of ${thin.join(', ')}`);
+  const { seen } = context.scenario.world.journal;
+  const since = context.machines.sim.now - SERVED_WINDOW_MS;
+  const answers = seen.filter(
+    (event) => event.k === 'pub.answer' && event.t > since && !event.topic.startsWith('mark/'),
+  );
+  const accepted = answers.filter((event) => event.k === 'pub.answer' && event.out === 'accepted').length;
   if (accepted < answers.length * SERVED_SHARE || !accepted)
-    s.stage.wrong('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
+    context.scenario.wrong('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
 }
 
-/** Asks every relay which configuration it serves by, all day. */
-function watchMarkers(stage: Stage, orders: Orders): { stop(): void } {
-  const marker = new Marker(stage.world, MARKER_MS);
-  marker.start(stage.relays.map((n) => n.config.client));
+/** Polls marker topics on every relay during the whole run, to see which configuration it serves by. */
+function pollMarkers(scenario: Stage, operators: PlatformOperators): { stop(): void } {
+  const marker = new Marker(scenario.world, MARKER_POLL_MS);
+  marker.start(scenario.relays.map((node) => node.config.client));
   let on = true;
   const follow = (): void => {
-    marker.at = orders.mark;
-    if (on) stage.sim.clock.after(MARKER_MS, follow);
+    marker.at = operators.mark;
+    if (on) scenario.sim.clock.after(MARKER_POLL_MS, follow);
   };
   follow();
   return {
@@ -122,10 +124,10 @@
 }
 
 /**
- * Plays a day with these troubles.
+ * Runs the deployment in the simulator with these faults.
  * @example
- * const run = await playDay(7, DEPLOYMENTS.get('sss-control')!, drawSchedule(7, 6));
+ * const run = await runFaultSchedule(7, DEPLOYMENTS.get('sss-control')!, drawSchedule(7, 6));
  */
-export function playDay(seed: number, deployment: Deployment, troubles: readonly Trouble[], log = false): Promise<Run> {
-  return play(seed, dayOf(deployment, troubles, log));
+export function playDay(seed: number, deployment: Deployment, faults: readonly Trouble[], log = false): Promise<Run> {
+  return play(seed, scenarioOf(deployment, faults, log));
 }
--- a/packages/trial/src/trouble/deployment.ts
+++ b/packages/trial/src/trouble/deployment.ts
@@ -1,7 +1,7 @@
-/** The shapes of the deployments under test, with the platform's timers, scaled down in their clients. */
+/** The deployments under test: numbers of machines and the platform's timers, with fewer clients than in production. */
 import type { Site } from '../scenario.js';
 
-/** A deployment: which machines there are, what may be lost at once, and the platform's figures. */
+/** A deployment: its machines, how many of them may be lost at once, and the platform's timers. */
 export interface Deployment {
   name: string;
   zones: string[];
@@ -10,14 +10,14 @@
   /** Machines that run a relay alone. */
   accessCount: number;
   storeCount: number;
-  /** Machines with a disk that may be lost at once while every rule holds. */
+  /** How many machines with a disk may be lost at once while all rules must hold. */
   losses: number;
-  /** A machine counts as lost for this long after it is back. */
+  /** A machine counts as lost for this long after its return: the time that repair may take. */
   syncMs: number;
   applyMs: number;
-  /** The operator's list of machines lags by this much. */
+  /** Delay with which changes appear in the operator's list of machines. */
   seedDelayMs: number;
-  /** After the last event at the core, machines are in touch again. */
+  /** Time after the last core event until machines are connected again. */
   contactMs: number;
   coreDiskMs: number;
   storeDiskMs: number;
@@ -50,7 +50,7 @@
   storeDiskMs: 5,
 };
 
-/** All six, by name. */
+/** All six deployments, by name. */
 export const DEPLOYMENTS = new Map<string, Deployment>(
   [
     sineSaloum,
@@ -77,21 +77,21 @@
       coreDiskMs: 5,
       storeDiskMs: 5,
     },
-  ].map((d) => [d.name, d]),
+  ].map((deployment) => [deployment.name, deployment]),
 );
 
-/** The same with few clients and relays, for days about what happens to the core and the stores. */
-export const lightOf = (d: Deployment): Deployment => ({ ...d, accessCount: 1, consumers: 6 });
+/** The same deployment with few clients and access machines, for runs about faults of core and store machines. */
+export const lightOf = (deployment: Deployment): Deployment => ({ ...deployment, accessCount: 1, consumers: 6 });
 
-/** Topics and rates of a day: as many as a small fleet shows its faults with. */
-export function siteOf(d: Deployment): Site {
+/** Topics and message rates of a run: enough to show faults in a small fleet. */
+export function deploymentSpecOf(deployment: Deployment): Site {
   return {
-    name: d.name,
-    domains: d.zones,
-    relays: d.coreCount + d.accessCount,
+    name: deployment.name,
+    domains: deployment.zones,
+    relays: deployment.coreCount + deployment.accessCount,
     relayDisks: 0,
-    stores: d.storeCount,
-    consumers: d.consumers,
+    stores: deployment.storeCount,
+    consumers: deployment.consumers,
     families: [
       { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', perS: 14, memoryS: 35, patienceMs: 3_000 },
       { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', perS: 6, memoryS: 25, patienceMs: 2_000 },
--- a/packages/trial/src/trouble/loss-kinds.ts
+++ b/packages/trial/src/trouble/loss-kinds.ts
@@ -1,115 +1,129 @@
-/** Losses of power and of disks: of machines that have just acknowledged something, of all at once, and at the end of a day. */
+/** Power failures and disk losses: of machines that just acknowledged something, of many machines at once, and at the end of a run. */
 import type { RandomSource } from '@harecross/kernel';
 import type { Machine } from './machines.js';
-import { bringBack } from './machine-kinds.js';
+import { restartAfter } from './machine-kinds.js';
 import type { KindName, Trouble } from './schedule.js';
-import { claim, nextWork, note, pause, type Play, type TroubleStage } from './stage.js';
+import { claimVictims, ownerAfterNextAccept, note, pause, type FaultAction, type FaultContext } from './stage.js';
 import type { Claim } from './tolerance.js';
 
-/** Power goes this long after an acknowledgement, at most. */
-const AFTER_ACK_MS = 4;
-/** With `timed`: from the sending of a change to the fault. */
-const TIMED_MS = { least: 5, most: 400 } as const;
-/** After a closing fault the day goes on for this long, in which the fleet must serve again. */
+/** Maximum time from the acknowledgement to the fault. */
+const MAX_AFTER_ACK_MS = 4;
+/** With `timed`: time from sending a change to the fault. */
+const TIMED_DELAY_MS = { least: 5, most: 400 } as const;
+/** Time that the run goes on after a closing fault; the fleet must serve again within it. */
 const RECOVERY_MS = 17_000;
-/** Repair is given this long before a closing fault is let in. */
-const SETTLE_MS = 500;
+/** Interval at which a closing fault checks whether all machines are repaired. */
+const BUDGET_POLL_MS = 500;
 
-/** Lets the moment come that the words of a trouble ask for; gives the machine that it points at. */
-async function moment(s: TroubleStage, trouble: Trouble, random: RandomSource): Promise<Machine | undefined> {
-  if (trouble.how.includes('taken')) return nextWork(s, trouble.on, random);
-  const acked = s.orders.nextAck();
-  const done = s.orders.change('route');
-  if (trouble.how.includes('timed')) {
-    await pause(s, TIMED_MS.least + (TIMED_MS.most - TIMED_MS.least) * random.next());
+/** Waits for the trigger that the modifiers of a fault name; returns the machine that caused it, if any. */
+async function waitForTrigger(
+  context: FaultContext,
+  fault: Trouble,
+  random: RandomSource,
+): Promise<Machine | undefined> {
+  if (fault.how.includes('taken')) return ownerAfterNextAccept(context, fault.on, random);
+  const acked = context.operators.nextAck();
+  const done = context.operators.change('route');
+  if (fault.how.includes('timed')) {
+    await pause(context, TIMED_DELAY_MS.least + (TIMED_DELAY_MS.most - TIMED_DELAY_MS.least) * random.next());
     return undefined;
   }
   const ack = await Promise.race([acked, done.then(() => undefined)]);
-  await pause(s, AFTER_ACK_MS * random.next());
+  await pause(context, MAX_AFTER_ACK_MS * random.next());
   return ack?.machine;
 }
 
-/** Victims of a fault that follows an acknowledgement: who gave it, and others by lot. */
-async function struck(s: TroubleStage, trouble: Trouble, random: RandomSource): Promise<Claim | undefined> {
-  const first = await moment(s, trouble, random);
-  const preferred = first && s.machines.of(trouble.on).includes(first) && first.isUp() ? [first] : undefined;
-  if (!preferred || trouble.count > 1) return claim(s, trouble, random);
-  return s.tolerance.claim(() => preferred, 1, random);
+/** Victims of a fault that follows an acknowledgement: the machine that gave it if possible, otherwise random ones. */
+async function claimAfterTrigger(
+  context: FaultContext,
+  fault: Trouble,
+  random: RandomSource,
+): Promise<Claim | undefined> {
+  const first = await waitForTrigger(context, fault, random);
+  const preferred = first && context.machines.of(fault.on).includes(first) && first.isUp() ? [first] : undefined;
+  if (!preferred || fault.count > 1) return claimVictims(context, fault, random);
+  return context.tolerance.claim(() => preferred, 1, random);
 }
 
-const afterAckKill: Play = async (s, trouble, random) => {
-  const victims = await struck(s, trouble, random);
+const afterAckKill: FaultAction = async (context, fault, random) => {
+  const victims = await claimAfterTrigger(context, fault, random);
   if (!victims) return;
-  const killed = trouble.how.includes('kill');
-  note(s, killed ? 'kill after an acknowledgement' : 'power fails after an acknowledgement', victims.machines);
-  for (const m of victims.machines) {
-    if (killed) s.machines.kill(m);
-    else s.machines.powerOff(m);
+  const killed = fault.how.includes('kill');
+  note(context, killed ? 'kill after an acknowledgement' : 'power fails after an acknowledgement', victims.machines);
+  for (const machine of victims.machines) {
+    if (killed) context.machines.kill(machine);
+    else context.machines.powerOff(machine);
   }
-  await bringBack(s, victims.machines, trouble.forMs);
+  await restartAfter(context, victims.machines, fault.forMs);
   victims.back();
 };
 
-const afterAckWipe: Play = async (s, trouble, random) => {
-  const victims = await struck(s, trouble, random);
+const afterAckWipe: FaultAction = async (context, fault, random) => {
+  const victims = await claimAfterTrigger(context, fault, random);
   if (!victims) return;
-  note(s, 'disk lost after an acknowledgement', victims.machines);
-  for (const m of victims.machines) s.machines.wipe(m);
-  await bringBack(s, victims.machines, trouble.forMs);
+  note(context, 'disk lost after an acknowledgement', victims.machines);
+  for (const machine of victims.machines) context.machines.wipe(machine);
+  await restartAfter(context, victims.machines, fault.forMs);
   victims.back();
 };
 
-/** All machines that count at once, or many of the others. */
-const herdKill: Play = async (s, trouble, random) => {
-  if (trouble.on === 'access') {
-    const share = Math.ceil(0.6 * s.machines.of('access').length);
-    const victims = await claim(s, { ...trouble, count: share }, random);
+/** Kills all machines with a disk at once, or 60 % of the access machines. */
+const herdKill: FaultAction = async (context, fault, random) => {
+  if (fault.on === 'access') {
+    const share = Math.ceil(0.6 * context.machines.of('access').length);
+    const victims = await claimVictims(context, { ...fault, count: share }, random);
     if (!victims) return;
-    note(s, 'kill at once', victims.machines);
-    for (const m of victims.machines) s.machines.kill(m);
-    await bringBack(s, victims.machines, trouble.forMs);
+    note(context, 'kill at once', victims.machines);
+    for (const machine of victims.machines) context.machines.kill(machine);
+    await restartAfter(context, victims.machines, fault.forMs);
     victims.back();
     return;
   }
-  const all = await s.tolerance.claimAll(() => s.machines.counted());
+  const all = await context.tolerance.claimAll(() => context.machines.counted());
   if (!all) return;
-  if (trouble.how.includes('taken')) await nextWork(s, 'store', random);
-  const power = trouble.how.includes('power') || trouble.how.includes('taken');
-  note(s, power ? 'power fails everywhere that counts' : 'kill all that count', all.machines);
-  for (const m of all.machines) {
-    if (power) s.machines.powerOff(m);
-    else s.machines.kill(m);
+  if (fault.how.includes('taken')) await ownerAfterNextAccept(context, 'store', random);
+  const power = fault.how.includes('power') || fault.how.includes('taken');
+  note(context, power ? 'power fails everywhere that counts' : 'kill all that count', all.machines);
+  for (const machine of all.machines) {
+    if (power) context.machines.powerOff(machine);
+    else context.machines.kill(machine);
   }
-  await bringBack(s, all.machines, trouble.forMs);
+  await restartAfter(context, all.machines, fault.forMs);
   all.back();
 };
 
-/** The fault that ends a day: right after an acknowledgement, all lose power, or are killed, or some lose their disks. */
-const closing: Play = async (s, trouble, random) => {
-  const everyone = trouble.how.includes('power_off_all') || trouble.how.includes('kill_all');
-  while (s.tolerance.count() > 0) await pause(s, SETTLE_MS);
-  const wiping = !everyone;
+/** The last fault of a run, right after an acknowledgement: all machines lose power or are killed, or some lose their disks. */
+const closing: FaultAction = async (context, fault, random) => {
+  const allMachines = fault.how.includes('power_off_all') || fault.how.includes('kill_all');
+  while (context.tolerance.count() > 0) await pause(context, BUDGET_POLL_MS);
+  const wiping = !allMachines;
   const victims = wiping
-    ? await claim(s, { ...trouble, count: s.machines.deployment.losses, on: lot(random) }, random)
+    ? await claimVictims(
+        context,
+        { ...fault, count: context.machines.deployment.losses, on: coreOrStore(random) },
+        random,
+      )
     : undefined;
   if (wiping && !victims) return;
-  await moment(s, { ...trouble, on: 'store' }, random);
-  const others = s.machines.all.filter((m) => !m.removed && m.isUp() && !victims?.machines.includes(m));
-  const dark = wiping ? others.filter((m) => m.counted && trouble.how.includes('all')) : others;
-  note(s, `closing fault ${trouble.how.join(' ')}: disks lost of`, victims?.machines ?? []);
-  for (const m of victims?.machines ?? []) s.machines.wipe(m);
-  for (const m of dark) {
-    if (trouble.how.includes('kill_all')) s.machines.kill(m);
-    else s.machines.powerOff(m);
+  await waitForTrigger(context, { ...fault, on: 'store' }, random);
+  const others = context.machines.all.filter(
+    (machine) => !machine.removed && machine.isUp() && !victims?.machines.includes(machine),
+  );
+  const unpowered = wiping ? others.filter((machine) => machine.counted && fault.how.includes('all')) : others;
+  note(context, `closing fault ${fault.how.join(' ')}: disks lost of`, victims?.machines ?? []);
+  for (const machine of victims?.machines ?? []) context.machines.wipe(machine);
+  for (const machine of unpowered) {
+    if (fault.how.includes('kill_all')) context.machines.kill(machine);
+    else context.machines.powerOff(machine);
   }
-  s.stage.world.journal.add({ k: 'closing' });
-  await bringBack(s, [...dark, ...(victims?.machines ?? [])], trouble.forMs);
-  await pause(s, RECOVERY_MS);
+  context.scenario.world.journal.add({ k: 'closing' });
+  await restartAfter(context, [...unpowered, ...(victims?.machines ?? [])], fault.forMs);
+  await pause(context, RECOVERY_MS);
   victims?.back();
 };
-const lot = (random: RandomSource): 'core' | 'store' => (random.next() < 0.5 ? 'core' : 'store');
+const coreOrStore = (random: RandomSource): 'core' | 'store' => (random.next() < 0.5 ? 'core' : 'store');
 
-export const LOSS_KINDS: Partial<Record<KindName, Play>> = {
+export const LOSS_KINDS: Partial<Record<KindName, FaultAction>> = {
   after_ack_kill: afterAckKill,
   after_ack_wipe: afterAckWipe,
   herd_kill: herdKill,
--- a/packages/trial/src/trouble/machine-kinds.ts
+++ b/packages/trial/src/trouble/machine-kinds.ts
@@ -1,150 +1,150 @@
-/** Troubles of single machines: their processes, their clocks and their connections. */
+/** Faults of single machines: of processes, clocks and connections. */
 import { randomSample, type RandomSource } from '@harecross/kernel';
 import type { Machine } from './machines.js';
 import type { KindName, Trouble } from './schedule.js';
-import { claim, note, pause, targets, type Play, type TroubleStage } from './stage.js';
+import { claimVictims, note, pause, candidates, type FaultAction, type FaultContext } from './stage.js';
 
-/** From the end of a process to its next start. */
+/** Time from the end of a process to its next start. */
 const RESTART_MS = 300;
-/** How many times slower a slowed machine runs, at most; and what a slowed one adds to each step (ms). */
-const SLOW_STEP_MS = 45;
-/** Share of a machine's connections that is reset. */
+/** Maximum delay that a slowed machine adds to each step. */
+const SLOW_EXTRA_MS = 45;
+/** Share of a machine's connections that are reset. */
 const RESET_SHARE = 0.6;
 /** A wall clock jumps by this much. */
 const CLOCK_STEP_MS = 2_000;
-/** Tries of an order that meets a machine while it is away or returns. */
-const HARD_TRIES = 6;
-
-/** Changes that are sent to a machine as it returns, or while it is cut off. */
-export function meet(s: TroubleStage, trouble: Trouble, machine: Machine): Promise<unknown>[] {
-  const orders = trouble.how.includes('race') ? 2 : Number(trouble.how.includes('meet'));
-  const tries = trouble.how.includes('hard') ? HARD_TRIES : 1;
-  return Array.from({ length: orders }, () => s.orders.change('route', { machine, tries }));
+/** With `hard`: attempts of an operator request that go to the same machine while it is cut off or restarting. */
+const REPEATED_TRIES = 6;
+
+/** Submits configuration changes to a machine as it returns, or while it is cut off: one for `meet`, two at once for `race`. */
+export function submitChangesTo(context: FaultContext, fault: Trouble, machine: Machine): Promise<unknown>[] {
+  const changeCount = fault.how.includes('race') ? 2 : Number(fault.how.includes('meet'));
+  const tries = fault.how.includes('hard') ? REPEATED_TRIES : 1;
+  return Array.from({ length: changeCount }, () => context.operators.change('route', { machine, tries }));
 }
 
-async function startAll(s: TroubleStage, machines: readonly Machine[]): Promise<void> {
-  await Promise.all(machines.map((m) => s.machines.start(m)));
+async function startAll(context: FaultContext, machines: readonly Machine[]): Promise<void> {
+  await Promise.all(machines.map((machine) => context.machines.start(machine)));
 }
 
-const nodeKill: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+const nodeKill: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  const power = trouble.how.includes('power');
-  note(s, power ? 'power of' : 'kill', victims.machines);
-  for (const m of victims.machines) {
-    if (power) s.machines.powerOff(m);
-    else s.machines.kill(m);
+  const power = fault.how.includes('power');
+  note(context, power ? 'power of' : 'kill', victims.machines);
+  for (const machine of victims.machines) {
+    if (power) context.machines.powerOff(machine);
+    else context.machines.kill(machine);
   }
-  await pause(s, power ? trouble.forMs : RESTART_MS);
-  await startAll(s, victims.machines);
+  await pause(context, power ? fault.forMs : RESTART_MS);
+  await startAll(context, victims.machines);
   victims.back();
-  await Promise.all(victims.machines.flatMap((m) => meet(s, trouble, m)));
+  await Promise.all(victims.machines.flatMap((machine) => submitChangesTo(context, fault, machine)));
 };
 
-const nodeFreeze: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+const nodeFreeze: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  note(s, 'freeze', victims.machines);
-  for (const m of victims.machines) s.machines.freeze(m);
-  await pause(s, trouble.forMs);
-  note(s, 'thaw', victims.machines);
-  for (const m of victims.machines) s.machines.thaw(m);
+  note(context, 'freeze', victims.machines);
+  for (const machine of victims.machines) context.machines.freeze(machine);
+  await pause(context, fault.forMs);
+  note(context, 'thaw', victims.machines);
+  for (const machine of victims.machines) context.machines.thaw(machine);
   victims.back();
 };
 
-const nodeSlow: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+const nodeSlow: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  note(s, 'slow', victims.machines);
-  const nodes = victims.machines.flatMap((m) => m.nodes);
-  for (const n of nodes) n.slowMs = SLOW_STEP_MS;
-  await pause(s, trouble.forMs);
-  for (const n of nodes) n.slowMs = 0;
-  note(s, 'quick again', victims.machines);
+  note(context, 'slow', victims.machines);
+  const nodes = victims.machines.flatMap((machine) => machine.nodes);
+  for (const node of nodes) node.slowMs = SLOW_EXTRA_MS;
+  await pause(context, fault.forMs);
+  for (const node of nodes) node.slowMs = 0;
+  note(context, 'quick again', victims.machines);
   victims.back();
 };
 
-const rollTerm: Play = async (s, trouble, random) => {
-  const removing = trouble.how.includes('remove') && trouble.on === 'access';
-  for (let i = 0; i < trouble.count; i++) {
-    const victims = await claim(s, { ...trouble, count: 1 }, random);
+const rollTerm: FaultAction = async (context, fault, random) => {
+  const removing = fault.how.includes('remove') && fault.on === 'access';
+  for (let i = 0; i < fault.count; i++) {
+    const victims = await claimVictims(context, { ...fault, count: 1 }, random);
     if (!victims) return;
-    note(s, removing ? 'leaves' : 'stop', victims.machines);
-    for (const m of victims.machines) await s.machines.stop(m);
-    if (removing && s.machines.of('access').length > 2) {
-      for (const m of victims.machines) s.machines.remove(m);
+    note(context, removing ? 'leaves' : 'stop', victims.machines);
+    for (const machine of victims.machines) await context.machines.stop(machine);
+    if (removing && context.machines.of('access').length > 2) {
+      for (const machine of victims.machines) context.machines.remove(machine);
     } else {
-      await pause(s, RESTART_MS);
-      await startAll(s, victims.machines);
+      await pause(context, RESTART_MS);
+      await startAll(context, victims.machines);
     }
     victims.back();
-    await pause(s, trouble.forMs);
+    await pause(context, fault.forMs);
   }
 };
 
-/** The settings are read again, and say what they said. */
-const hup: Play = async (s, trouble, random) => {
-  const machines = randomSample(random, s.machines.of(trouble.on), trouble.count).filter((m) => m.isUp());
-  note(s, 'SIGHUP', machines);
-  for (const m of machines) {
-    for (const n of m.nodes) if (n.up && !n.frozen) n.kernel?.use('membership').publishOwnRecord();
-    await pause(s, trouble.forMs / machines.length);
+/** Reloads unchanged settings. */
+const hup: FaultAction = async (context, fault, random) => {
+  const machines = randomSample(random, context.machines.of(fault.on), fault.count).filter((machine) => machine.isUp());
+  note(context, 'SIGHUP', machines);
+  for (const machine of machines) {
+    for (const node of machine.nodes) if (node.up && !node.frozen) node.kernel?.use('membership').publishOwnRecord();
+    await pause(context, fault.forMs / machines.length);
   }
 };
 
-const resetConns: Play = async (s, trouble, random) => {
-  const machines = randomSample(random, s.machines.of(trouble.on), trouble.count);
-  note(s, 'reset connections of', machines);
-  for (const n of machines.flatMap((m) => m.nodes)) {
-    n.resetAt = s.machines.sim.now;
-    for (const reset of n.calls) if (random.next() < RESET_SHARE) reset();
-    for (const reset of n.streams) if (random.next() < RESET_SHARE) reset();
+const resetConns: FaultAction = async (context, fault, random) => {
+  const machines = randomSample(random, context.machines.of(fault.on), fault.count);
+  note(context, 'reset connections of', machines);
+  for (const node of machines.flatMap((machine) => machine.nodes)) {
+    node.resetAt = context.machines.sim.now;
+    for (const reset of node.calls) if (random.next() < RESET_SHARE) reset();
+    for (const reset of node.streams) if (random.next() < RESET_SHARE) reset();
   }
 };
 
-const clockStep: Play = async (s, trouble, random) => {
-  const nodes = randomSample(random, s.machines.of(trouble.on), trouble.count).flatMap((m) => m.nodes);
-  const by = trouble.how.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
-  s.stage.note(`the time of day jumps by ${by} ms on ${nodes.map((n) => n.name).join(' ')}`);
-  for (const n of nodes) n.stepMs += by;
-  await pause(s, trouble.forMs);
-  for (const n of nodes) n.stepMs -= by;
+const clockStep: FaultAction = async (context, fault, random) => {
+  const nodes = randomSample(random, context.machines.of(fault.on), fault.count).flatMap((machine) => machine.nodes);
+  const by = fault.how.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
+  context.scenario.note(`the time of day jumps by ${by} ms on ${nodes.map((node) => node.name).join(' ')}`);
+  for (const node of nodes) node.stepMs += by;
+  await pause(context, fault.forMs);
+  for (const node of nodes) node.stepMs -= by;
 };
 
-const addNodes: Play = async (s, trouble) => {
-  const added = Array.from({ length: trouble.count }, () => s.machines.add(trouble.on));
-  note(s, 'add', added);
-  await startAll(s, added);
+const addNodes: FaultAction = async (context, fault) => {
+  const added = Array.from({ length: fault.count }, () => context.machines.add(fault.on));
+  note(context, 'add', added);
+  await startAll(context, added);
 };
 
-/** One is gone for good, and an empty one comes at another address. */
-const replaceCore: Play = async (s, trouble, random) => {
-  const victims = await claim(s, { ...trouble, count: 1 }, random);
+/** Removes a machine for good and adds an empty one at another address; first the new one if `planned`. */
+const replaceCore: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, { ...fault, count: 1 }, random);
   const old = victims?.machines[0];
   if (!victims || !old) return;
-  const successor = s.machines.add(old.type, old.zone);
-  if (trouble.how.includes('planned')) {
-    note(s, `${successor.name} comes for`, [old]);
-    await s.machines.start(successor);
-    await pause(s, trouble.forMs);
-    await s.machines.stop(old);
-    s.machines.remove(old);
+  const successor = context.machines.add(old.type, old.zone);
+  if (fault.how.includes('planned')) {
+    note(context, `${successor.name} comes for`, [old]);
+    await context.machines.start(successor);
+    await pause(context, fault.forMs);
+    await context.machines.stop(old);
+    context.machines.remove(old);
   } else {
-    note(s, 'gone for good:', [old]);
-    s.machines.remove(old);
-    await pause(s, trouble.forMs);
-    note(s, `${successor.name} comes for`, [old]);
-    await s.machines.start(successor);
+    note(context, 'gone for good:', [old]);
+    context.machines.remove(old);
+    await pause(context, fault.forMs);
+    note(context, `${successor.name} comes for`, [old]);
+    await context.machines.start(successor);
   }
   victims.succeeded(successor);
 };
 
-const seedTurnover: Play = async (s, trouble, random) => {
-  note(s, 'other seeds');
-  s.machines.turnOverSeeds(randomSample(random, targets(s, trouble), 1));
+const seedTurnover: FaultAction = async (context, fault, random) => {
+  note(context, 'other seeds');
+  context.machines.replaceSeeds(randomSample(random, candidates(context, fault), 1));
 };
 
-export const MACHINE_KINDS: Partial<Record<KindName, Play>> = {
+export const MACHINE_KINDS: Partial<Record<KindName, FaultAction>> = {
   node_kill: nodeKill,
   node_freeze: nodeFreeze,
   node_slow: nodeSlow,
@@ -157,11 +157,15 @@
   seed_turnover: seedTurnover,
 };
 
-/** Starts machines again after a loss. */
-export async function bringBack(s: TroubleStage, machines: readonly Machine[], afterMs: number): Promise<void> {
-  await pause(s, afterMs);
-  await startAll(s, machines);
+/** Starts machines again after a delay. */
+export async function restartAfter(
+  context: FaultContext,
+  machines: readonly Machine[],
+  afterMs: number,
+): Promise<void> {
+  await pause(context, afterMs);
+  await startAll(context, machines);
 }
 
-/** Draws some of these. */
+/** A random sample of these. */
 export const draw = <T>(random: RandomSource, xs: readonly T[], count: number): T[] => randomSample(random, xs, count);
--- a/packages/trial/src/trouble/machines.ts
+++ b/packages/trial/src/trouble/machines.ts
@@ -1,25 +1,25 @@
-/** The machines of a deployment in the simulator: processes that share a machine share its fate. */
+/** The machines of a deployment in the simulator. All processes of a machine are stopped, frozen or cut off together. */
 import { sleep } from '@harecross/kernel';
 import type { Sim, SimNode } from '../sim.js';
 import type { Deployment } from './deployment.js';
 import type { MachineClass } from './schedule.js';
 
-/** A process that ended by itself is started again after this long. */
+/** Time after which a process that exited by itself is started again. */
 const RESTART_MS = 300;
-/** The operator's list of machines is noted this often. */
-const LIST_MS = 250;
-/** All machines are started within this time of each other. */
+/** Interval at which the operator's list of core machines is recorded. */
+const LIST_INTERVAL_MS = 250;
+/** All processes are first started within this time. */
 const START_SPREAD_MS = 300;
-/** What each further change of a store or core machine needs at most of a process that was told to leave. */
-const GRACE_SHARE_MS = 4_500;
-/** Addresses that a process is told of. */
+/** Longest graceful stop of a process: what one more change of a store or core machine may take. */
+const GRACEFUL_STOP_MS = 4_500;
+/** Seed addresses in the settings of a process. */
 const SEED_COUNT = 3;
 
 /** One machine and its processes. */
 export class Machine {
-  /** Gone for good. */
+  /** Whether the machine was removed for good. */
   removed = false;
-  /** Down on purpose: nobody starts it but who took it down. */
+  /** Down on purpose: the supervision does not restart it. */
   held = false;
 
   constructor(
@@ -29,28 +29,28 @@
     readonly nodes: SimNode[],
   ) {}
 
-  /** Its loss counts: it has a disk. */
+  /** Whether its loss counts towards the declared losses: it has a disk. */
   get counted(): boolean {
     return this.type !== 'access';
   }
-  /** The process with the disk, or the only one. */
+  /** The process with the disk, or the only process. */
   get main(): SimNode {
     return this.nodes[0]!;
   }
   isUp(): boolean {
-    return !this.held && this.nodes.every((n) => n.up && !n.frozen);
+    return !this.held && this.nodes.every((node) => node.up && !node.frozen);
   }
 }
 
-/** The fleet of a deployment, and what can be done to its machines. */
+/** All machines of a deployment, with the operations and faults that apply to them. */
 export class Machines {
   readonly all: Machine[] = [];
-  /** What the operator's list of core machines was, by time. */
-  private lists: { at: number; core: Machine[] }[] = [];
-  /** How many troubles cut each directed pair. */
-  private cuts = new Map<string, number>();
-  private readonly numbers = new Map<MachineClass, number>();
-  private watching = true;
+  /** The operator's list of core machines, by time. */
+  private coreLists: { at: number; core: Machine[] }[] = [];
+  /** Number of active faults that cut each directed pair of processes. */
+  private cutCounts = new Map<string, number>();
+  private readonly lastNumbers = new Map<MachineClass, number>();
+  private supervising = true;
 
   constructor(
     readonly sim: Sim,
@@ -59,51 +59,51 @@
     private readonly skewMs: number,
   ) {}
 
-  /** Makes and starts the machines of the deployment. */
-  begin(): void {
+  /** Creates and starts the machines of the deployment. */
+  startAll(): void {
     const { coreCount, accessCount, storeCount } = this.deployment;
     for (let i = 0; i < coreCount; i++) this.add('core');
     for (let i = 0; i < storeCount; i++) this.add('store');
     for (let i = 0; i < accessCount; i++) this.add('access');
     const seeds = this.of('core')
       .slice(0, SEED_COUNT)
-      .map((m) => m.main.config.peer);
-    for (const m of this.all)
-      for (const n of m.nodes) {
-        n.config.seeds = seeds;
-        n.config.firstStart = true;
+      .map((machine) => machine.main.config.peer);
+    for (const machine of this.all)
+      for (const node of machine.nodes) {
+        node.config.seeds = seeds;
+        node.config.firstStart = true;
         this.sim.clock.after(this.sim.random.next() * START_SPREAD_MS, () => {
-          void this.sim.start(n);
+          void this.sim.start(node);
         });
       }
-    void this.watch();
+    void this.supervise();
   }
 
-  end(): void {
-    this.watching = false;
+  stopSupervision(): void {
+    this.supervising = false;
   }
 
-  /** Makes a machine; it is not started. */
+  /** Creates a machine without starting it. */
   add(type: MachineClass, zone?: string): Machine {
     const { zones, losses, applyMs, coreDiskMs, storeDiskMs } = this.deployment;
-    const number = (this.numbers.get(type) ?? 0) + 1;
-    this.numbers.set(type, number);
+    const number = (this.lastNumbers.get(type) ?? 0) + 1;
+    this.lastNumbers.set(type, number);
     const place = zone ?? zones[(number - 1) % zones.length]!;
     const name = `${type}${number}`;
     const skewMs = Math.round((this.sim.random.next() * 2 - 1) * this.skewMs);
     const process = (role: 'control' | 'store' | 'relay', label: string): SimNode => {
-      const n = this.sim.add(label, { role, domain: place, disk: role !== 'relay', skewMs });
-      Object.assign(n.config, {
+      const node = this.sim.add(label, { role, domain: place, disk: role !== 'relay', skewMs });
+      Object.assign(node.config, {
         name,
         losses,
         applyMs,
         pingS: 2,
-        stopMs: GRACE_SHARE_MS,
+        stopMs: GRACEFUL_STOP_MS,
         firstStart: false,
         diskUses: role === 'store' ? ['copies', 'seat'] : ['seat', 'copies'],
       });
-      n.diskMs = role === 'store' ? storeDiskMs : coreDiskMs;
-      return n;
+      node.diskMs = role === 'store' ? storeDiskMs : coreDiskMs;
+      return node;
     };
     const nodes: SimNode[] = [];
     if (type === 'core') nodes.push(process('control', name), process('relay', `${name}-relay`));
@@ -114,120 +114,120 @@
   }
 
   of(type: MachineClass): Machine[] {
-    return this.all.filter((m) => m.type === type && !m.removed);
+    return this.all.filter((machine) => machine.type === type && !machine.removed);
   }
-  /** All whose loss counts. */
+  /** Machines whose loss counts towards the declared losses. */
   counted(): Machine[] {
-    return this.all.filter((m) => m.counted && !m.removed);
+    return this.all.filter((machine) => machine.counted && !machine.removed);
   }
-  ofNode(n: SimNode): Machine | undefined {
-    return this.all.find((m) => m.nodes.includes(n));
+  machineOfNode(node: SimNode): Machine | undefined {
+    return this.all.find((machine) => machine.nodes.includes(node));
   }
-  ofClient(client: string): Machine | undefined {
-    return this.all.find((m) => m.nodes.some((n) => n.config.client === client));
+  machineOfClient(client: string): Machine | undefined {
+    return this.all.find((machine) => machine.nodes.some((node) => node.config.client === client));
   }
 
-  /** The core machines as the operator's list shows them: late. */
-  listed(): Machine[] {
+  /** The core machines in the operator's list, which lags by `seedDelayMs`. */
+  listedCoreMachines(): Machine[] {
     const then = this.sim.now - this.deployment.seedDelayMs;
-    const seen = this.lists.filter((l) => l.at <= then).at(-1) ?? this.lists[0];
+    const seen = this.coreLists.filter((l) => l.at <= then).at(-1) ?? this.coreLists[0];
     return seen?.core ?? this.of('core');
   }
 
-  /** Tells processes other seeds: the newest of the listed machines. */
-  turnOverSeeds(first: readonly Machine[] = []): void {
-    const rest = this.listed()
-      .filter((m) => !first.includes(m))
+  /** Replaces the seeds in the settings of all processes: by these machines, then the newest in the operator's list. */
+  replaceSeeds(first: readonly Machine[] = []): void {
+    const rest = this.listedCoreMachines()
+      .filter((machine) => !first.includes(machine))
       .reverse();
-    const seeds = [...first, ...rest].slice(0, SEED_COUNT).map((m) => m.main.config.peer);
-    for (const m of this.all) for (const n of m.nodes) n.config.seeds = seeds;
+    const seeds = [...first, ...rest].slice(0, SEED_COUNT).map((machine) => machine.main.config.peer);
+    for (const machine of this.all) for (const node of machine.nodes) node.config.seeds = seeds;
   }
 
   // --- processes ---
 
-  async start(m: Machine): Promise<void> {
-    if (m.removed) return;
-    m.held = false;
-    const seeds = this.listed()
+  async start(machine: Machine): Promise<void> {
+    if (machine.removed) return;
+    machine.held = false;
+    const seeds = this.listedCoreMachines()
       .slice(0, SEED_COUNT)
       .map((x) => x.main.config.peer);
-    for (const n of m.nodes) {
-      if (seeds.length) n.config.seeds = seeds;
-      await this.restart(n);
+    for (const node of machine.nodes) {
+      if (seeds.length) node.config.seeds = seeds;
+      await this.restart(node);
     }
   }
-  private restart(n: SimNode): Promise<void> {
-    n.config.firstStart = false;
-    return this.sim.start(n);
+  private restart(node: SimNode): Promise<void> {
+    node.config.firstStart = false;
+    return this.sim.start(node);
   }
-  kill(m: Machine): void {
-    m.held = true;
-    for (const n of m.nodes) this.sim.kill(n);
+  kill(machine: Machine): void {
+    machine.held = true;
+    for (const node of machine.nodes) this.sim.kill(node);
   }
-  powerOff(m: Machine): void {
-    m.held = true;
-    for (const n of m.nodes) this.sim.losePower(n);
+  powerOff(machine: Machine): void {
+    machine.held = true;
+    for (const node of machine.nodes) this.sim.losePower(node);
   }
-  wipe(m: Machine): void {
-    m.held = true;
-    for (const n of m.nodes) this.sim.loseDisk(n);
+  wipe(machine: Machine): void {
+    machine.held = true;
+    for (const node of machine.nodes) this.sim.loseDisk(node);
   }
-  async stop(m: Machine): Promise<void> {
-    m.held = true;
-    await Promise.all(m.nodes.filter((n) => n.up).map((n) => this.sim.stop(n)));
+  async stop(machine: Machine): Promise<void> {
+    machine.held = true;
+    await Promise.all(machine.nodes.filter((node) => node.up).map((node) => this.sim.stop(node)));
   }
-  /** It is taken away, with its disk. */
-  remove(m: Machine): void {
-    m.removed = true;
-    this.wipe(m);
+  /** Removes the machine for good, with its disk. */
+  remove(machine: Machine): void {
+    machine.removed = true;
+    this.wipe(machine);
   }
-  freeze(m: Machine): void {
-    for (const n of m.nodes) this.sim.freeze(n);
+  freeze(machine: Machine): void {
+    for (const node of machine.nodes) this.sim.freeze(node);
   }
-  thaw(m: Machine): void {
-    for (const n of m.nodes) this.sim.thaw(n);
+  thaw(machine: Machine): void {
+    for (const node of machine.nodes) this.sim.thaw(node);
   }
 
   // --- links ---
 
-  /** Nothing arrives from these at those, nor back unless `oneWay`; gives what joins them again. */
+  /** Cuts the links from `these` to `those`, and back unless `oneWay`. The returned function restores them. */
   cut(these: readonly Machine[], those: readonly Machine[], oneWay = false): () => void {
     const pairs: [string, string][] = [];
-    for (const a of these.flatMap((m) => m.nodes))
-      for (const b of those.flatMap((m) => m.nodes)) {
+    for (const a of these.flatMap((machine) => machine.nodes))
+      for (const b of those.flatMap((machine) => machine.nodes)) {
         pairs.push([a.name, b.name]);
         if (!oneWay) pairs.push([b.name, a.name]);
       }
-    this.countCuts(pairs, 1);
-    return () => this.countCuts(pairs, -1);
+    this.addToCutCounts(pairs, 1);
+    return () => this.addToCutCounts(pairs, -1);
   }
-  private countCuts(pairs: [string, string][], by: number): void {
+  private addToCutCounts(pairs: [string, string][], by: number): void {
     for (const [a, b] of pairs) {
       const key = `${a}>${b}`;
-      const count = (this.cuts.get(key) ?? 0) + by;
-      this.cuts.set(key, count);
+      const count = (this.cutCounts.get(key) ?? 0) + by;
+      this.cutCounts.set(key, count);
       if (count > 0) this.sim.cuts.add(key);
       else this.sim.cuts.delete(key);
     }
   }
 
-  /** Keeps the operator's list, and starts processes that ended by themselves. */
-  private async watch(): Promise<void> {
+  /** Records the operator's list, and restarts processes that exited by themselves. */
+  private async supervise(): Promise<void> {
     const endedAt = new Map<SimNode, number>();
-    while (this.watching) {
-      const core = this.of('core').filter((m) => m.main.up);
-      this.lists.push({ at: this.sim.now, core });
-      for (const m of this.all)
-        for (const n of m.nodes) {
-          if (n.up || m.held || m.removed || !n.life) {
-            endedAt.delete(n);
+    while (this.supervising) {
+      const core = this.of('core').filter((machine) => machine.main.up);
+      this.coreLists.push({ at: this.sim.now, core });
+      for (const machine of this.all)
+        for (const node of machine.nodes) {
+          if (node.up || machine.held || machine.removed || !node.life) {
+            endedAt.delete(node);
             continue;
           }
-          const since = endedAt.get(n) ?? this.sim.now;
-          endedAt.set(n, since);
-          if (this.sim.now - since >= RESTART_MS) await this.restart(n);
+          const since = endedAt.get(node) ?? this.sim.now;
+          endedAt.set(node, since);
+          if (this.sim.now - since >= RESTART_MS) await this.restart(node);
         }
-      await sleep(this.sim.clock, LIST_MS);
+      await sleep(this.sim.clock, LIST_INTERVAL_MS);
     }
   }
 }
--- a/packages/trial/src/trouble/network-kinds.ts
+++ b/packages/trial/src/trouble/network-kinds.ts
@@ -1,107 +1,109 @@
-/** Troubles of links and of disks that last for a while. */
-import { meet } from './machine-kinds.js';
+/** Faults of links and disks that last for some time. */
+import { submitChangesTo } from './machine-kinds.js';
 import type { KindName } from './schedule.js';
-import { claim, note, pause, type Play } from './stage.js';
+import { claimVictims, note, pause, type FaultAction } from './stage.js';
 
-/** From the end of a process to its next start. */
+/** Time from the end of a process to its next start. */
 const RESTART_MS = 300;
-/** How many times longer a slow disk takes. */
+/** Factor by which a slow disk takes longer. */
 const SLOW_DISK_FACTOR = 30;
 
-/** Machines are cut off from all whose loss counts. */
-const nodeCut: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+/** Cuts machines off from all machines with a disk. */
+const nodeCut: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  note(s, 'cut off from all that count:', victims.machines);
-  const others = s.machines.all.filter((m) => m.counted && !victims.machines.includes(m));
-  const join = s.machines.cut(victims.machines, others);
-  await pause(s, trouble.forMs);
-  join();
-  note(s, 'joined again:', victims.machines);
+  note(context, 'cut off from all that count:', victims.machines);
+  const others = context.machines.all.filter((machine) => machine.counted && !victims.machines.includes(machine));
+  const reconnect = context.machines.cut(victims.machines, others);
+  await pause(context, fault.forMs);
+  reconnect();
+  note(context, 'joined again:', victims.machines);
   victims.back();
 };
 
-/** Counted machines are cut off from the other counted ones. */
-const coreCut: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+/** Cuts core or store machines off from the other core and store machines. */
+const coreCut: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  const oneWay = trouble.how.includes('one_way');
-  note(s, `cut off from the core${oneWay ? ', one way' : ''}:`, victims.machines);
-  const others = s.machines.all.filter((m) => m.counted && !victims.machines.includes(m));
-  const join = s.machines.cut(victims.machines, others, oneWay);
+  const oneWay = fault.how.includes('one_way');
+  note(context, `cut off from the core${oneWay ? ', one way' : ''}:`, victims.machines);
+  const others = context.machines.all.filter((machine) => machine.counted && !victims.machines.includes(machine));
+  const reconnect = context.machines.cut(victims.machines, others, oneWay);
   const cutOff = victims.machines[0]!;
-  const meetings: Promise<unknown>[] = meet(s, trouble, cutOff);
-  if (trouble.how.includes('seeds')) {
-    s.machines.turnOverSeeds(victims.machines.filter((m) => m.type === 'core'));
-    await restartOne(s, random);
+  const submissions: Promise<unknown>[] = submitChangesTo(context, fault, cutOff);
+  if (fault.how.includes('seeds')) {
+    context.machines.replaceSeeds(victims.machines.filter((machine) => machine.type === 'core'));
+    await restartAccessMachine(context, random);
   }
-  if (trouble.how.includes('both')) {
-    for (const m of victims.machines) {
-      s.machines.kill(m);
-      await pause(s, RESTART_MS);
-      await s.machines.start(m);
+  if (fault.how.includes('both')) {
+    for (const machine of victims.machines) {
+      context.machines.kill(machine);
+      await pause(context, RESTART_MS);
+      await context.machines.start(machine);
     }
   }
-  await pause(s, trouble.forMs);
-  join();
-  note(s, 'joined again:', victims.machines);
+  await pause(context, fault.forMs);
+  reconnect();
+  note(context, 'joined again:', victims.machines);
   victims.back();
-  await Promise.all(meetings);
+  await Promise.all(submissions);
 };
 
-/** A machine whose loss does not count is restarted, and must find the fleet by its settings. */
-const restartOne: (...args: [Parameters<Play>[0], Parameters<Play>[2]]) => Promise<void> = async (s, random) => {
-  const victims = await s.tolerance.claim(() => s.machines.of('access'), 1, random);
+/** Restarts an access machine, which must find the fleet by the seeds in its settings. */
+const restartAccessMachine: (
+  ...args: [Parameters<FaultAction>[0], Parameters<FaultAction>[2]]
+) => Promise<void> = async (context, random) => {
+  const victims = await context.tolerance.claim(() => context.machines.of('access'), 1, random);
   if (!victims) return;
-  note(s, 'restart', victims.machines);
-  for (const m of victims.machines) {
-    s.machines.kill(m);
-    await pause(s, RESTART_MS);
-    await s.machines.start(m);
+  note(context, 'restart', victims.machines);
+  for (const machine of victims.machines) {
+    context.machines.kill(machine);
+    await pause(context, RESTART_MS);
+    await context.machines.start(machine);
   }
   victims.back();
 };
 
-const diskSlow: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+const diskSlow: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  note(s, 'slow disks:', victims.machines);
-  const nodes = victims.machines.map((m) => m.main);
-  for (const n of nodes) n.diskMs *= SLOW_DISK_FACTOR;
-  await pause(s, trouble.forMs);
-  for (const n of nodes) n.diskMs /= SLOW_DISK_FACTOR;
+  note(context, 'slow disks:', victims.machines);
+  const nodes = victims.machines.map((machine) => machine.main);
+  for (const node of nodes) node.diskMs *= SLOW_DISK_FACTOR;
+  await pause(context, fault.forMs);
+  for (const node of nodes) node.diskMs /= SLOW_DISK_FACTOR;
   victims.back();
 };
 
-/** The next write stops the whole process until the disk answers again. */
-const diskStall: Play = async (s, trouble, random) => {
-  const victims = await claim(s, trouble, random);
+/** Blocks the whole process at its next write until the disk responds again. */
+const diskStall: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  note(s, 'disks stall:', victims.machines);
-  const { clock } = s.machines.sim;
-  const until = clock.now() + trouble.forMs;
-  const nodes = victims.machines.map((m) => m.main);
-  for (let left = trouble.forMs; left > 0; left = until - clock.now()) {
-    for (const n of nodes) n.stallMs = [left, left];
-    await pause(s, Math.min(left, 50));
+  note(context, 'disks stall:', victims.machines);
+  const { clock } = context.machines.sim;
+  const until = clock.now() + fault.forMs;
+  const nodes = victims.machines.map((machine) => machine.main);
+  for (let left = fault.forMs; left > 0; left = until - clock.now()) {
+    for (const node of nodes) node.stallMs = [left, left];
+    await pause(context, Math.min(left, 50));
   }
-  for (const n of nodes) n.stallMs = undefined;
+  for (const node of nodes) node.stallMs = undefined;
   victims.back();
 };
 
-const diskFull: Play = async (s, trouble, random) => {
-  const victims = await claim(s, { ...trouble, count: 1 }, random);
+const diskFull: FaultAction = async (context, fault, random) => {
+  const victims = await claimVictims(context, { ...fault, count: 1 }, random);
   if (!victims) return;
-  note(s, 'disk full:', victims.machines);
-  const nodes = victims.machines.map((m) => m.main);
-  for (const n of nodes) s.machines.sim.fillDisk(n, true);
-  await pause(s, trouble.forMs);
-  for (const n of nodes) s.machines.sim.fillDisk(n, false);
-  note(s, 'room again on the disk of', victims.machines);
+  note(context, 'disk full:', victims.machines);
+  const nodes = victims.machines.map((machine) => machine.main);
+  for (const node of nodes) context.machines.sim.fillDisk(node, true);
+  await pause(context, fault.forMs);
+  for (const node of nodes) context.machines.sim.fillDisk(node, false);
+  note(context, 'room again on the disk of', victims.machines);
   victims.back();
 };
 
-export const NETWORK_KINDS: Partial<Record<KindName, Play>> = {
+export const NETWORK_KINDS: Partial<Record<KindName, FaultAction>> = {
   node_cut: nodeCut,
   core_cut: coreCut,
   disk_slow: diskSlow,
--- a/packages/trial/src/trouble/operator-kinds.ts
+++ b/packages/trial/src/trouble/operator-kinds.ts
@@ -1,99 +1,99 @@
-/** What operators do: changes, races, bad orders, lost answers, and machines that are emptied and taken away. */
+/** Operator actions: changes, concurrent changes, invalid requests, lost answers, and machines that are drained and removed. */
 import type { KindName, Trouble } from './schedule.js';
 import type { ChangeKind } from './orders.js';
-import { note, pause, type Play, type TroubleStage } from './stage.js';
+import { note, pause, type FaultAction, type FaultContext } from './stage.js';
 
-/** The share of acknowledgements that is lost. */
-const LOST_SHARE = 0.7;
-/** Operators ask for the state of a retirement this often. */
+/** Share of acknowledgements that are lost. */
+const LOST_ACK_SHARE = 0.7;
+/** Interval at which operators ask for the state of a retirement, and between repeated requests. */
 const STATUS_MS = 500;
-/** A store may be emptied while so many others stay. */
-const STORES_LEFT_MIN = 3;
+/** A spare store is added first if at most this many are up. */
+const MIN_STORES_LEFT = 3;
 
 const CHANGE_KINDS: readonly ChangeKind[] = ['route', 'timeout', 'idle'];
 
-const configChange: Play = async (s, trouble) => {
-  await s.orders.change(CHANGE_KINDS.find((kind) => trouble.how.includes(kind)));
+const configChange: FaultAction = async (context, fault) => {
+  await context.operators.change(CHANGE_KINDS.find((kind) => fault.how.includes(kind)));
 };
 
-/** Pairs of changes that are sent at the same moment. */
-const configRace: Play = async (s, trouble) => {
-  for (let i = 0; i < trouble.count; i++) {
-    await Promise.all([s.orders.change('route'), s.orders.change('timeout')]);
-    await pause(s, trouble.forMs);
+/** Pairs of changes sent at the same moment. */
+const configRace: FaultAction = async (context, fault) => {
+  for (let i = 0; i < fault.count; i++) {
+    await Promise.all([context.operators.change('route'), context.operators.change('timeout')]);
+    await pause(context, fault.forMs);
   }
 };
 
-const badConfig: Play = async (s, trouble) => {
-  for (let i = 0; i < trouble.count; i++) {
-    await s.orders.bad(trouble.how[0] ?? 'cut_short');
-    await pause(s, STATUS_MS);
+const badConfig: FaultAction = async (context, fault) => {
+  for (let i = 0; i < fault.count; i++) {
+    await context.operators.submitInvalid(fault.how[0] ?? 'cut_short');
+    await pause(context, STATUS_MS);
   }
 };
 
-/** Some acknowledgements never arrive, and the same orders come again, to other machines. */
-const ackLost: Play = async (s, trouble) => {
-  note(s, 'acknowledgements get lost');
-  s.orders.lostShare = LOST_SHARE;
-  const ends = s.machines.sim.clock.now() + trouble.forMs;
-  while (s.machines.sim.clock.now() < ends) {
-    await s.orders.change('route');
-    await pause(s, STATUS_MS);
+/** Loses a share of the acknowledgements, so operators resend the same requests to other machines. */
+const ackLost: FaultAction = async (context, fault) => {
+  note(context, 'acknowledgements get lost');
+  context.operators.lostAckShare = LOST_ACK_SHARE;
+  const ends = context.machines.sim.clock.now() + fault.forMs;
+  while (context.machines.sim.clock.now() < ends) {
+    await context.operators.change('route');
+    await pause(context, STATUS_MS);
   }
-  s.orders.lostShare = 0;
+  context.operators.lostAckShare = 0;
 };
 
-async function emptied(s: TroubleStage, disk: string, withinMs: number): Promise<boolean> {
-  const { clock } = s.machines.sim;
+async function becameEmpty(context: FaultContext, disk: string, withinMs: number): Promise<boolean> {
+  const { clock } = context.machines.sim;
   const until = clock.now() + withinMs;
   while (clock.now() < until) {
-    const status = await s.orders.operator.ask('EmptyStatus', { disk });
+    const status = await context.operators.operator.ask('EmptyStatus', { disk });
     if (status.body?.state === 'emptied') return true;
-    await pause(s, STATUS_MS);
+    await pause(context, STATUS_MS);
   }
   return false;
 }
 
-/** A store machine is emptied and taken away; with `wipe` others lose their disks right after. */
-const retire: Play = async (s, trouble, random) => {
-  const stores = s.machines.of('store').filter((m) => m.isUp());
-  if (stores.length <= STORES_LEFT_MIN) {
-    // A spare machine comes first, as an operator would see to.
-    await s.machines.start(s.machines.add('store'));
-    await pause(s, s.machines.deployment.syncMs);
+/** Empties and removes a store machine; with `wipe`, others lose their disks right after. */
+const retire: FaultAction = async (context, fault, random) => {
+  const stores = context.machines.of('store').filter((machine) => machine.isUp());
+  if (stores.length <= MIN_STORES_LEFT) {
+    // An operator would add a spare machine first.
+    await context.machines.start(context.machines.add('store'));
+    await pause(context, context.machines.deployment.syncMs);
   }
   const leaving = stores[Math.floor(random.next() * stores.length)];
   if (!leaving || leaving.removed) return;
-  note(s, 'retire', [leaving]);
-  const asked = await s.orders.operator.ask('EmptyDisk', { disk: leaving.name });
+  note(context, 'retire', [leaving]);
+  const asked = await context.operators.operator.ask('EmptyDisk', { disk: leaving.name });
   if (asked.status !== 200) {
-    note(s, `retirement refused: ${JSON.stringify(asked.body)}`);
+    note(context, `retirement refused: ${JSON.stringify(asked.body)}`);
     return;
   }
-  if (!(await emptied(s, leaving.name, trouble.forMs + RETIRE_SLACK_MS))) {
-    note(s, 'not emptied in time:', [leaving]);
+  if (!(await becameEmpty(context, leaving.name, fault.forMs + RETIRE_SLACK_MS))) {
+    note(context, 'not emptied in time:', [leaving]);
     return;
   }
-  note(s, 'emptied and taken away:', [leaving]);
-  await s.machines.stop(leaving);
-  s.machines.remove(leaving);
-  if (trouble.how.includes('wipe')) await wipeOthers(s, trouble, random);
+  note(context, 'emptied and taken away:', [leaving]);
+  await context.machines.stop(leaving);
+  context.machines.remove(leaving);
+  if (fault.how.includes('wipe')) await wipeOthers(context, fault, random);
 };
-/** An emptying may take this much longer than it was asked to, beside other troubles. */
+/** Emptying a disk may take this much longer while other faults are active. */
 const RETIRE_SLACK_MS = 15_000;
 
-async function wipeOthers(s: TroubleStage, trouble: Trouble, random: Parameters<Play>[2]): Promise<void> {
-  const { losses } = s.machines.deployment;
-  const victims = await s.tolerance.claim(() => s.machines.of('store'), losses, random);
+async function wipeOthers(context: FaultContext, fault: Trouble, random: Parameters<FaultAction>[2]): Promise<void> {
+  const { losses } = context.machines.deployment;
+  const victims = await context.tolerance.claim(() => context.machines.of('store'), losses, random);
   if (!victims) return;
-  note(s, 'disk lost right after a retirement:', victims.machines);
-  for (const m of victims.machines) s.machines.wipe(m);
-  await pause(s, trouble.forMs / 4);
-  for (const m of victims.machines) await s.machines.start(m);
+  note(context, 'disk lost right after a retirement:', victims.machines);
+  for (const machine of victims.machines) context.machines.wipe(machine);
+  await pause(context, fault.forMs / 4);
+  for (const machine of victims.machines) await context.machines.start(machine);
   victims.back();
 }
 
-export const OPERATOR_KINDS: Partial<Record<KindName, Play>> = {
+export const OPERATOR_KINDS: Partial<Record<KindName, FaultAction>> = {
   config_change: configChange,
   config_race: configRace,
   bad_config: badConfig,
--- a/packages/trial/src/trouble/orders.ts
+++ b/packages/trial/src/trouble/orders.ts
@@ -1,75 +1,77 @@
-/** The platform's operators: their calls go to the core machines that a late list shows, and their acknowledgements may be lost. */
+/** The platform's operators: they call the core machines of a list that lags, and their acknowledgements may be lost. */
 import type { FleetConfig } from '@harecross/schema';
 import { Operator, type Way, type World } from '../actors.js';
 import { configOf, type Site } from '../scenario.js';
 import type { Machine, Machines } from './machines.js';
 
-/** Revisions are given in steps, so that an old one can be sent that nobody used. */
+/** Revisions are assigned in steps, so that an unused lower one can be sent later. */
 const REVISION_STEP = 10;
 
 /** How a change differs from the one before. */
 export type ChangeKind = 'route' | 'timeout' | 'idle';
 
-/** What was observed on the operators' connections. */
-export interface Acknowledged {
+/** An acknowledgement or a read that a machine answered to an operator. */
+export interface MachineAnswer {
   machine: Machine;
   at: number;
 }
 
 /**
- * The operators of a day.
+ * The operators of a run.
  * @example
- * await orders.change('route');
+ * await operators.change('route');
  */
-export class Orders {
+export class PlatformOperators {
   readonly operator: Operator;
-  /** The newest marker: the one that only the newest configuration has. */
+  /** Number of the newest marker topic, which only the newest configuration has. */
   mark = 0;
-  /** Share of the acknowledgements that get lost. */
-  lostShare = 0;
-  lastAck?: Acknowledged;
-  lastRead?: Acknowledged;
+  /** Share of acknowledgements that are lost on the way to the operator. */
+  lostAckShare = 0;
+  lastAck?: MachineAnswer;
+  lastRead?: MachineAnswer;
   private revision = 0;
-  private waiters: ((a: Acknowledged) => void)[] = [];
-  private readonly way: Way;
+  private waiters: ((answer: MachineAnswer) => void)[] = [];
+  private readonly transport: Way;
 
   constructor(
     private readonly world: World,
     private readonly machines: Machines,
     private readonly site: Site,
   ) {
-    this.way = {
+    this.transport = {
       ...world.way,
-      nodes: () => machines.listed().map((m) => m.main.config.client),
+      nodes: () => machines.listedCoreMachines().map((m) => m.main.config.client),
       visit: (node, method, body, timeoutMs) => this.visit(node, method, body, timeoutMs),
     };
-    this.operator = new Operator({ ...world, way: this.way }, 'op');
+    this.operator = new Operator({ ...world, way: this.transport }, 'op');
   }
 
   private async visit(node: string, method: string, body: unknown, timeoutMs: number): ReturnType<Way['visit']> {
     const answer = await this.world.way.visit(node, method, body, timeoutMs);
-    const machine = this.machines.ofClient(node);
+    const machine = this.machines.machineOfClient(node);
     if (!machine || answer?.status !== 200) return answer;
     const seen = { machine, at: this.world.clock.now() };
     if (method === 'ReadConfig') this.lastRead = seen;
     if (method !== 'SubmitConfig') return answer;
     this.lastAck = seen;
     for (const waiter of this.waiters.splice(0)) waiter(seen);
-    return this.world.random.next() < this.lostShare ? undefined : answer;
+    return this.world.random.next() < this.lostAckShare ? undefined : answer;
   }
 
-  /** The next acknowledgement of a change, whether it reaches its operator or not. */
-  nextAck(): Promise<Acknowledged> {
+  /** Resolves at the next acknowledgement of a change, whether it reaches the operator or not. */
+  nextAck(): Promise<MachineAnswer> {
     return new Promise((resolve) => {
       this.waiters.push(resolve);
     });
   }
 
-  /** A configuration that keeps all topics of the site, with a marker of its own. */
-  private configuration(kind: ChangeKind): FleetConfig {
+  /** A configuration with all topics of the deployment and a new marker topic. */
+  private nextConfig(kind: ChangeKind): FleetConfig {
     const mark = ++this.mark;
     const { families } = configOf(this.site);
-    const varied = families.map((f) => (kind === 'timeout' ? { ...f, patienceMs: f.patienceMs + mark } : f));
+    const varied = families.map((family) =>
+      kind === 'timeout' ? { ...family, patienceMs: family.patienceMs + mark } : family,
+    );
     if (kind === 'route')
       varied.push({
         name: `extra${mark}`,
@@ -89,23 +91,23 @@
     return { families: varied };
   }
 
-  /** A valid change with the next revision, sent until it has a clear answer; first to one machine, if one is given. */
+  /** Submits a valid change with the next revision until it has a definite answer; first to one machine, if one is given. */
   change(kind: ChangeKind = 'idle', first?: { machine: Machine; tries: number }): Promise<{ out: string }> {
     this.revision += REVISION_STEP;
     const { revision } = this;
-    const operator = first ? this.operatorWith(first.machine, first.tries) : this.operator;
-    return operator.revise(revision, this.configuration(kind), true, { revision, kind });
+    const operator = first ? this.operatorStartingAt(first.machine, first.tries) : this.operator;
+    return operator.revise(revision, this.nextConfig(kind), true, { revision, kind });
   }
 
-  /** An operator that goes to one machine with its first tries. */
-  private operatorWith(machine: Machine, tries: number): Operator {
+  /** An operator whose first `tries` attempts go to one machine. */
+  private operatorStartingAt(machine: Machine, tries: number): Operator {
     let left = tries;
-    const nodes = (): string[] => (left-- > 0 ? [machine.main.config.client] : this.way.nodes());
-    return new Operator({ ...this.world, way: { ...this.way, nodes } }, 'op');
+    const nodes = (): string[] => (left-- > 0 ? [machine.main.config.client] : this.transport.nodes());
+    return new Operator({ ...this.world, way: { ...this.transport, nodes } }, 'op');
   }
 
-  /** An order that must not come into force; `how` as in the platform's `bad_config`. */
-  async bad(how: string): Promise<void> {
+  /** Submits a configuration that must not come into force; `how` as in the platform's `bad_config`. */
+  async submitInvalid(how: string): Promise<void> {
     if (how === 'old_version') {
       const revision = this.revision - 1 - Math.floor(this.world.random.next() * (REVISION_STEP - 2));
       await this.operator.revise(revision, configOf(this.site), true, { revision });
@@ -113,16 +115,16 @@
     }
     this.revision += REVISION_STEP;
     const { revision } = this;
-    await this.operator.revise(revision, badConfiguration(how, this.site), false, { revision });
+    await this.operator.revise(revision, invalidConfig(how, this.site), false, { revision });
   }
 }
 
-/** A configuration that no node may take. */
-function badConfiguration(how: string, site: Site): unknown {
+/** A configuration that every node must reject. */
+function invalidConfig(how: string, site: Site): unknown {
   const { families } = configOf(site);
   switch (how) {
     case 'no_timeout':
-      return { families: families.map(({ patienceMs: _patience, ...f }) => f) };
+      return { families: families.map(({ patienceMs: _patience, ...family }) => family) };
     case 'same_place':
       return { families: [...families, { ...families[0]!, patienceMs: 1_234 }] };
     default:
--- a/packages/trial/src/trouble/schedule.ts
+++ b/packages/trial/src/trouble/schedule.ts
@@ -1,11 +1,11 @@
-/** A day's troubles: drawn from a seed, shown, and read back to be replayed. */
+/** Fault schedules: drawn from a seed, printed as one line, and parsed again for a replay. */
 import { seeded } from '../sim.js';
 
-/** Which machines a trouble strikes. */
+/** Classes of machines that a fault can affect. */
 export const CLASSES = ['core', 'store', 'access'] as const;
 export type MachineClass = (typeof CLASSES)[number];
 
-/** Every kind of trouble. */
+/** All kinds of faults. */
 export const KIND_NAMES = [
   'node_kill',
   'node_freeze',
@@ -34,29 +34,29 @@
 ] as const;
 export type KindName = (typeof KIND_NAMES)[number];
 
-/** One trouble of a day. Times are ms from the begin of the troubles. */
+/** One fault of a schedule. Times are ms from the start of the part with faults. */
 export interface Trouble {
   at: number;
   kind: KindName;
   on: MachineClass;
-  /** Words that vary a kind; see `HOWS`. */
+  /** Modifiers of the kind; see `KIND_SPECS`. */
   how: string[];
   count: number;
   forMs: number;
-  /** By which its victims are drawn. */
+  /** Seed by which its victims are drawn. */
   pick: number;
 }
 
-interface Draft {
+interface KindSpec {
   on: MachineClass[];
-  /** Of each row one word or none; a row that begins with '' may give none. */
+  /** One modifier is drawn from each row; '' means none. */
   how?: string[][];
   most?: number;
   forMs?: [number, number];
 }
 
-/** The words that each kind takes, the classes that it strikes, and how long it lasts. */
-const DRAFTS: Record<KindName, Draft> = {
+/** For each kind the modifiers, the machine classes it affects, the largest number of victims or repetitions, and its duration. */
+const KIND_SPECS: Record<KindName, KindSpec> = {
   node_kill: {
     on: ['core', 'store', 'access'],
     how: [
@@ -123,66 +123,77 @@
   },
 };
 
-/** The troubles of a day begin within this time (ms). */
-const DAY_MS = 26_000;
-/** The share of days that end with a closing fault. */
+/** All faults of a schedule start within this time. */
+const FAULT_PHASE_MS = 26_000;
+/** Share of schedules that end with a closing fault. */
 const CLOSING_SHARE = 0.4;
 
-const oneOf = <T>(random: { next(): number }, xs: readonly T[]): T => xs[Math.floor(random.next() * xs.length)]!;
+const randomElement = <T>(random: { next(): number }, xs: readonly T[]): T =>
+  xs[Math.floor(random.next() * xs.length)]!;
 
-function drawTrouble(kind: KindName, at: number, random: { next(): number }): Trouble {
-  const draft = DRAFTS[kind];
-  const [least, most] = draft.forMs ?? [0, 0];
+function drawFault(kind: KindName, at: number, random: { next(): number }): Trouble {
+  const spec = KIND_SPECS[kind];
+  const [least, most] = spec.forMs ?? [0, 0];
   return {
     at: Math.round(at),
     kind,
-    on: oneOf(random, draft.on),
-    how: (draft.how ?? []).map((words) => oneOf(random, words)).filter((word) => word !== ''),
-    count: 1 + Math.floor(random.next() * (draft.most ?? 1)),
+    on: randomElement(random, spec.on),
+    how: (spec.how ?? []).map((words) => randomElement(random, words)).filter((word) => word !== ''),
+    count: 1 + Math.floor(random.next() * (spec.most ?? 1)),
     forMs: Math.round(least + (most - least) * random.next()),
     pick: Math.floor(random.next() * 2 ** 31),
   };
 }
 
 /**
- * So many troubles of any kind at any moment, several at once, and now and then a closing fault.
+ * Draws `count` faults of random kinds at random times, which may overlap, and in some schedules a closing fault.
  * @example
  * drawSchedule(7, 6)
  */
 export function drawSchedule(seed: number, count: number, only?: readonly KindName[]): Trouble[] {
   const random = seeded(seed ^ 0x7d0b1e);
-  const names = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
-  const out = Array.from({ length: count }, () => drawTrouble(oneOf(random, names), DAY_MS * random.next(), random));
-  if (random.next() < CLOSING_SHARE) out.push(drawTrouble('closing', DAY_MS, random));
-  return out.sort((a, b) => a.at - b.at);
+  const kinds = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
+  const faults = Array.from({ length: count }, () =>
+    drawFault(randomElement(random, kinds), FAULT_PHASE_MS * random.next(), random),
+  );
+  if (random.next() < CLOSING_SHARE) faults.push(drawFault('closing', FAULT_PHASE_MS, random));
+  return faults.sort((a, b) => a.at - b.at);
 }
 
 /**
- * A schedule in one line, which `readSchedule` takes back.
+ * Prints a schedule as one line, which `parseSchedule` reads.
  * @example
- * showSchedule(drawSchedule(7, 2)); // 'node_kill@3000:on=core,how=power+leader,count=1,for=900,pick=7; ...'
+ * formatSchedule(drawSchedule(7, 2)); // 'node_kill@3000:on=core,how=power+leader,count=1,for=900,pick=7; ...'
  */
-export function showSchedule(troubles: readonly Trouble[]): string {
-  return troubles
+export function showSchedule(faults: readonly Trouble[]): string {
+  return faults
     .map(
-      (t) =>
-        `${t.kind}@${t.at}:on=${t.on},how=${t.how.join('+') || '-'},count=${t.count},for=${t.forMs},pick=${t.pick}`,
+      (fault) =>
+        `${fault.kind}@${fault.at}:on=${fault.on},how=${fault.how.join('+') || '-'},count=${fault.count},for=${fault.forMs},pick=${fault.pick}`,
     )
     .join('; ');
 }
 
 /**
- * The schedule that a line of `showSchedule` tells; throws an Error with one clear line.
+ * Parses a line of `formatSchedule`; throws an Error that names the part that is wrong.
  * @example
- * readSchedule('node_freeze@3000:on=store,how=-,count=1,for=900,pick=7')
+ * parseSchedule('node_freeze@3000:on=store,how=-,count=1,for=900,pick=7')
  */
 export function readSchedule(line: string): Trouble[] {
-  return line.split(';').map((part) => {
-    const m = /^\s*(\w+)@(\d+):on=(\w+),how=([\w+-]+),count=(\d+),for=(\d+),pick=(\d+)\s*$/.exec(part);
-    const kind = KIND_NAMES.find((name) => name === m?.[1]);
-    const on = CLASSES.find((name) => name === m?.[3]);
-    if (!m || !kind || !on) throw new Error(`not a trouble: '${part.trim()}'`);
-    const how = m[4] === '-' ? [] : m[4]!.split('+');
-    return { kind, on, how, at: Number(m[2]), count: Number(m[5]), forMs: Number(m[6]), pick: Number(m[7]) };
+  return line.split(';').map((part): Trouble => {
+    const match = /^\s*(\w+)@(\d+):on=(\w+),how=([\w+-]+),count=(\d+),for=(\d+),pick=(\d+)\s*$/.exec(part);
+    const kind = KIND_NAMES.find((name) => name === match?.[1]);
+    const on = CLASSES.find((name) => name === match?.[3]);
+    if (!match || !kind || !on) throw new Error(`not a trouble: '${part.trim()}'`);
+    const how = match[4] === '-' ? [] : match[4]!.split('+');
+    return {
+      kind,
+      on,
+      how,
+      at: Number(match[2]),
+      count: Number(match[5]),
+      forMs: Number(match[6]),
+      pick: Number(match[7]),
+    };
   });
 }
--- a/packages/trial/src/trouble/shrink.ts
+++ b/packages/trial/src/trouble/shrink.ts
@@ -1,18 +1,18 @@
-/** Finds the fewest troubles with which a failing day still fails. */
+/** Reduces the fault schedule of a failing run. */
 
 /**
- * Leaves out halves, then quarters, then single items, as long as what is left still fails.
+ * Removes halves, then quarters, and so on down to single items, as long as the remaining items still fail.
  * @example
- * await shrink(schedule, async (some) => fails(await playTroubles(seed, deployment, some)));
+ * await shrink(schedule, async (subset) => (await runFaultSchedule(seed, deployment, subset)).violations.length > 0);
  */
-export async function shrink<T>(items: readonly T[], fails: (some: T[]) => Promise<boolean>): Promise<T[]> {
-  let left = [...items];
-  for (let size = Math.ceil(left.length / 2); size >= 1; size = size > 1 ? Math.ceil(size / 2) : 0) {
-    for (let at = 0; at < left.length && left.length > 1;) {
-      const fewer = [...left.slice(0, at), ...left.slice(at + size)];
-      if (fewer.length && (await fails(fewer))) left = fewer;
-      else at += size;
+export async function shrink<T>(items: readonly T[], fails: (subset: T[]) => Promise<boolean>): Promise<T[]> {
+  let remaining = [...items];
+  for (let size = Math.ceil(remaining.length / 2); size >= 1; size = size > 1 ? Math.ceil(size / 2) : 0) {
+    for (let start = 0; start < remaining.length && remaining.length > 1;) {
+      const fewer = [...remaining.slice(0, start), ...remaining.slice(start + size)];
+      if (fewer.length && (await fails(fewer))) remaining = fewer;
+      else start += size;
     }
   }
-  return left;
+  return remaining;
 }
--- a/packages/trial/src/trouble/stage.ts
+++ b/packages/trial/src/trouble/stage.ts
@@ -1,60 +1,76 @@
-/** What a trouble has at hand while it is played. */
+/** The context in which the actions of scheduled faults run. */
 import { randomSample, sleep, type RandomSource } from '@harecross/kernel';
 import type { Stage } from '../scenario.js';
 import type { Machine, Machines } from './machines.js';
-import type { Orders } from './orders.js';
+import type { PlatformOperators } from './orders.js';
 import type { MachineClass, Trouble } from './schedule.js';
 import type { Claim, Tolerance } from './tolerance.js';
 
-/** The stage of a day with drawn troubles. */
-export interface TroubleStage {
-  stage: Stage;
+/** The context of a run with scheduled faults. */
+export interface FaultContext {
+  scenario: Stage;
   machines: Machines;
-  orders: Orders;
+  operators: PlatformOperators;
   tolerance: Tolerance;
 }
 
-/** Plays one trouble to its end, when the fleet is as whole as before it. */
-export type Play = (s: TroubleStage, trouble: Trouble, random: RandomSource) => Promise<void>;
+/** Injects one fault; resolves when it is over and its victims are back or replaced. */
+export type FaultAction = (context: FaultContext, fault: Trouble, random: RandomSource) => Promise<void>;
 
-export const pause = (s: TroubleStage, ms: number): Promise<void> => sleep(s.machines.sim.clock, ms);
+export const pause = (context: FaultContext, ms: number): Promise<void> => sleep(context.machines.sim.clock, ms);
 
-/** Notes what is done, with its victims. */
-export function note(s: TroubleStage, what: string, machines: readonly Machine[] = []): void {
-  s.stage.note(`${what} ${machines.map((m) => m.name).join(' ')}`.trim());
+/** Adds a note on a fault and its victims to the run. */
+export function note(context: FaultContext, what: string, machines: readonly Machine[] = []): void {
+  context.scenario.note(`${what} ${machines.map((machine) => machine.name).join(' ')}`.trim());
 }
 
-/** The machines that the words of a trouble point at, or all of its class. */
-export function targets(s: TroubleStage, trouble: Trouble): Machine[] {
-  const all = s.machines.of(trouble.on);
-  const word = (name: string): boolean => trouble.how.includes(name);
-  const pointed: (Machine | undefined)[] = [];
-  if (word('leader')) pointed.push(s.orders.lastAck?.machine);
-  if (word('reader')) pointed.push(s.orders.lastRead?.machine);
-  if (word('seed')) pointed.push(s.machines.listed()[0]);
-  const found = pointed.filter((m): m is Machine => m !== undefined && all.includes(m));
+/** The machines that the modifiers of a fault name, or all of its class. */
+export function candidates(context: FaultContext, fault: Trouble): Machine[] {
+  const all = context.machines.of(fault.on);
+  const hasModifier = (name: string): boolean => fault.how.includes(name);
+  const named: (Machine | undefined)[] = [];
+  if (hasModifier('leader')) named.push(context.operators.lastAck?.machine);
+  if (hasModifier('reader')) named.push(context.operators.lastRead?.machine);
+  if (hasModifier('seed')) named.push(context.machines.listedCoreMachines()[0]);
+  const found = named.filter((machine): machine is Machine => machine !== undefined && all.includes(machine));
   return found.length ? found : all;
 }
 
-/** Claims the victims of a trouble; undefined where its turn never came. */
-export async function claim(s: TroubleStage, trouble: Trouble, random: RandomSource): Promise<Claim | undefined> {
-  const claimed = await s.tolerance.claim(() => targets(s, trouble), trouble.count, random);
-  if (!claimed) note(s, `no turn for ${trouble.kind}`);
+/** Claims the victims of a fault; undefined if no losses were allowed until the timeout. */
+export async function claimVictims(
+  context: FaultContext,
+  fault: Trouble,
+  random: RandomSource,
+): Promise<Claim | undefined> {
+  const claimed = await context.tolerance.claim(() => candidates(context, fault), fault.count, random);
+  if (!claimed) note(context, `no turn for ${fault.kind}`);
   return claimed;
 }
 
-/** Resolves at the next work of a client that is accepted, with the machine that stored it; or after a while without one. */
-export async function nextWork(s: TroubleStage, on: MachineClass, random: RandomSource): Promise<Machine | undefined> {
-  const { seen } = s.stage.world.journal;
+/**
+ * Waits for the next accepted publish of a client; returns a machine of the class that owns shards, or any of the class. Returns undefined
+ * if none was accepted for some time.
+ */
+export async function ownerAfterNextAccept(
+  context: FaultContext,
+  on: MachineClass,
+  random: RandomSource,
+): Promise<Machine | undefined> {
+  const { seen } = context.scenario.world.journal;
   const from = seen.length;
   const accepted = (): boolean => seen.slice(from).some((x) => x.k === 'pub.answer' && x.out === 'accepted');
-  for (let i = 0; i < WORK_LOOKS && !accepted(); i++) await pause(s, WORK_LOOK_MS);
+  for (let i = 0; i < ACCEPT_POLLS && !accepted(); i++) await pause(context, ACCEPT_POLL_MS);
   const last = seen.slice(from).find((x) => x.k === 'pub.answer' && x.out === 'accepted');
   if (last?.k !== 'pub.answer') return undefined;
-  const owners = s.machines
+  const owners = context.machines
     .of(on)
-    .filter((m) => m.isUp() && m.main.kernel?.has('owner') && m.main.kernel.use('owner').ownedShards().length > 0);
-  return randomSample(random, owners, 1)[0] ?? randomSample(random, s.machines.of(on), 1)[0];
+    .filter(
+      (machine) =>
+        machine.isUp() &&
+        machine.main.kernel?.has('owner') &&
+        machine.main.kernel.use('owner').ownedShards().length > 0,
+    );
+  return randomSample(random, owners, 1)[0] ?? randomSample(random, context.machines.of(on), 1)[0];
 }
-const WORK_LOOK_MS = 3;
-const WORK_LOOKS = 700;
+const ACCEPT_POLL_MS = 3;
+const ACCEPT_POLLS = 700;
