--- a/packages/trial/src/trouble/tolerance.ts
+++ b/packages/trial/src/trouble/tolerance.ts
@@ -1,84 +1,87 @@
-/** Who may be lost: troubles ask here before they strike a machine whose loss counts, and wait their turn. */
+/** Keeps the number of lost machines within the declared losses: faults claim their victims here and wait until that is allowed. */
 import { sleep, randomSample, type Clock, type RandomSource } from '@harecross/kernel';
 import type { Machine } from './machines.js';
 
-/** A trouble that waits looks again this often (ms) ... */
-const LOOK_MS = 100;
-/** ... and does not happen if its turn has not come by then. */
+/** Interval at which a waiting fault tries again ... */
+const POLL_MS = 100;
+/** ... and the time after which it is skipped. */
 const GIVE_UP_MS = 30_000;
 
-/** What the count needs to know of a machine. */
+/** The state of a machine that the count of losses depends on. */
 export interface Losable {
-  /** Whether its loss counts. */
+  /** Whether its loss counts towards the declared losses. */
   readonly counted: boolean;
-  /** Gone for good. */
+  /** Whether it was removed for good. */
   readonly removed: boolean;
   isUp(): boolean;
 }
 
-/** Victims that a trouble may strike now. */
+/** Victims that a fault may affect now. */
 export interface Claim<M extends Losable = Machine> {
   machines: M[];
-  /** They are back, with their process started: they count as lost for the time that repair may take. */
+  /** The victims are back with their processes started. They count as lost for the time that repair may take. */
   back(): void;
-  /** Another machine takes the place of one that is gone for good: it counts instead, from its start. */
+  /** Another machine replaces one that was removed for good; it counts as lost instead for the time that repair may take. */
   succeeded(by: M): void;
 }
 
 /**
  * Counts the machines that are lost: down, frozen, slowed or cut off, and for `syncMs` after they are back.
  * @example
- * const claim = await tolerance.claim(stores, 1, random); ...; claim?.back();
+ * const claim = await lossBudget.claim(() => stores, 1, random); ...; claim?.back();
  */
 export class Tolerance<M extends Losable = Machine> {
   private lost = new Set<M>();
-  private syncing = new Map<M, number>();
-  /** One trouble that strikes all at once is under way, or waits for the others to be over. */
-  private closed = false;
+  private repairingUntil = new Map<M, number>();
+  /** Whether a fault of all machines is active; meanwhile no other fault may claim victims. */
+  private exclusive = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly losses: number,
     private readonly syncMs: number,
-    /** Called when machines that count are about to be struck. */
-    private readonly onStrike: (machines: readonly M[]) => void = () => {},
+    /** Called before machines whose loss counts are given to a fault. */
+    private readonly onClaim: (machines: readonly M[]) => void = () => {},
   ) {}
 
-  /** Machines that count as lost now. */
+  /** The number of machines that count as lost now. */
   count(): number {
-    for (const [machine, until] of this.syncing) if (until <= this.clock.now()) this.syncing.delete(machine);
-    return new Set([...this.lost, ...this.syncing.keys()].filter((m) => m.counted)).size;
+    for (const [machine, until] of this.repairingUntil)
+      if (until <= this.clock.now()) this.repairingUntil.delete(machine);
+    return new Set([...this.lost, ...this.repairingUntil.keys()].filter((machine) => machine.counted)).size;
   }
 
-  private free(machines: readonly M[]): M[] {
-    return machines.filter((m) => !m.removed && m.isUp() && !this.lost.has(m) && !this.syncing.has(m));
+  private claimable(machines: readonly M[]): M[] {
+    return machines.filter(
+      (machine) => !machine.removed && machine.isUp() && !this.lost.has(machine) && !this.repairingUntil.has(machine),
+    );
   }
 
-  /** Up to `count` of these machines that may be lost together now; undefined if their turn does not come. */
+  /** Claims up to `count` of these machines that may be lost together; undefined if that was not allowed until the timeout. */
   async claim(machines: () => readonly M[], count: number, random: RandomSource): Promise<Claim<M> | undefined> {
-    for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, LOOK_MS)) {
-      if (this.closed) continue;
+    for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, POLL_MS)) {
+      if (this.exclusive) continue;
       const lost = this.count();
-      const chosen = randomSample(random, this.free(machines()), count);
-      let room = this.losses - lost;
-      const may = chosen.filter((m) => !m.counted || room-- > 0);
-      if (!may.length) continue;
-      return this.taken(may);
+      const chosen = randomSample(random, this.claimable(machines()), count);
+      let remaining = this.losses - lost;
+      const chosenWithinBudget = chosen.filter((machine) => !machine.counted || remaining-- > 0);
+      if (!chosenWithinBudget.length) continue;
+      return this.taken(chosenWithinBudget);
     }
     return undefined;
   }
 
-  /** Everything that counts, once nothing is lost: disks stay, power goes. Meanwhile nobody else is struck. */
+  /** Claims all of these machines once none is lost, for faults that keep the disks. Until their return no other fault can claim victims. */
   async claimAll(machines: () => readonly M[]): Promise<Claim<M> | undefined> {
-    for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, LOOK_MS)) {
-      if (this.closed) continue;
+    for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, POLL_MS)) {
+      if (this.exclusive) continue;
       if (this.count() || this.lost.size) continue;
-      this.closed = true;
-      const claim = this.taken(machines().filter((m) => !m.removed && m.isUp()));
+      this.exclusive = true;
+      const claim = this.taken(machines().filter((machine) => !machine.removed && machine.isUp()));
       return {
         ...claim,
         back: () => {
-          this.closed = false;
+          this.exclusive = false;
           claim.back();
         },
       };
@@ -87,21 +90,21 @@
   }
 
   private taken(machines: M[]): Claim<M> {
-    if (machines.some((m) => m.counted)) this.onStrike(machines);
-    for (const m of machines) this.lost.add(m);
-    const over = (): void => {
-      for (const m of machines) this.lost.delete(m);
+    if (machines.some((machine) => machine.counted)) this.onClaim(machines);
+    for (const machine of machines) this.lost.add(machine);
+    const release = (): void => {
+      for (const machine of machines) this.lost.delete(machine);
     };
     const until = (): number => this.clock.now() + this.syncMs;
     return {
       machines,
       back: () => {
-        over();
-        for (const m of machines) this.syncing.set(m, until());
+        release();
+        for (const machine of machines) this.repairingUntil.set(machine, until());
       },
       succeeded: (by) => {
-        over();
-        this.syncing.set(by, until());
+        release();
+        this.repairingUntil.set(by, until());
       },
     };
   }
