--- a/packages/control/src/consensus/acceptor.ts
+++ b/packages/control/src/consensus/acceptor.ts
@@ -3,7 +3,7 @@
 import type { DurableState } from '@harecross/state';
 import { deserializeValue } from '../value/value-text.js';
 import type { FleetValue } from '../value/fleet-value.js';
-import { proposerOf, type Accepted, type Prepared, type VoterState } from './ballots.js';
+import { proposerOf, type AcceptResponse, type PrepareResponse, type VoterState } from './ballots.js';
 
 /** A ballot to promise. */
 interface PrepareRequest {
@@ -61,7 +61,7 @@
     if (disk !== this.disk) throw new HarecrossError({ tag: 'unknown_disk', step, peer: this.kernel.self, disk });
   }
 
-  private async prepare(b: PrepareRequest): Promise<Prepared> {
+  private async prepare(b: PrepareRequest): Promise<PrepareResponse> {
     const { store, disk } = this;
     this.mustBeOurs(b.disk, 'RegPrepare');
     const at = this.kernel.host.clock.now();
@@ -70,7 +70,7 @@
       const { promised, ballot } = store.acceptorState();
       return { disk, ok: false, promised, ballot };
     }
-    return store.db.commit((): Prepared => {
+    return store.db.commit((): PrepareResponse => {
       const saved = store.acceptorState();
       if (b.ballot <= saved.promised) return { disk, ok: false, promised: saved.promised, ballot: saved.ballot };
       store.saveAcceptorState({ ...saved, promised: b.ballot });
@@ -83,10 +83,10 @@
     return reservation !== undefined && now < reservation.until && reservation.proposer !== proposerOf(ballot);
   }
 
-  private async accept(b: AcceptRequest): Promise<Accepted> {
+  private async accept(b: AcceptRequest): Promise<AcceptResponse> {
     const { store, disk } = this;
     this.mustBeOurs(b.disk, 'RegAccept');
-    const answer = await store.db.commit((): Accepted => {
+    const answer = await store.db.commit((): AcceptResponse => {
       const saved = store.acceptorState();
       if (b.ballot < saved.promised || this.isLate(b)) return { disk, ok: false, promised: saved.promised };
       store.saveAcceptorState({ promised: b.ballot, ballot: b.ballot, value: b.value });
@@ -104,7 +104,7 @@
   private isLate(b: AcceptRequest): boolean {
     if (b.promisedAt === undefined) return false;
     const ageMs = this.kernel.host.clock.now() - b.promisedAt;
-    return b.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseLifeMs;
+    return b.promisedAt < this.kernel.startedAt || ageMs < 0 || ageMs > REGISTER.promiseTtlMs;
   }
 
   private voterState(b: { disk: string }): VoterState {
--- a/packages/control/src/consensus/ballots.ts
+++ b/packages/control/src/consensus/ballots.ts
@@ -3,7 +3,7 @@
 import type { FleetValue } from '../value/fleet-value.js';
 
 /** A voter's answer to `RegPrepare`: its promise, and what it accepted last. */
-export interface Prepared {
+export interface PrepareResponse {
   disk: string;
   ok: boolean;
   promised: string;
@@ -14,7 +14,7 @@
 }
 
 /** A voter's answer to `RegAccept`. */
-export interface Accepted {
+export interface AcceptResponse {
   disk: string;
   ok: boolean;
   promised: string;
@@ -53,7 +53,7 @@
 export const proposerOf = (ballot: string): string => ballot.slice(NUMBER_DIGITS + 1);
 
 /** Makes ballots that no other process makes, each above all that were seen. */
-export class BallotSource {
+export class BallotGenerator {
   private count = 0;
 
   constructor(private kernel: Kernel) {}
@@ -63,7 +63,7 @@
   }
 
   /** The next ballot is above this one. */
-  outbid(ballot: string): void {
+  advancePast(ballot: string): void {
     this.count = Math.max(this.count, Number(ballot.slice(0, NUMBER_DIGITS)) || 0);
   }
 
@@ -77,7 +77,7 @@
  * Whether at most one voter goes and at most one comes. A voter may be replaced by another in one step, because the change itself
  * needs a majority of the voters before and of those after.
  */
-export function oneVoterChanges(before: string[], after: string[]): boolean {
+export function changesAtMostOneVoter(before: string[], after: string[]): boolean {
   const gone = before.filter((disk) => !after.includes(disk));
   const come = after.filter((disk) => !before.includes(disk));
   return gone.length <= 1 && come.length <= 1;
--- a/packages/control/src/consensus/founding-right.ts
+++ b/packages/control/src/consensus/bootstrap-eligibility.ts
@@ -10,7 +10,7 @@
  * seeds of that start, since a process that is started again is told neither that there is no fleet yet, nor perhaps the same seeds. A disk
  * that was emptied has it no more.
  */
-export class FoundingRight {
+export class BootstrapEligibility {
   private storedSeeds: string[] | undefined;
 
   constructor(
--- a/packages/control/src/consensus/bootstrap.ts
+++ b/packages/control/src/consensus/bootstrap.ts
@@ -5,8 +5,8 @@
 import { assignReplicas } from '../placement/placement.js';
 import { isUsedFor, type DiskRecord, type FleetValue, type Placement } from '../value/fleet-value.js';
 import { deserializeValue, serializeValue } from '../value/value-text.js';
-import type { Accepted, BallotSource, Prepared } from './ballots.js';
-import type { FoundingRight } from './founding-right.js';
+import type { AcceptResponse, BallotGenerator, PrepareResponse } from './ballots.js';
+import type { BootstrapEligibility } from './bootstrap-eligibility.js';
 
 /** Fleet ids are random numbers below this. */
 const FLEET_ID_RANGE = 2 ** 48;
@@ -34,8 +34,8 @@
   constructor(
     private readonly kernel: Kernel,
     private readonly membership: MembershipTable,
-    private readonly ballots: BallotSource,
-    private readonly right: FoundingRight,
+    private readonly ballots: BallotGenerator,
+    private readonly right: BootstrapEligibility,
     /** The value that is known here, if any. */
     private readonly known: () => FleetValue | undefined,
     /** Called with the first value once it is chosen. */
@@ -78,7 +78,7 @@
    * within some time are enough.
    */
   private areDisksThere(): boolean {
-    const isLate = this.waitedMs() >= REGISTER.bootstrapAnywayMs;
+    const isLate = this.waitedMs() >= REGISTER.bootstrapReplicaWaitMs;
     const durability = durabilityOf(this.kernel.host.config);
     if (!durability.tolerance) return isLate || this.disksForReplicas() >= durability.copies;
     const shortfall = shortfallOf(durability, [...this.liveDisks().values()]);
@@ -113,30 +113,30 @@
   }
 
   /** The promises of all seeds; undefined where one is missing. */
-  private async prepare(seeds: Seed[], ballot: string): Promise<Prepared[] | undefined> {
+  private async prepare(seeds: Seed[], ballot: string): Promise<PrepareResponse[] | undefined> {
     const calls = seeds.map(({ peer, disk }) =>
-      this.kernel.call<Prepared>(peer, 'RegPrepare', { disk, ballot }).catch(() => undefined),
+      this.kernel.call<PrepareResponse>(peer, 'RegPrepare', { disk, ballot }).catch(() => undefined),
     );
     const answers = await Promise.all(calls);
-    for (const answer of answers) if (answer && !answer.ok) this.ballots.outbid(answer.promised);
+    for (const answer of answers) if (answer && !answer.ok) this.ballots.advancePast(answer.promised);
     const promises = answers.filter((answer) => answer?.ok === true);
-    return promises.length === seeds.length ? (promises as Prepared[]) : undefined;
+    return promises.length === seeds.length ? (promises as PrepareResponse[]) : undefined;
   }
 
   /** The value of a bootstrap that was cut short, if there was one; else a new one. */
-  private firstValue(seeds: Seed[], promises: Prepared[]): FleetValue {
+  private firstValue(seeds: Seed[], promises: PrepareResponse[]): FleetValue {
     const accepted = promises
       .filter((promise) => promise.value)
-      .reduce<Prepared | undefined>((one, other) => (!one || other.ballot > one.ballot ? other : one), undefined);
+      .reduce<PrepareResponse | undefined>((one, other) => (!one || other.ballot > one.ballot ? other : one), undefined);
     return accepted ? deserializeValue(accepted.value!) : this.genesis(seeds);
   }
 
   /** Whether all seeds accepted the value. */
-  private async accept(seeds: Seed[], ballot: string, promises: Prepared[], value: FleetValue): Promise<boolean> {
+  private async accept(seeds: Seed[], ballot: string, promises: PrepareResponse[], value: FleetValue): Promise<boolean> {
     const text = serializeValue(value);
     const calls = seeds.map(({ peer, disk }, i) =>
       this.kernel
-        .call<Accepted>(peer, 'RegAccept', { disk, ballot, value: text, promisedAt: promises[i]!.at })
+        .call<AcceptResponse>(peer, 'RegAccept', { disk, ballot, value: text, promisedAt: promises[i]!.at })
         .catch(() => undefined),
     );
     return (await Promise.all(calls)).every((answer) => answer?.ok);
--- a/packages/control/src/consensus/consensus-register.ts
+++ b/packages/control/src/consensus/consensus-register.ts
@@ -15,13 +15,13 @@
 import type { MembershipTable } from '../membership/membership-table.js';
 import { persistEmptiedState } from '../reconcile/forget-planner.js';
 import { Acceptor } from './acceptor.js';
-import { BallotSource } from './ballots.js';
+import { BallotGenerator } from './ballots.js';
 import { Bootstrap } from './bootstrap.js';
-import { FoundingRight } from './founding-right.js';
+import { BootstrapEligibility } from './bootstrap-eligibility.js';
 import { ReadLease } from './read-lease.js';
 import { Proposer, type ChangeFn } from './proposer.js';
 import { Reader } from './reader.js';
-import { deserializeValue, shareText, cachedText } from '../value/value-text.js';
+import { deserializeValue, shareCachedText, cachedText } from '../value/value-text.js';
 import { ValueFetcher } from './value-fetcher.js';
 import { valueAnswer, type ValueRequest } from './value-transfer.js';
 import type { FleetValue } from '../value/fleet-value.js';
@@ -47,7 +47,7 @@
   readonly value$ = new BehaviorSubject<FleetValue | undefined>(undefined);
   readonly disk?: string;
   private readonly lease: ReadLease;
-  private readonly ballots: BallotSource;
+  private readonly ballots: BallotGenerator;
   private readonly acceptor?: Acceptor;
   private readonly proposer: Proposer;
   private readonly reader: Reader;
@@ -61,7 +61,7 @@
   ) {
     const { clock, random, db } = kernel.host;
     this.lease = new ReadLease(clock, kernel.host.config.applyMs);
-    this.ballots = new BallotSource(kernel);
+    this.ballots = new BallotGenerator(kernel);
     if (db) {
       this.state = kernel.use('state');
       this.disk = this.state.get('disk')!;
@@ -80,7 +80,7 @@
     this.proposer = new Proposer(kernel, this.ballots, {
       ask,
       learn,
-      start: () => this.newestSeen(),
+      newestKnown: () => this.newestKnown(),
       ownDisk: this.disk,
     });
     this.reader = new Reader(kernel, membership, this.ballots, this.lease, this.acceptor, {
@@ -102,13 +102,13 @@
       membership.memberStateChanged$.subscribe((m) => m.state === 'live' && void this.renewExpiredLease()),
     );
     if (this.state) {
-      const right = new FoundingRight(kernel, this.state);
+      const right = new BootstrapEligibility(kernel, this.state);
       this.answerIdentity(this.state, right);
       if (right.seeds) this.startBootstrap(right);
     }
   }
 
-  private startBootstrap(right: FoundingRight): void {
+  private startBootstrap(right: BootstrapEligibility): void {
     const { kernel } = this;
     const { clock, random } = kernel.host;
     const learn = (value: FleetValue): void => this.learn(value);
@@ -117,7 +117,7 @@
   }
 
   /** Tells who founds the fleet what this disk is, and whether it could found one itself. */
-  private answerIdentity(state: DurableState, right: FoundingRight): void {
+  private answerIdentity(state: DurableState, right: BootstrapEligibility): void {
     this.kernel.on('RegWho', () => ({
       disk: this.disk,
       fleet: state.get(FLEET_ROW),
@@ -172,8 +172,8 @@
   }
 
   /** Tells when the value becomes confirmed that was not lately. */
-  get readLeaseBegun$(): ReadLease['begun$'] {
-    return this.lease.begun$;
+  get readLeaseStarted$(): ReadLease['started$'] {
+    return this.lease.started$;
   }
 
   /** Whether our value was confirmed by a majority so lately that we may serve by it. */
@@ -196,7 +196,7 @@
   }
 
   /** The newest value seen here, chosen or only accepted. */
-  private newestSeen(): FleetValue | undefined {
+  private newestKnown(): FleetValue | undefined {
     const accepted = this.acceptor?.accepted;
     const known = this.value ?? accepted;
     return known && accepted && accepted.rev > known.rev ? accepted : known;
@@ -258,7 +258,7 @@
   }
 
   /** The value as a majority has it now. */
-  async read(limitMs: number = REGISTER.changeMs): Promise<FleetValue> {
+  async read(limitMs: number = REGISTER.changeTimeoutMs): Promise<FleetValue> {
     const askedAt = this.kernel.host.clock.now();
     const v = await this.change((x) => ({ out: x }), limitMs);
     this.lease.renew(askedAt);
@@ -269,7 +269,7 @@
    * Applies a change to the latest agreed value. `fn` may run many times and must give the same outcome for the
    * same value; without `next` it only reads. Fails with `no_majority` when it could not be told, or when it is no longer `wanted`.
    */
-  change<T>(fn: ChangeFn<T>, limitMs: number = REGISTER.changeMs, wanted: () => boolean = () => true): Promise<T> {
+  change<T>(fn: ChangeFn<T>, limitMs: number = REGISTER.changeTimeoutMs, wanted: () => boolean = () => true): Promise<T> {
     return this.proposer.change(fn, limitMs, wanted);
   }
 
@@ -281,7 +281,7 @@
 
 /** A newer value of the same version has the same configuration: what was laid out for looking things up in it stays. */
 function withConfigurationOf(old: FleetValue, value: FleetValue): FleetValue {
-  return shareText({ ...value, config: old.config, incarnations: old.incarnations }, value);
+  return shareCachedText({ ...value, config: old.config, incarnations: old.incarnations }, value);
 }
 
 /**
@@ -289,7 +289,7 @@
  * @example
  * if (!register.value) throw notReady(k, 'ReadConfig');
  */
-export function notReady(kernel: Kernel, step: string): HarecrossError {
+export function notReadyError(kernel: Kernel, step: string): HarecrossError {
   return new HarecrossError({
     tag: 'not_ready',
     step,
--- a/packages/control/src/consensus/proposer.ts
+++ b/packages/control/src/consensus/proposer.ts
@@ -6,12 +6,12 @@
 import {
   allVoters,
   isMajority,
-  oneVoterChanges,
+  changesAtMostOneVoter,
   voterSets,
-  type Accepted,
+  type AcceptResponse,
   type CallVoters,
-  type BallotSource,
-  type Prepared,
+  type BallotGenerator,
+  type PrepareResponse,
 } from './ballots.js';
 
 /** What a change makes of a value: the next one, or none to read only, and the caller's outcome. */
@@ -21,7 +21,7 @@
 export type ChangePriority = 'ordinary' | 'repair';
 
 /** The answers to `RegPrepare` under one ballot, come or still to come, by disk. */
-type Promises = Map<string, Promise<Prepared>>;
+type Promises = Map<string, Promise<PrepareResponse>>;
 
 type RoundResult<T> = { tag: 'done'; out: T } | { tag: 'again'; why: string };
 
@@ -29,7 +29,7 @@
 export interface ProposerContext {
   ask: CallVoters;
   /** The newest value known here, chosen or only accepted: whose voters are asked first. */
-  start(): FleetValue | undefined;
+  newestKnown(): FleetValue | undefined;
   /** The disk of our own voter, if there is one. */
   ownDisk: string | undefined;
   /** Called with a value that was chosen. */
@@ -40,7 +40,7 @@
 export class Proposer {
   constructor(
     private kernel: Kernel,
-    private ballots: BallotSource,
+    private ballots: BallotGenerator,
     private context: ProposerContext,
   ) {}
 
@@ -56,7 +56,7 @@
     let why = 'no value known';
     for (let tries = 0; clock.now() < until && wanted(); tries++) {
       if (tries > 0) await sleep(clock, Math.min(600, 30 * 2 ** Math.min(tries, 4)) * (0.5 + random.next()));
-      const start = this.context.start();
+      const start = this.context.newestKnown();
       if (!start || !wanted()) continue;
       const result = await this.round(start, fn, () => clock.now() < until && wanted(), priority);
       switch (result.tag) {
@@ -85,7 +85,7 @@
     const outcome = outcomeOf(fn, latest);
     const change = outcome.tag === 'changed' ? outcome.next : undefined;
     const next = change ? { ...change, rev: latest.rev + 1, previousVoters: latest.voters } : latest;
-    invariant(!change || oneVoterChanges(latest.voters, next.voters), 'one voter at a time');
+    invariant(!change || changesAtMostOneVoter(latest.voters, next.voters), 'one voter at a time');
     const why = await this.accept(ballot, next, prepared.promises, mayAccept, priority);
     if (why !== undefined) return { tag: 'again', why };
     this.context.learn(next);
@@ -101,7 +101,7 @@
   ): Promise<{ tag: 'prepared'; value: FleetValue; promises: Promises } | { tag: 'again'; why: string }> {
     let latest = start;
     const promises: Promises = new Map();
-    const answers = new Map<string, Prepared>();
+    const answers = new Map<string, PrepareResponse>();
     for (;;) {
       const sets = voterSets(latest);
       const voters = allVoters(latest);
@@ -123,7 +123,7 @@
         return { tag: 'again', why: `only ${heard.size} of ${voters.length} voters answered` };
       const top = [...answers.values()]
         .filter((r) => r.value)
-        .reduce<Prepared | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
+        .reduce<PrepareResponse | undefined>((a, b) => (!a || b.ballot > a.ballot ? b : a), undefined);
       if (!top) return { tag: 'again', why: 'the voters are empty' };
       // Mostly what is known here already: a large value is not read again.
       latest = cachedText(start) === top.value ? start : deserializeValue(top.value!);
@@ -131,10 +131,10 @@
     }
   }
 
-  private async askPrepare(disk: string, ballot: string, priority: ChangePriority): Promise<Prepared> {
+  private async askPrepare(disk: string, ballot: string, priority: ChangePriority): Promise<PrepareResponse> {
     const request = priority === 'repair' ? { ballot, repair: true } : { ballot };
-    const answer = await this.context.ask<Prepared>([disk], 'RegPrepare', request)[0]!;
-    if (!answer.ok) this.ballots.outbid(answer.promised);
+    const answer = await this.context.ask<PrepareResponse>([disk], 'RegPrepare', request)[0]!;
+    if (!answer.ok) this.ballots.advancePast(answer.promised);
     return answer;
   }
 
@@ -159,10 +159,10 @@
       const promise = await (promises.get(disk) ?? this.askPrepare(disk, ballot, priority));
       if (!promise.ok || !mayAccept()) throw new Error(`${disk} is not asked to accept`);
       const body = { ballot, value, promisedAt: promise.at };
-      const answer = await this.context.ask<Accepted>([disk], 'RegAccept', body)[0]!;
+      const answer = await this.context.ask<AcceptResponse>([disk], 'RegAccept', body)[0]!;
       if (answer.ok) heard.add(disk);
       else {
-        this.ballots.outbid(answer.promised);
+        this.ballots.advancePast(answer.promised);
         refused = true;
       }
     };
--- a/packages/control/src/consensus/read-lease.ts
+++ b/packages/control/src/consensus/read-lease.ts
@@ -8,7 +8,7 @@
  */
 export class ReadLease {
   /** Tells when the lease becomes valid that was not. */
-  readonly begun$ = new Subject<void>();
+  readonly started$ = new Subject<void>();
   private confirmedAt = -Infinity;
   readonly leaseMs: number;
 
@@ -43,6 +43,6 @@
   renew(askedAt: number): void {
     const was = this.valid();
     this.confirmedAt = Math.max(this.confirmedAt, askedAt);
-    if (!was && this.valid()) this.begun$.next();
+    if (!was && this.valid()) this.started$.next();
   }
 }
--- a/packages/control/src/consensus/reader.ts
+++ b/packages/control/src/consensus/reader.ts
@@ -3,7 +3,7 @@
 import type { MembershipTable } from '../membership/membership-table.js';
 import type { FleetValue } from '../value/fleet-value.js';
 import type { Acceptor } from './acceptor.js';
-import { allVoters, isMajority, voterSets, type CallVoters, type BallotSource, type VoterState } from './ballots.js';
+import { allVoters, isMajority, voterSets, type CallVoters, type BallotGenerator, type VoterState } from './ballots.js';
 import type { ReadLease } from './read-lease.js';
 
 /** What the reader needs of the register. */
@@ -27,7 +27,7 @@
   constructor(
     private kernel: Kernel,
     private membership: MembershipTable,
-    private ballots: BallotSource,
+    private ballots: BallotGenerator,
     private lease: ReadLease,
     private acceptor: Acceptor | undefined,
     private context: ReaderContext,
@@ -90,7 +90,7 @@
         p.then((r) => {
           heard.add(r.disk);
           got.push(r);
-          this.ballots.outbid(r.ballot);
+          this.ballots.advancePast(r.ballot);
           return r;
         }),
       );
--- a/packages/control/src/consensus/value-fetcher.ts
+++ b/packages/control/src/consensus/value-fetcher.ts
@@ -2,7 +2,7 @@
 import { MEMBERSHIP, REGISTER, withTimeout, type Kernel } from '@harecross/kernel';
 import type { MembershipTable } from '../membership/membership-table.js';
 import type { FleetValue } from '../value/fleet-value.js';
-import { valueIn, valueRequest, type ValueAnswer } from './value-transfer.js';
+import { valueFromAnswer, valueRequest, type ValueAnswer } from './value-transfer.js';
 
 /** What the fetcher needs of the register. */
 export interface ValueFetcherContext {
@@ -48,7 +48,7 @@
   fetch(peer: string): Promise<void> {
     const underWay = this.inFlight.get(peer);
     if (underWay) return underWay;
-    const timeoutMs = this.membership.scaledPeriodMs(MEMBERSHIP.callMs, REGISTER.fetchPerMemberMs);
+    const timeoutMs = this.membership.scaledPeriodMs(MEMBERSHIP.callTimeoutMs, REGISTER.fetchPerMemberMs);
     const fetched = this.kernel
       .call<ValueAnswer>(peer, 'RegGet', valueRequest(this.context.value()), timeoutMs)
       .then(
@@ -61,7 +61,7 @@
   }
 
   private take(answer: ValueAnswer): void {
-    const newer = valueIn(answer, this.context.value(), (text) => this.context.readText(text));
+    const newer = valueFromAnswer(answer, this.context.value(), (text) => this.context.readText(text));
     if (newer) this.context.learn(newer);
   }
 }
--- a/packages/control/src/consensus/value-transfer.ts
+++ b/packages/control/src/consensus/value-transfer.ts
@@ -55,7 +55,7 @@
  * @example
  * const newer = valueIn(answer, register.value);
  */
-export function valueIn(
+export function valueFromAnswer(
   answer: ValueAnswer,
   own: FleetValue | undefined,
   read: (text: string) => FleetValue = deserializeValue,
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -6,7 +6,7 @@
 export * from './value/fleet-value.js';
 export * from './consensus/consensus-register.js';
 export * from './consensus/acceptor.js';
-export { BallotSource } from './consensus/ballots.js';
+export { BallotGenerator as BallotGenerator } from './consensus/ballots.js';
 export * from './consensus/read-lease.js';
 export * from './consensus/proposer.js';
 export * from './consensus/reader.js';
--- a/packages/control/src/membership/anti-entropy.ts
+++ b/packages/control/src/membership/anti-entropy.ts
@@ -77,7 +77,7 @@
     const now = clock.now();
     const gapMs = this.context.scaledPeriodMs(0, MEMBERSHIP.disseminationGapPerMemberMs);
     const recentlyChanged = now - this.context.table.changedAt < gapMs;
-    if (recentlyChanged && now - this.comparedAt < MEMBERSHIP.gossipAnywayMs) return;
+    if (recentlyChanged && now - this.comparedAt < MEMBERSHIP.gossipWhileBusyMs) return;
     this.comparedAt = now;
     const peers = this.context.randomPeersOrContacts(MEMBERSHIP.gossipPeerCount);
     await Promise.all(peers.map((peer) => this.reconcileWith(peer)));
--- a/packages/control/src/membership/failure-detector.ts
+++ b/packages/control/src/membership/failure-detector.ts
@@ -73,9 +73,9 @@
     for (const member of Array.from(this.context.members.values())) {
       if (member.peer === this.kernel.self) continue;
       const silentMs = now - member.seenAt;
-      if (member.state === 'suspect' && silentMs > MEMBERSHIP.deadMs) this.context.setMemberState(member, 'dead');
+      if (member.state === 'suspect' && silentMs > MEMBERSHIP.suspicionTimeoutMs) this.context.setMemberState(member, 'dead');
       const isGone = member.state === 'dead' || member.state === 'left';
-      if (isGone && silentMs > MEMBERSHIP.forgetMs) this.context.forgetMember(member.peer);
+      if (isGone && silentMs > MEMBERSHIP.deadRecordTtlMs) this.context.forgetMember(member.peer);
     }
     const next = this.nextSilentMember(now);
     if (next) void this.probe(next);
--- a/packages/control/src/membership/membership-table.ts
+++ b/packages/control/src/membership/membership-table.ts
@@ -76,7 +76,7 @@
     this.failureDetector = this.createFailureDetector();
     this.antiEntropy = this.createAntiEntropy();
     kernel.intermediariesTo = (peer) => this.intermediariesTo(peer);
-    kernel.onSignOfLife = (peer, instanceId) => this.markAlive(peer, instanceId);
+    kernel.onPeerActivity = (peer, instanceId) => this.markAlive(peer, instanceId);
     kernel.addSubscription(kernel.loopResumed$.subscribe(() => this.resetLastSeen()));
     for (const seed of config.seeds) this.sampling.offer(seed);
     if (db) this.rememberedPeers = new RememberedPeers(kernel, kernel.use('state'), this.members);
@@ -286,7 +286,7 @@
   /** Stores a fact and applies its effects, if it is newer than the known version. For `silentMs` see `Fact`. */
   private store(key: string, version: string, value: unknown, silentMs = 0): boolean {
     if (!this.table.isNewer(key, version)) return false;
-    if (!this.facts.has(key) && silentMs > MEMBERSHIP.forgetMs) return false;
+    if (!this.facts.has(key) && silentMs > MEMBERSHIP.deadRecordTtlMs) return false;
     const memberPeer = peerOfMemberKey(key);
     if (memberPeer === this.kernel.self && (value as MemberRecord).inst !== this.kernel.instanceId) {
       // The record was published by an earlier process at this address, whose clock was ahead of the present one.
--- a/packages/control/src/operators/operator-answers.ts
+++ b/packages/control/src/operators/operator-answers.ts
@@ -3,7 +3,7 @@
  * call arrived, and with a refusal if the request may have waited in a buffer.
  */
 import { HarecrossError, REGISTER, withTimeout, type Kernel } from '@harecross/kernel';
-import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
+import { notReadyError, type ConsensusRegister } from '../consensus/consensus-register.js';
 import type { FleetValue } from '../value/fleet-value.js';
 
 /**
@@ -19,7 +19,7 @@
 
   /** Rejects a request that may have waited in a buffer for long, because this process was paused; the sender can repeat it. */
   rejectIfStale(step: string): void {
-    if (this.kernel.resumedRecently()) throw notReady(this.kernel, step);
+    if (this.kernel.resumedRecently()) throw notReadyError(this.kernel, step);
   }
 
   /**
@@ -36,7 +36,7 @@
     if (settled) return settled.out;
     if (this.register.confirmedSince(startedAt)) return work;
     work.catch(() => this.kernel.incrementCounter('orders.failed_later'));
-    throw this.register.value ? this.noMajority(step) : notReady(this.kernel, step);
+    throw this.register.value ? this.noMajority(step) : notReadyError(this.kernel, step);
   }
 
   /**
@@ -44,7 +44,7 @@
    * process that was paused for longer meanwhile doesn't answer with what it received before the pause.
    */
   async confirmedValue(step: string): Promise<FleetValue> {
-    if (!this.register.value) throw notReady(this.kernel, step);
+    if (!this.register.value) throw notReadyError(this.kernel, step);
     const { clock } = this.kernel.host;
     const startedAt = clock.now();
     const value = await withTimeout(clock, REGISTER.operatorAnswerMs, this.currentValue());
--- a/packages/control/src/operators/operators.ts
+++ b/packages/control/src/operators/operators.ts
@@ -3,15 +3,15 @@
 import { configFaults, type FleetConfig, type Move, type PathFault } from '@harecross/schema';
 import type { MembershipTable } from '../membership/membership-table.js';
 import {
-  reasonToStay,
+  departureBlocker,
   replicaCountOn,
   findDisk,
   isDrainOrdered,
-  holdsNothing,
+  isDiskUnused,
   moveKey,
 } from '../value/fleet-queries.js';
 import { OperatorAnswers } from './operator-answers.js';
-import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
+import { notReadyError, type ConsensusRegister } from '../consensus/consensus-register.js';
 import { Submissions, overloaded, type RevisionResult } from './submissions.js';
 import {
   withConfig,
@@ -97,7 +97,7 @@
     buildChange: (value: FleetValue) => { config: unknown; document?: string },
   ): Promise<{ version: number }> {
     this.answers.rejectIfStale(step);
-    if (!this.register.value) throw notReady(this.kernel, step);
+    if (!this.register.value) throw notReadyError(this.kernel, step);
     if (this.changesInFlight >= REGISTER.concurrentChangeLimit) throw overloaded(this.kernel, step);
     this.changesInFlight++;
     try {
@@ -203,7 +203,7 @@
    */
   async setDiskState(disk: string, state: 'active' | 'emptying', step: string, changeId?: string): Promise<DiskStatus> {
     this.answers.rejectIfStale(step);
-    if (!this.register.value) throw notReady(this.kernel, step);
+    if (!this.register.value) throw notReadyError(this.kernel, step);
     const changed = this.register.change(
       (value) => this.applyDiskRequest(value, disk, state, changeId),
       REGISTER.submitMs,
@@ -218,7 +218,7 @@
       case 'refused':
         throw new HarecrossError({ tag: 'wont_hold', step, peer, detail: outcome.why });
       case 'unclear':
-        throw notReady(this.kernel, step);
+        throw notReadyError(this.kernel, step);
     }
   }
 
@@ -255,7 +255,7 @@
       return { out: { tag: 'refused', why: `disk ${disk} is lost` } };
     }
     const reasonNotToEmpty =
-      state === 'emptying' ? reasonToStay(value, { kind: 'empty' }, record, this.membership) : undefined;
+      state === 'emptying' ? departureBlocker(value, { kind: 'empty' }, record, this.membership) : undefined;
     // The request was accepted before, for a disk that was replaced since: the sender repeats it until it can start again.
     if (reasonNotToEmpty !== undefined)
       return { out: isRepeat ? { tag: 'unclear' } : { tag: 'refused', why: reasonNotToEmpty } };
@@ -272,7 +272,7 @@
     const { id } = record;
     return {
       disk: id,
-      state: record.state === 'emptying' && holdsNothing(value, id) ? 'emptied' : record.state,
+      state: record.state === 'emptying' && isDiskUnused(value, id) ? 'emptied' : record.state,
       copies: replicaCountOn(value, id),
       seat: value.voters.includes(id),
     };
--- a/packages/control/src/operators/submissions.ts
+++ b/packages/control/src/operators/submissions.ts
@@ -15,8 +15,8 @@
   type Kernel,
 } from '@harecross/kernel';
 import { configFaults, type FleetConfig, type PathFault } from '@harecross/schema';
-import { notReady, type ConsensusRegister } from '../consensus/consensus-register.js';
-import { digestOf, revisionOutcome, type RevisionOrder, type RevisionOutcome } from '../value/revision-outcomes.js';
+import { notReadyError, type ConsensusRegister } from '../consensus/consensus-register.js';
+import { digestOf, revisionOutcome, type SubmittedRevision, type RevisionOutcome } from '../value/revision-outcomes.js';
 import { withConfig, type FleetValue } from '../value/fleet-value.js';
 
 const STEP = 'SubmitConfig';
@@ -38,7 +38,7 @@
 }
 
 /** A submitted configuration with all callers that wait for its outcome: the same one may be sent many times. */
-interface Submission extends RevisionOrder {
+interface Submission extends SubmittedRevision {
   key: string;
   changeId: string;
   config: FleetConfig;
@@ -193,7 +193,7 @@
         for (const waiter of waiters) waiter.reject(failure);
         return;
       }
-      await sleep(clock, REGISTER.submitAskMs * (0.5 + random.next()));
+      await sleep(clock, REGISTER.submitPollMs * (0.5 + random.next()));
     }
     this.answerAll(waiters, resultFrom(this.register.value!, outcome));
   }
@@ -234,7 +234,7 @@
       // It was settled meanwhile.
       if (!this.isPending(submission)) return;
       if (toErrorDetails(error, STEP, this.kernel.self).tag === 'no_majority' && clock.now() < submission.until) return;
-      const failure = this.register.value ? error : notReady(this.kernel, STEP);
+      const failure = this.register.value ? error : notReadyError(this.kernel, STEP);
       for (const waiter of this.remove(submission)) waiter.reject(failure);
     }
   }
--- a/packages/control/src/placement/durability.ts
+++ b/packages/control/src/placement/durability.ts
@@ -3,7 +3,7 @@
   REGISTER,
   SHARD,
   faultToleranceOf,
-  setSizeFor,
+  minimumSetSize,
   type DiskUse,
   type FaultTolerance,
   type NodeConfig,
@@ -27,7 +27,7 @@
   const tolerance = faultToleranceOf(config);
   if (!tolerance) return { copies: SHARD.replicaCount, votersWanted: REGISTER.voterCount };
   const sizeFor = (minSize: number): number => {
-    const size = setSizeFor(tolerance, config.domains, minSize);
+    const size = minimumSetSize(tolerance, config.domains, minSize);
     if (size === undefined) throw new Error('config was not validated: no set size tolerates the configured losses');
     return size;
   };
--- a/packages/control/src/placement/placement.ts
+++ b/packages/control/src/placement/placement.ts
@@ -39,7 +39,7 @@
     medianMs === undefined
       ? []
       : disks
-          .filter((disk) => disk.ms !== undefined && disk.ms * PLACEMENT.quickDiskFactor <= medianMs)
+          .filter((disk) => disk.ms !== undefined && disk.ms * PLACEMENT.fastDiskFactor <= medianMs)
           .map((disk) => disk.id),
   );
 }
--- a/packages/control/src/placement/spread.ts
+++ b/packages/control/src/placement/spread.ts
@@ -1,5 +1,5 @@
 /** Spreads the members of a replicated set over failure domains and regions, so that a majority survives what may be lost at once. */
-import { roomUnder, spreadLimits, type FaultTolerance, type SpreadLimits } from '@harecross/kernel';
+import { maxMembersWithin, spreadLimits, type FaultTolerance, type SpreadLimits } from '@harecross/kernel';
 import type { DiskRecord } from '../value/fleet-value.js';
 
 /**
@@ -74,5 +74,5 @@
  */
 export function maxPlaceableMembers(size: number, disks: DiskRecord[], tolerance: FaultTolerance | undefined): number {
   const places = disks.map(({ domain, region }) => ({ domain, region, count: 1 }));
-  return roomUnder(places, spreadLimits(size, tolerance));
+  return maxMembersWithin(places, spreadLimits(size, tolerance));
 }
--- a/packages/control/src/reconcile/controller.ts
+++ b/packages/control/src/reconcile/controller.ts
@@ -129,7 +129,7 @@
     const applied = await this.register.repair((value) => {
       const step = this.plan(value);
       return { next: step?.next, out: step?.why };
-    }, MEMBERSHIP.callMs * 3);
+    }, MEMBERSHIP.callTimeoutMs * 3);
     if (applied === undefined) return false;
     this.kernel.incrementCounter('keeper.steps');
     this.kernel.host.log.info(`controller: ${applied}`);
--- a/packages/control/src/reconcile/departure.ts
+++ b/packages/control/src/reconcile/departure.ts
@@ -2,7 +2,7 @@
 import { PLACEMENT, PROCESS, registerPlugin, sleep, type Kernel } from '@harecross/kernel';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
 import type { MembershipTable } from '../membership/membership-table.js';
-import { holdsNothing, isInPlannedRestart } from '../value/fleet-queries.js';
+import { isDiskUnused, isInPlannedRestart } from '../value/fleet-queries.js';
 import { successorOf } from './successor.js';
 
 declare module '@harecross/kernel' {
@@ -43,7 +43,7 @@
   private isHandOverPending(): boolean {
     const { value, disk: ownDisk } = this.register;
     const disk = ownDisk === undefined ? undefined : value?.disks.get(ownDisk);
-    if (!value || !disk || holdsNothing(value, disk.id)) return false;
+    if (!value || !disk || isDiskUnused(value, disk.id)) return false;
     if (disk.state === 'leaving' || disk.state === 'emptying') return true;
     if (disk.state === 'lost' || isInPlannedRestart(value, this.kernel.self)) return false;
     return successorOf(value, { membership: this.membership }, disk) !== undefined;
--- a/packages/control/src/reconcile/forget-planner.ts
+++ b/packages/control/src/reconcile/forget-planner.ts
@@ -6,7 +6,7 @@
 import type { DurableState } from '@harecross/state';
 import type { MembershipTable } from '../membership/membership-table.js';
 import type { PlannedStep } from './planner.js';
-import { holdsNothing } from '../value/fleet-queries.js';
+import { isDiskUnused } from '../value/fleet-queries.js';
 import type { ConsensusRegister } from '../consensus/consensus-register.js';
 import type { DiskRecord, FleetValue } from '../value/fleet-value.js';
 
@@ -24,7 +24,7 @@
  */
 export function isForgettable(value: FleetValue, disk: DiskRecord): boolean {
   if (disk.state === 'active') return false;
-  if (!holdsNothing(value, disk.id)) return false;
+  if (!isDiskUnused(value, disk.id)) return false;
   return !(value.config.moves ?? []).some((move) => move.node === disk.peer);
 }
 
--- a/packages/control/src/reconcile/plan-disks.ts
+++ b/packages/control/src/reconcile/plan-disks.ts
@@ -1,7 +1,7 @@
 /** Admits disks to the fleet, and marks disks as lost whose machine is missing. */
 import { PLACEMENT } from '@harecross/kernel';
 import type { Member } from '../membership/member.js';
-import { hasSameUses, holdsNothing, plannedJoinTime } from '../value/fleet-queries.js';
+import { hasSameUses, isDiskUnused, plannedJoinTime } from '../value/fleet-queries.js';
 import { liveMember, silenceMs, type FleetView, type PlannedStep } from './planner.js';
 import { successorOf } from './successor.js';
 import type { DiskRecord, DiskState, FleetValue } from '../value/fleet-value.js';
@@ -66,7 +66,7 @@
     if (disk.state !== 'active' || disks.get(disk.id)!.state === 'lost') continue;
     const silentMs = silenceMs(fleet, disk);
     if (silentMs === 0) continue;
-    const replacement = holdsNothing(value, disk.id) ? undefined : findReplacement(value, fleet, disk, disks, silentMs);
+    const replacement = isDiskUnused(value, disk.id) ? undefined : findReplacement(value, fleet, disk, disks, silentMs);
     if (replacement !== undefined) {
       disks.set(disk.id, { ...disk, state: 'lost' });
       changes.push(`disk ${disk.id} is replaced by ${replacement}`);
@@ -93,11 +93,11 @@
     (disk) =>
       disk.state === 'active' &&
       hasSameUses(disk, missing) &&
-      holdsNothing(value, disk.id) &&
+      isDiskUnused(value, disk.id) &&
       fleet.membership.memberOfDisk(disk.id)?.state === 'live',
   );
   const earlierLost = [...disks.values()].filter(
-    (disk) => disk.state === 'lost' && hasSameUses(disk, missing) && !holdsNothing(value, disk.id),
+    (disk) => disk.state === 'lost' && hasSameUses(disk, missing) && !isDiskUnused(value, disk.id),
   );
   if (spares.length <= earlierLost.length)
     return silentMs > PLACEMENT.spareAfterMs ? successorOf(value, fleet, missing)?.id : undefined;
--- a/packages/control/src/reconcile/plan-moves.ts
+++ b/packages/control/src/reconcile/plan-moves.ts
@@ -1,6 +1,6 @@
 /** Starts and ends the planned moves of the configuration. Each move runs once: its state is stored in the agreed value. */
 import type { Move } from '@harecross/schema';
-import { reasonToStay, replicaCountOn, holdsNothing, moveKey } from '../value/fleet-queries.js';
+import { departureBlocker, replicaCountOn, isDiskUnused, moveKey } from '../value/fleet-queries.js';
 import type { FleetView, PlannedStep } from './planner.js';
 import type { DiskRecord, MoveRecord, MoveState, FleetValue } from '../value/fleet-value.js';
 
@@ -35,7 +35,7 @@
   if (fleet.wallTime >= move.until) return setMoveState(value, move, 'missed', 'its time passed before it could begin');
   if (move.kind === 'add') return setMoveState(value, move, 'running', '');
   // A move that can't start safely is tried again until its time has passed.
-  if (reasonToStay(value, move, disk, fleet.membership)) return undefined;
+  if (departureBlocker(value, move, disk, fleet.membership)) return undefined;
   if (move.kind === 'restart') return setMoveState(value, move, 'running', '');
   if (!disk) return setMoveState(value, move, 'refused', `${move.node} has no disk`);
   return setMoveState(value, move, 'running', '', { ...disk, state: 'emptying' });
@@ -54,7 +54,7 @@
     case 'empty':
       if (!disk || disk.state !== 'emptying')
         return setMoveState(value, move, 'refused', 'the emptying was taken back');
-      if (holdsNothing(value, disk.id)) return setMoveState(value, move, 'done', '');
+      if (isDiskUnused(value, disk.id)) return setMoveState(value, move, 'done', '');
       if (record.state === 'running' && isOver)
         return setMoveState(value, move, 'late', `${replicaCountOn(value, disk.id)} copies are still there`);
       return undefined;
--- a/packages/control/src/reconcile/successor.ts
+++ b/packages/control/src/reconcile/successor.ts
@@ -2,7 +2,7 @@
 import { REGISTER, SHARD } from '@harecross/kernel';
 import { maxPlaceableMembers } from '../placement/spread.js';
 import type { MembershipTable } from '../membership/membership-table.js';
-import { hasSameUses, holdsNothing, replicaCountOn } from '../value/fleet-queries.js';
+import { hasSameUses, isDiskUnused, replicaCountOn } from '../value/fleet-queries.js';
 import { isUsedFor, type DiskRecord, type FleetValue } from '../value/fleet-value.js';
 
 /** The part of the fleet's state that the search for a successor needs beside the agreed value. */
@@ -22,7 +22,7 @@
     (other) => other.id !== disk.id && hasSameUses(other, disk) && canTakeOver(view, other),
   );
   return (
-    candidates.find((other) => joinedLater(other, disk)) ?? candidates.find((other) => holdsNothing(value, other.id))
+    candidates.find((other) => joinedLater(other, disk)) ?? candidates.find((other) => isDiskUnused(value, other.id))
   );
 }
 
--- a/packages/control/src/value/fleet-queries.ts
+++ b/packages/control/src/value/fleet-queries.ts
@@ -26,7 +26,7 @@
 export const isDrainOrdered = (v: FleetValue, x: string): boolean =>
   [...v.disks.values()].some((d) => (d.id === x || d.name === x) && (d.emptyingTaken ?? d.state === 'emptying'));
 /** Whether nothing of the fleet is left on a disk: it is in no majority that is still needed, and has no copy. */
-export const holdsNothing = (v: FleetValue, disk: string): boolean =>
+export const isDiskUnused = (v: FleetValue, disk: string): boolean =>
   replicaCountOn(v, disk) === 0 && !v.voters.includes(disk) && !v.previousVoters.includes(disk);
 /** Whether two disks are for the same things: one may stand in for the other. */
 export const hasSameUses = (one: DiskRecord, other: DiskRecord): boolean =>
@@ -58,7 +58,7 @@
   );
 
 /** What keeps a machine from leaving now: a majority that would break, or copies that would have no place. */
-export function reasonToStay(
+export function departureBlocker(
   v: FleetValue,
   m: Pick<Move, 'kind'>,
   disk: DiskRecord | undefined,
--- a/packages/control/src/value/fleet-value.ts
+++ b/packages/control/src/value/fleet-value.ts
@@ -1,8 +1,8 @@
 /** The one value that the fleet agrees on, and the records in it. */
 import type { DiskUse, FaultTolerance } from '@harecross/kernel';
 import type { FleetConfig, Move } from '@harecross/schema';
-import { incarnationsAfter, type TopicIncarnations } from './topic-incarnations.js';
-import { withRevision, type RevisionOrder, type RevisionOutcomes } from './revision-outcomes.js';
+import { nextIncarnations, type TopicIncarnations } from './topic-incarnations.js';
+import { recordRevision, type SubmittedRevision, type RevisionOutcomes } from './revision-outcomes.js';
 
 /**
  * `active`: it takes replicas and votes. `emptying`: an operator has it emptied. `leaving`: its process is stopping, and what it has goes
@@ -102,7 +102,7 @@
  */
 export function withConfig(
   value: FleetValue,
-  change: { changeId: string; config: FleetConfig; document?: string; revised?: RevisionOrder },
+  change: { changeId: string; config: FleetConfig; document?: string; revised?: SubmittedRevision },
 ): FleetValue {
   const { changeId, config, document, revised } = change;
   const version = value.version + 1;
@@ -113,9 +113,9 @@
     changeId,
     config,
     document,
-    incarnations: incarnationsAfter(value.incarnations, config, version),
+    incarnations: nextIncarnations(value.incarnations, config, version),
     moves: new Map([...value.moves].filter(([key]) => planned.has(key))),
   };
   if (!revised) return next;
-  return { ...next, revision: revised.revision, revisionOutcomes: withRevision(value, revised) };
+  return { ...next, revision: revised.revision, revisionOutcomes: recordRevision(value, revised) };
 }
--- a/packages/control/src/value/revision-outcomes.ts
+++ b/packages/control/src/value/revision-outcomes.ts
@@ -19,7 +19,7 @@
 }
 
 /** An operator's order as far as its outcome depends on it. */
-export interface RevisionOrder {
+export interface SubmittedRevision {
   revision: number;
   digest: string;
 }
@@ -76,7 +76,7 @@
  * @example
  * revisionOutcome(value, { revision: 50, digest }) // 'conflict'
  */
-export function revisionOutcome(value: FleetValue, order: RevisionOrder): RevisionOutcome {
+export function revisionOutcome(value: FleetValue, order: SubmittedRevision): RevisionOutcome {
   const record = recordOf(value);
   const digest = record.digests.get(order.revision);
   if (digest !== undefined) return digest === order.digest ? 'accepted' : 'conflict';
@@ -89,7 +89,7 @@
  * @example
  * next.revisionOutcomes = withRevision(value, { revision: 51, digest });
  */
-export function withRevision(value: FleetValue, order: RevisionOrder): RevisionOutcomes {
+export function recordRevision(value: FleetValue, order: SubmittedRevision): RevisionOutcomes {
   const record = recordOf(value);
   const digests = new Map(record.digests).set(order.revision, order.digest);
   let { knownFrom } = record;
--- a/packages/control/src/value/topic-incarnations.ts
+++ b/packages/control/src/value/topic-incarnations.ts
@@ -14,7 +14,7 @@
  * @example
  * incarnationsAfter(new Map([['a.*', 1]]), { families: [{ topics: ['a.b.*', 'c.*'], ... }] }, 2); // a.b.* 1, c.* 2
  */
-export function incarnationsAfter(before: TopicIncarnations, config: FleetConfig, version: number): TopicIncarnations {
+export function nextIncarnations(before: TopicIncarnations, config: FleetConfig, version: number): TopicIncarnations {
   const patterns = config.families.flatMap((f) => f.topics);
   const had = new Patterns(before);
   const has = new Patterns(patterns.map((p): [string, true] => [p, true]));
--- a/packages/control/src/value/value-text.ts
+++ b/packages/control/src/value/value-text.ts
@@ -26,7 +26,7 @@
  * @example
  * sameText({ ...v, config: equalConfig }, v)
  */
-export function shareText(copy: FleetValue, v: FleetValue): FleetValue {
+export function shareCachedText(copy: FleetValue, v: FleetValue): FleetValue {
   const text = texts.get(v);
   if (text !== undefined) texts.set(copy, text);
   return copy;
--- a/packages/data/src/gateway/edge.ts
+++ b/packages/data/src/gateway/edge.ts
@@ -15,7 +15,7 @@
 } from '@harecross/kernel';
 import {
   isInPlannedRestart,
-  notReady,
+  notReadyError,
   type MembershipTable,
   type Operators,
   type ConsensusRegister,
@@ -24,7 +24,7 @@
 import type { FastifyError, FastifyReply } from 'fastify';
 import { firstValueFrom } from 'rxjs';
 import { serializeFrames, type Sink } from '../sessions/outgoing.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import type { Sessions } from '../sessions/sessions.js';
 
 declare module '@harecross/kernel' {
@@ -104,17 +104,17 @@
     private kernel: Kernel,
     private membership: MembershipTable,
     private register: ConsensusRegister,
-    private route: Route,
+    private route: ShardRouter,
     private ops: Operators,
   ) {
     this.holding = new BoundedQueue(REQUEST.gatewayQueueLimit, REQUEST.gatewayQueueLimit, (v) => this.serve(v));
     if (kernel.has('sessions')) this.sessions = kernel.use('sessions');
-    kernel.on('Pass', (b: { m: string; body: unknown }) => this.visit(b.m, b.body));
+    kernel.on('Pass', (b: { m: string; body: unknown }) => this.handle(b.m, b.body));
   }
 
   /** Whether the platform may send us conns. */
   ready(): boolean {
-    return this.serving() && this.sessions !== undefined;
+    return this.isServing() && this.sessions !== undefined;
   }
 
   /** Whether a conn that comes all the same is better taken and sent on than refused. */
@@ -126,7 +126,7 @@
   }
 
   /** Whether this node truly does its work; a store has no conns but serves. */
-  serving(): boolean {
+  isServing(): boolean {
     return (
       this.kernel.phase === 'running' &&
       this.register.hasReadLease() &&
@@ -140,7 +140,7 @@
       const bad = visitFault('Attach', body);
       if (bad) throw this.bad('Attach', bad);
       if (!this.sessions) throw this.bad('Attach', 'this node is a store and takes no conns');
-      if (!this.takes()) throw notReady(this.kernel, 'Attach');
+      if (!this.takes()) throw notReadyError(this.kernel, 'Attach');
       const b = body as Visit<'Attach'>;
       return { id: this.sessions.attach(b.consumer, b.pingS, sink) };
     } catch (e) {
@@ -151,7 +151,7 @@
    * A node that has just begun and will serve in a moment lets an Attach wait for that, briefly, rather than turn the consumer away.
    * Undefined when there is nothing to wait for.
    */
-  starting(): Promise<void> | undefined {
+  whenServing(): Promise<void> | undefined {
     const left = this.kernel.startedAt + PROCESS.startWaitMs - this.kernel.host.clock.now();
     if (
       this.takes() ||
@@ -164,31 +164,31 @@
     return withTimeout(
       this.kernel.host.clock,
       left,
-      firstValueFrom(this.register.readLeaseBegun$, { defaultValue: undefined }),
+      firstValueFrom(this.register.readLeaseStarted$, { defaultValue: undefined }),
     ).then(() => undefined);
   }
   /** Any word of a consumer is a sign of life of its conn. */
-  heard(id: string): void {
+  recordActivity(id: string): void {
     this.sessions?.recordActivity(id);
   }
-  gone(id: string): void {
+  disconnected(id: string): void {
     this.sessions?.gone(id);
   }
   drained(id: string): void {
     this.sessions?.drained(id);
   }
 
-  async visit(m: string, body: unknown): Promise<Reply> {
+  async handle(m: string, body: unknown): Promise<Reply> {
     if (!Object.hasOwn(Rpcs, m) || m === 'Attach')
       return this.failed(m, new HarecrossError({ tag: 'unknown_method', step: m, peer: this.kernel.self, method: m }));
     const method = m as Method;
     const bad = visitFault(method, body);
     if (bad) return this.failed(m, this.bad(m, bad));
-    if (this.kernel.phase === 'stopped') return this.failed(m, notReady(this.kernel, m));
+    if (this.kernel.phase === 'stopped') return this.failed(m, notReadyError(this.kernel, m));
     this.kernel.incrementCounter(`visit.${m}`);
     const request = { m: method, body } as Request;
-    const p = this.holding.offer(request, this.urgent(request));
-    if (!p && m === 'Publish') this.route.turnAway(body as Visit<'Publish'>);
+    const p = this.holding.offer(request, this.isUrgentRequest(request));
+    if (!p && m === 'Publish') this.route.recordRejection(body as Visit<'Publish'>);
     if (!p)
       return this.failed(
         m,
@@ -202,7 +202,7 @@
     return p;
   }
 
-  private urgent({ m, body }: Request): boolean {
+  private isUrgentRequest({ m, body }: Request): boolean {
     switch (m) {
       case 'Publish':
         return this.register.value !== undefined && isUrgent(this.register.value.config, body.topic);
@@ -266,7 +266,7 @@
         peer,
         'Pass',
         { m, body },
-        fam ? fam.patienceMs + MEMBERSHIP.callMs : MEMBERSHIP.callMs,
+        fam ? fam.patienceMs + MEMBERSHIP.callTimeoutMs : MEMBERSHIP.callTimeoutMs,
       );
     } catch (e) {
       const f = toErrorDetails(e, m, peer);
@@ -279,20 +279,20 @@
   private async answer({ m, body }: Request): Promise<unknown> {
     switch (m) {
       case 'Probe':
-        return { sent: this.conns(m).recordActivityOrThrow(body.conn, m).sent };
+        return { sent: this.requireSessions(m).recordActivityOrThrow(body.conn, m).sent };
       case 'Detach': {
-        const h = this.conns(m);
+        const h = this.requireSessions(m);
         h.recordActivityOrThrow(body.conn, m);
         h.gone(body.conn);
         return {};
       }
       case 'Subscribe':
         this.mustServe(m);
-        return this.conns(m).subscribe(body.conn, body.topic, body.cursor);
+        return this.requireSessions(m).subscribe(body.conn, body.topic, body.cursor);
       case 'Unsubscribe':
-        return { left: this.conns(m).unsubscribe(body.conn, body.topic) };
+        return { left: this.requireSessions(m).unsubscribe(body.conn, body.topic) };
       case 'Publish': {
-        if (!this.register.hasReadLease()) this.route.turnAway(body);
+        if (!this.register.hasReadLease()) this.route.recordRejection(body);
         this.mustServe(m);
         const fam = this.family(m, body.topic);
         const limit = fam.limits?.bodyBytes ?? REQUEST.bodyBytes;
@@ -303,7 +303,7 @@
       case 'Listeners': {
         this.mustServe(m);
         const fam = this.family(m, body.topic);
-        return this.route.atOwner(body.topic, 'Count', () => ({ topic: body.topic }), fam.patienceMs);
+        return this.route.callOwner(body.topic, 'Count', () => ({ topic: body.topic }), fam.patienceMs);
       }
       case 'SubmitConfig':
         return this.ops.submit(body);
@@ -322,9 +322,9 @@
       case 'CancelEmpty':
         return this.ops.setDiskState(body.disk, 'active', m, body.changeId);
       case 'Fleet':
-        return this.fleet();
+        return this.describeFleet();
       case 'Node':
-        return this.node();
+        return this.describeNode();
       case 'Attach':
         throw this.bad(m, 'Attach is a stream');
       default:
@@ -333,9 +333,9 @@
   }
 
   private mustServe(m: string): void {
-    if (!this.register.hasReadLease()) throw notReady(this.kernel, m);
+    if (!this.register.hasReadLease()) throw notReadyError(this.kernel, m);
   }
-  private conns(m: string): Sessions {
+  private requireSessions(m: string): Sessions {
     if (!this.sessions) throw new HarecrossError({ tag: 'unknown_conn', step: m, peer: this.kernel.self });
     return this.sessions;
   }
@@ -345,7 +345,7 @@
     return f;
   }
 
-  private fleet(): unknown {
+  private describeFleet(): unknown {
     const v = this.register.value;
     const now = this.kernel.host.clock.now();
     return {
@@ -384,7 +384,7 @@
     };
   }
 
-  private node(): unknown {
+  private describeNode(): unknown {
     return {
       peer: this.kernel.self,
       inst: this.kernel.instanceId,
@@ -440,14 +440,14 @@
     }),
   );
   app.get('/condition', (_req, reply) => {
-    if (edge.serving()) return reply.code(200).send({ condition: 'ready' });
+    if (edge.isServing()) return reply.code(200).send({ condition: 'ready' });
     let condition: string = kernel.phase;
     if (kernel.phase === 'running')
       condition = isInPlannedRestart(kernel.use('register').value, kernel.self) ? 'away' : 'joining';
     return reply.code(503).send({ condition });
   });
   app.post('/rpc/Attach', async (req, reply) => {
-    await edge.starting();
+    await edge.whenServing();
     let id = '';
     let over = false;
     const raw = reply.raw;
@@ -473,16 +473,16 @@
     raw.on('drain', () => edge.drained(id));
     raw.on('close', () => {
       over = true;
-      edge.gone(id);
+      edge.disconnected(id);
     });
     raw.on('error', () => {
       over = true;
-      edge.gone(id);
+      edge.disconnected(id);
     });
     return reply;
   });
   app.post('/rpc/:method', async (req, reply) =>
-    send(reply, await edge.visit((req.params as { method: string }).method, req.body ?? {})),
+    send(reply, await edge.handle((req.params as { method: string }).method, req.body ?? {})),
   );
   await app.listen(parseAddress(at));
   return async () => {
--- a/packages/data/src/interest/interest-table.ts
+++ b/packages/data/src/interest/interest-table.ts
@@ -235,7 +235,7 @@
   async countListeners(topic: string, ownedSince: number): Promise<ListenerCount> {
     const now = this.kernel.host.clock.now();
     // A process that started recently may not have learned of every relay yet.
-    const startedRecently = now - this.kernel.startedAt < SESSION.countAllMs;
+    const startedRecently = now - this.kernel.startedAt < SESSION.countAllRelaysMs;
     const answers = await Promise.all(
       this.relaysToCount(topic, ownedSince).map((relay) => this.countAtRelay(relay, topic)),
     );
@@ -257,7 +257,7 @@
       // Interest may still be unreported when this node has become the owner only recently, or when the relay was
       // suspected until recently, because its event loop was stalled.
       const since = Math.max(ownedSince, member.liveSince);
-      if (member.state === 'suspect' || (member.state === 'live' && now - since < SESSION.countAllMs))
+      if (member.state === 'suspect' || (member.state === 'live' && now - since < SESSION.countAllRelaysMs))
         relays.add(member.peer);
     }
     return [...relays];
@@ -265,7 +265,7 @@
 
   private async countAtRelay(relay: string, topic: string): Promise<number | 'silent'> {
     try {
-      return await this.kernel.callAnyPath<number>(relay, 'CountHolds', { topic }, SESSION.countWaitMs);
+      return await this.kernel.callAnyPath<number>(relay, 'CountHolds', { topic }, SESSION.countTimeoutMs);
     } catch (error) {
       // An unreachable relay has no running process and so no listeners any more, except after ETIMEDOUT: a relay that
       // doesn't answer, or that no network path leads to, may still have listeners, so the count is partial.
--- a/packages/data/src/interest/lease-table.ts
+++ b/packages/data/src/interest/lease-table.ts
@@ -5,7 +5,7 @@
 import { SESSION, hash, shardOf, type Kernel } from '@harecross/kernel';
 import { toInterestRow, positionChecksum, type InterestItem } from './interest-table.js';
 import type { HeadsAnswer } from '../ownership/topic-history.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import type { Session, Subscription } from '../sessions/session.js';
 
 /** The leases of all of this relay's subscribers of one topic; the owner learns only the latest deadline. */
@@ -52,7 +52,7 @@
 
   constructor(
     private kernel: Kernel,
-    private route: Route,
+    private route: ShardRouter,
     /** Returns a number that no session, subscription or generation of this process has yet. */
     private nextId: () => number,
     private events: LeaseEvents,
@@ -126,7 +126,7 @@
     const now = this.kernel.host.clock.now();
     let listeners = 0;
     for (const { expiresAt, session } of this.topics.get(topic)?.subscriptions ?? [])
-      if (expiresAt > now && now - session.lastActivityAt <= SESSION.countFreshMs) listeners++;
+      if (expiresAt > now && now - session.lastActivityAt <= SESSION.listenerActiveMs) listeners++;
     return listeners;
   }
 
@@ -145,7 +145,7 @@
         if (!lease.subscriptions.size) this.topics.delete(topic);
         continue;
       }
-      const owner = this.route.owner(lease.shard);
+      const owner = this.route.ownerOf(lease.shard);
       if (!owner) continue;
       this.dirty.delete(topic);
       lease.reportedDeadline = deadline;
@@ -170,7 +170,7 @@
   /** Reports the end of interest in a topic without a lease, because the owner may still assume interest. */
   private reportEnded(topic: string, byOwner: Map<string, InterestItem[]>): void {
     this.dirty.delete(topic);
-    const owner = this.route.owner(shardOf(topic));
+    const owner = this.route.ownerOf(shardOf(topic));
     if (owner) this.addReport(byOwner, owner, topic, 0, '');
   }
 
@@ -225,9 +225,9 @@
     }
     const byOwner = new Map<string, [shard: number, sum: number][]>();
     for (const [shard, ofShard] of byShard) {
-      const owner = this.route.owner(shard);
+      const owner = this.route.ownerOf(shard);
       if (!owner) {
-        this.route.seek(shard);
+        this.route.locateOwner(shard);
         continue;
       }
       const sums = byOwner.get(owner) ?? [];
@@ -244,10 +244,10 @@
   ): Promise<void> {
     try {
       const answer = await this.kernel.callAnyPath<HeadsAnswer>(owner, 'Heads', { sums });
-      for (const shard of answer.elsewhere) this.route.seek(shard);
+      for (const shard of answer.elsewhere) this.route.locateOwner(shard);
       for (const [shard, heads] of answer.heads) this.applyHeads(byShard.get(shard) ?? [], new Map(heads));
     } catch {
-      for (const [shard] of sums) this.route.seek(shard);
+      for (const [shard] of sums) this.route.locateOwner(shard);
     }
   }
 
--- a/packages/data/src/node/node.ts
+++ b/packages/data/src/node/node.ts
@@ -54,6 +54,6 @@
     if (kernel.phase === 'running') membership.updateOwnState({ condition: condition() });
   };
   kernel.addSubscription(runPeriodically(host.clock, 200, host.random, async () => say()));
-  kernel.addSubscription(register.readLeaseBegun$.subscribe(say));
+  kernel.addSubscription(register.readLeaseStarted$.subscribe(say));
   return { kernel, edge: kernel.use('edge') };
 }
--- a/packages/data/src/node/run.ts
+++ b/packages/data/src/node/run.ts
@@ -19,7 +19,7 @@
 const DISK_EXIT_CODE = 3;
 
 /** A node's process: where its config comes from, and who it listens to. */
-export interface ProcessPlan {
+export interface ProcessOptions {
   /** Named in messages. */
   program: string;
   /** Reread on a signal and when it changes, if there is one. */
@@ -49,7 +49,7 @@
  * @example
  * await runProcess({ program: 'harecross-store', file, read, listen });
  */
-export async function runProcess(plan: ProcessPlan): Promise<void> {
+export async function runProcess(plan: ProcessOptions): Promise<void> {
   const { program, file } = plan;
   let config: NodeConfig;
   try {
@@ -113,7 +113,7 @@
   heard = () => reread('signal');
   if (early) heard();
   if (file) {
-    watchFile(file, { interval: PROCESS.rereadMs }, (a, b) => {
+    watchFile(file, { interval: PROCESS.settingsPollMs }, (a, b) => {
       if (a.mtimeMs !== b.mtimeMs || a.size !== b.size || a.ino !== b.ino) reread('file changed');
     });
   }
--- a/packages/data/src/ownership/hand-over.ts
+++ b/packages/data/src/ownership/hand-over.ts
@@ -97,7 +97,7 @@
     for (let i = 0; candidates.length && shard.phase === 'owner' && clock.now() < until; i++) {
       const peer = this.assignment.availablePeer(candidates[i % candidates.length]!) ?? '';
       const taken = await this.kernel
-        .call<boolean>(peer, 'TakeKey', this.takeRequest(shard), MEMBERSHIP.callMs)
+        .call<boolean>(peer, 'TakeKey', this.takeRequest(shard), MEMBERSHIP.callTimeoutMs)
         .catch(() => false);
       if (!taken && shard.phase === 'owner') await sleep(clock, REQUEST.ownerRetryMs);
     }
@@ -121,7 +121,7 @@
     if (!this.isSteady(sender) && this.membership.isAvailable(this.kernel.self)) return false;
     if ((shard.yieldRefusedUntil.get(disk) ?? 0) > clock.now()) return false;
     const { fence } = shard;
-    clock.after(SHARD.yieldMs, () => {
+    clock.after(SHARD.yieldTimeoutMs, () => {
       if (shard.phase === 'owner' && shard.fence === fence) this.refuseTemporarily(shard, disk);
     });
     return true;
@@ -130,7 +130,7 @@
   /** Whether the sender's process has been live for `SHARD.steadyAssignmentMs`. */
   private isSteady(sender: RequestContext): boolean {
     const member = this.membership.members.get(sender.peer);
-    if (member === undefined || member.inst !== sender.inst || member.state !== 'live') return false;
+    if (member === undefined || member.inst !== sender.instanceId || member.state !== 'live') return false;
     return this.kernel.host.clock.now() - member.liveSince >= SHARD.steadyAssignmentMs;
   }
 
--- a/packages/data/src/ownership/history-trimmer.ts
+++ b/packages/data/src/ownership/history-trimmer.ts
@@ -52,5 +52,5 @@
 function keepMs(entry: Entry, config: FleetConfig): number {
   const family = familyOf(config, entry.topic);
   const memoryMs = family ? family.memoryS * 1000 * SHARD.memorySlack + SHARD.memorySlackMs : 0;
-  return Math.max(SHARD.repeatKeepMs, memoryMs);
+  return Math.max(SHARD.resendHistoryMs, memoryMs);
 }
--- a/packages/data/src/ownership/ownership-check.ts
+++ b/packages/data/src/ownership/ownership-check.ts
@@ -47,7 +47,7 @@
     kernel.addSubscription(membership.memberStateChanged$.subscribe((member) => this.memberChanged(member.peer)));
     // Takes a shard under a new placement generation without delay: until then its new replicas don't count towards fault tolerance.
     kernel.addSubscription(register.value$.subscribe(() => this.schedule()));
-    const leaseBegun = register.readLeaseBegun$.subscribe(() => {
+    const leaseBegun = register.readLeaseStarted$.subscribe(() => {
       this.firstLeaseAt = Math.min(this.firstLeaseAt, clock.now());
     });
     kernel.addSubscription(leaseBegun);
@@ -204,7 +204,7 @@
     const highest = new Map<ShardState, { answers: number; fence: Fence }>();
     const calls = [...this.shardsByPeer(shards)].map(async ([peer, shardsOfPeer]) => {
       const request = { shards: shardsOfPeer.map((shard) => shard.id) };
-      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.whoMs).catch(() => []);
+      const fences = await this.kernel.call<Fence[]>(peer, 'Who', request, REQUEST.fenceQueryMs).catch(() => []);
       fences.forEach((fence, i) => {
         const known = highest.get(shardsOfPeer[i]!);
         const higher = known && known.fence > fence ? known.fence : fence;
--- a/packages/data/src/ownership/shard-election.ts
+++ b/packages/data/src/ownership/shard-election.ts
@@ -134,7 +134,7 @@
     const barrier = shard.appendBarrier(now);
     this.shards.setPhase(shard, 'confirming');
     this.replication.replicate(shard, true);
-    await withTimeout(this.kernel.host.clock, SHARD.appendMs, this.shards.awaitCommit(shard, barrier));
+    await withTimeout(this.kernel.host.clock, SHARD.appendTimeoutMs, this.shards.awaitCommit(shard, barrier));
     const isConfirmed = (shard.phase as OwnershipPhase) === 'confirming' && shard.fence === fence;
     if (!isConfirmed || shard.commitIndex < barrier) return;
     this.shards.setPhase(shard, 'owner');
@@ -149,7 +149,7 @@
     const from = Math.min(lastIdx(own), best.lastIdx);
     const request = { disk: best.disk, shard: shard.id, from, fromFence: fenceAtIndex(own, from) };
     const peer = this.register.peerOf(best.disk)!;
-    const fetched = await this.kernel.call<FetchAnswer>(peer, 'Fetch', request, SHARD.snapshotMs);
+    const fetched = await this.kernel.call<FetchAnswer>(peer, 'Fetch', request, SHARD.snapshotTimeoutMs);
     return this.replicas.adoptHistory(shard.id, fence, fetched, from);
   }
 }
--- a/packages/data/src/ownership/shard-owner.ts
+++ b/packages/data/src/ownership/shard-owner.ts
@@ -74,7 +74,7 @@
       this.handOver,
     );
     kernel.on('Interest', (request: { items: InterestRow[] }, relay) =>
-      this.interests.receive(relay.peer, relay.inst, request.items.map(readInterestRow), relay.toLocal),
+      this.interests.receive(relay.peer, relay.instanceId, request.items.map(readInterestRow), relay.toLocal),
     );
     this.ownershipCheck.start();
     // A candidate asks this node's replica as well: the ownership ends with that promise, before an append is refused elsewhere.
--- a/packages/data/src/ownership/shard-table.ts
+++ b/packages/data/src/ownership/shard-table.ts
@@ -1,7 +1,7 @@
 /** The shards as seen by this node: phase changes, callers that wait for them, and announcements of ownership. */
 import {
   incarnationOf,
-  notReady,
+  notReadyError,
   type ConsensusRegister,
   type MembershipTable,
   type ShardOwnerRecord,
@@ -180,7 +180,7 @@
 
   /** The family of a topic by the current configuration. Throws `not_ready` without a read lease, `unknown_topic` if there is none. */
   requireFamily(topic: string, step: string): Family {
-    if (!this.register.hasReadLease() || this.kernel.phase === 'stopped') throw notReady(this.kernel, step);
+    if (!this.register.hasReadLease() || this.kernel.phase === 'stopped') throw notReadyError(this.kernel, step);
     const family = familyOf(this.register.value!.config, topic);
     if (!family) throw new HarecrossError({ tag: 'unknown_topic', step, peer: this.kernel.self, topic });
     return family;
--- a/packages/data/src/ownership/topic-history.ts
+++ b/packages/data/src/ownership/topic-history.ts
@@ -1,5 +1,5 @@
 /** Requests of relays to a shard's owner about topics: bounds, messages, heads and listener counts. */
-import { notReady, type ConsensusRegister } from '@harecross/control';
+import { notReadyError, type ConsensusRegister } from '@harecross/control';
 import { HarecrossError, REQUEST, SESSION, sleep, type Kernel } from '@harecross/kernel';
 import { familyOf } from '@harecross/schema';
 import { positionChecksum, type InterestTable, type ListenerCount } from '../interest/interest-table.js';
@@ -91,7 +91,7 @@
     const { clock } = this.kernel.host;
     const askedAt = clock.now();
     const { fence } = shard;
-    const until = askedAt + REQUEST.ownerTryMs - CONFIRM_MARGIN_MS;
+    const until = askedAt + REQUEST.ownerAttemptMs - CONFIRM_MARGIN_MS;
     while (shard.majorityAnsweredAt() < askedAt) {
       if (shard.fence !== fence || shard.phase !== 'owner' || clock.now() > until)
         throw new HarecrossError({ tag: 'not_owner', step: 'confirm', peer: this.kernel.self });
@@ -102,7 +102,7 @@
 
   private async page({ topic, from }: { topic: string; from: number }): Promise<HistoryAnswer> {
     await this.shards.awaitPhase(this.shards.ofTopic(topic), ['owner']);
-    if (!this.register.hasReadLease()) throw notReady(this.kernel, 'History');
+    if (!this.register.hasReadLease()) throw notReadyError(this.kernel, 'History');
     if (!familyOf(this.register.value!.config, topic)) return { tag: 'gone' };
     const shard = this.shards.requireServing(topic, 'History');
     this.shards.requireFamily(topic, 'History');
--- a/packages/data/src/replication/replica-store.ts
+++ b/packages/data/src/replication/replica-store.ts
@@ -227,7 +227,7 @@
     if (!request.entries.length && !this.needsWrite(request)) {
       const mismatch = this.findMismatch(request);
       // The state that this answer reports may not be synced to disk yet.
-      await this.state.db.settled();
+      await this.state.db.whenSynced();
       return mismatch ?? { tag: 'ok', disk: this.disk, match: request.prevIdx };
     }
     return this.state.db.commit(() => this.applyAppend(request));
@@ -255,7 +255,7 @@
         needingWrite.map((append) => [append.shard, this.applyAppend(append)] as [number, AppendAnswer]),
       );
       rejections.push(...answers.filter(([, answer]) => answer.tag !== 'ok'));
-    } else await this.state.db.settled();
+    } else await this.state.db.whenSynced();
     return rejections;
   }
 
--- a/packages/data/src/replication/replication.ts
+++ b/packages/data/src/replication/replication.ts
@@ -78,7 +78,7 @@
     this.heartbeatsInFlight.add(disk);
     try {
       const rejections = new Map(
-        await this.kernel.call<[number, AppendAnswer][]>(peer, 'Beats', { disk, beats }, SHARD.appendMs),
+        await this.kernel.call<[number, AppendAnswer][]>(peer, 'Beats', { disk, beats }, SHARD.appendTimeoutMs),
       );
       for (const { key: shard, fence, at: index } of sent) {
         if (shard.fence !== fence || shard.phase === 'none') continue;
@@ -127,7 +127,7 @@
             base: toWireBase(shard.base, now),
             entries: shard.entries.map(toWireEntry(now)),
           },
-          SHARD.snapshotMs,
+          SHARD.snapshotTimeoutMs,
         );
       } else {
         const entries: WireEntry[] = shard.entries
@@ -145,7 +145,7 @@
             entries,
             trimTo: shard.trimIndex,
           },
-          SHARD.appendMs,
+          SHARD.appendTimeoutMs,
         );
       }
       if (shard.fence !== fence || shard.phase === 'none') return;
--- a/packages/data/src/routing/route.ts
+++ b/packages/data/src/routing/shard-router.ts
@@ -4,7 +4,7 @@
   REQUEST,
   RetryBudget,
   jitteredRetryMs,
-  mustBeRepeatable,
+  assertRepeatable,
   registerPlugin,
   shardOf,
   toErrorDetails,
@@ -12,7 +12,7 @@
   type ErrorDetails,
   type RepeatablePeerRpc,
 } from '@harecross/kernel';
-import { notReady, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
+import { notReadyError, type MembershipTable, type ShardOwnerRecord, type ConsensusRegister } from '@harecross/control';
 import { familyOf, urgencyOf } from '@harecross/schema';
 import { parseFence, senderKey, type Fence } from '@harecross/state';
 import { Subject } from 'rxjs';
@@ -20,7 +20,7 @@
 
 declare module '@harecross/kernel' {
   interface ServiceRegistry {
-    route: Route;
+    route: ShardRouter;
   }
 }
 
@@ -37,21 +37,21 @@
  * await k.use('route').publish({ sender: 'desk', topic: 'pay/7', seq: 12, body: 'paid' }, 2_000); // { offset: 41 }
  * await k.use('route').atOwner('pay/7', 'Open', visit, 2_000);
  */
-export class Route {
+export class ShardRouter {
   private hints = new Map<number, { fence: Fence; peer: string }>();
   /** Shards whose copies are asked in the next round. */
   private sought = new Set<number>();
   private soughtAt = -Infinity;
   private seeking = false;
   /** Publishes on their way, by sender and topic. */
-  private sent = new Map<string, Set<Sent>>();
+  private inFlight = new Map<string, Set<Sent>>();
   /** Publishes that were turned away, by sender and topic, and until when later ones were on their way before that was known. */
   private turned = new Map<string, { seq: number; until: number }>();
   /** When a slow owner was last looked at; older times than `REQUEST.slowAgainMs` are dropped with the next. */
   private doubted = new Map<string, number>();
   private budget: RetryBudget;
   /** A shard whose owner changed, as far as we know. */
-  readonly moved$ = new Subject<number>();
+  readonly ownerChanged$ = new Subject<number>();
 
   constructor(
     private kernel: Kernel,
@@ -67,25 +67,25 @@
       membership.factChanged$.subscribe((key) => {
         if (!key.startsWith('key/')) return;
         const r = membership.get(key) as ShardOwnerRecord;
-        this.hint(Number(key.slice(4)), r.fence, r.peer);
+        this.learnOwner(Number(key.slice(4)), r.fence, r.peer);
       }),
     );
   }
 
-  private hint(shard: number, fence: Fence, peer: string): void {
+  private learnOwner(shard: number, fence: Fence, peer: string): void {
     const old = this.hints.get(shard);
     if (!peer || (old && old.fence >= fence)) return;
     this.hints.set(shard, { fence, peer });
-    this.moved$.next(shard);
+    this.ownerChanged$.next(shard);
   }
 
-  owner(shard: number): string | undefined {
+  ownerOf(shard: number): string | undefined {
     const h = this.hints.get(shard);
     return h && this.membership.isLive(h.peer) ? h.peer : undefined;
   }
 
   /** Looks for an owner in the background: one round for all shards that are sought in one moment. */
-  seek(shard: number): void {
+  locateOwner(shard: number): void {
     this.sought.add(shard);
     if (this.seeking) return;
     this.seeking = true;
@@ -93,12 +93,12 @@
     clock.after(Math.max(0, this.soughtAt + REQUEST.ownerRetryMs - clock.now()), () => {
       this.seeking = false;
       this.soughtAt = clock.now();
-      this.ask();
+      this.askReplicas();
     });
   }
 
   /** Asks the copies of all shards sought whom they promised the highest fence. */
-  private ask(): void {
+  private askReplicas(): void {
     const byPeer = new Map<string, number[]>();
     for (const shard of this.sought) {
       for (const d of this.register.value?.shards.get(shard)?.copies ?? []) {
@@ -111,8 +111,8 @@
     }
     this.sought.clear();
     for (const [peer, shards] of byPeer) {
-      this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.whoMs).then(
-        (fs) => fs.forEach((f, i) => this.hint(shards[i]!, f, parseFence(f).peer)),
+      this.kernel.call<Fence[]>(peer, 'Who', { shards }, REQUEST.fenceQueryMs).then(
+        (fs) => fs.forEach((f, i) => this.learnOwner(shards[i]!, f, parseFence(f).peer)),
         () => undefined, // others answer
       );
     }
@@ -127,7 +127,7 @@
         res();
       };
       const cancel = this.kernel.host.clock.after(ms, over);
-      const sub = this.moved$.subscribe((s) => {
+      const sub = this.ownerChanged$.subscribe((s) => {
         if (s === shard) over();
       });
     });
@@ -145,7 +145,7 @@
         // What was answered before the news stands.
         clock.after(REQUEST.movedGraceMs, () => rej(new HarecrossError({ tag: 'timeout', step, peer })));
       };
-      const sub = this.moved$.subscribe((s) => {
+      const sub = this.ownerChanged$.subscribe((s) => {
         if (s === shard && this.hints.get(shard)?.peer !== peer) leave();
       });
       sub.add(
@@ -153,7 +153,7 @@
           if (p === peer) leave();
         }),
       );
-      const slow = clock.after(REQUEST.slowVisitMs, () => this.doubt(peer));
+      const slow = clock.after(REQUEST.slowRequestMs, () => this.doubt(peer));
       visit.then(res, rej).finally(() => {
         slow();
         sub.unsubscribe();
@@ -164,8 +164,8 @@
   /** An owner that takes long to answer: others should have its keys soon if it is gone. */
   private doubt(peer: string): void {
     const now = this.kernel.host.clock.now();
-    if (peer === this.kernel.self || now - (this.doubted.get(peer) ?? -Infinity) < REQUEST.slowAgainMs) return;
-    for (const [p, at] of this.doubted) if (now - at >= REQUEST.slowAgainMs) this.doubted.delete(p);
+    if (peer === this.kernel.self || now - (this.doubted.get(peer) ?? -Infinity) < REQUEST.slowOwnerProbeMs) return;
+    for (const [p, at] of this.doubted) if (now - at >= REQUEST.slowOwnerProbeMs) this.doubted.delete(p);
     this.doubted.set(peer, now);
     this.kernel.incrementCounter('route.slow');
     this.membership.probeNow(peer);
@@ -183,11 +183,11 @@
     const k = senderKey(b.topic, b.sender);
     const turned = this.turned.get(k);
     if (turned && b.seq <= turned.seq) this.turned.delete(k);
-    else if (turned && this.kernel.host.clock.now() < turned.until) throw notReady(this.kernel, 'Publish');
+    else if (turned && this.kernel.host.clock.now() < turned.until) throw notReadyError(this.kernel, 'Publish');
     const { clock } = this.kernel.host;
     const until = clock.now() + patienceMs;
-    const all = this.sent.get(k) ?? new Set();
-    this.sent.set(k, all);
+    const all = this.inFlight.get(k) ?? new Set();
+    this.inFlight.set(k, all);
     let over = (): void => {};
     const mine: Sent = {
       seq: b.seq,
@@ -198,7 +198,7 @@
     };
     all.add(mine);
     try {
-      return await this.atOwner<{ offset: number }>(
+      return await this.callOwner<{ offset: number }>(
         b.topic,
         'Publish',
         () => {
@@ -217,11 +217,11 @@
         case 'outcome_unknown':
           // What is so old that nobody knows of it stands in nobody's way.
           if (f.step === FORGOTTEN_STEP) break;
-          this.turnAway(b);
+          this.recordRejection(b);
           // Told in order, so that they come again in order.
           await withTimeout(
             clock,
-            Math.max(0, Math.min(REQUEST.inOrderMs, until - clock.now())),
+            Math.max(0, Math.min(REQUEST.inOrderAnswerMs, until - clock.now())),
             Promise.all([...all].filter((s) => s.seq < b.seq).map((s) => s.over)),
           );
           break;
@@ -232,18 +232,18 @@
     } finally {
       all.delete(mine);
       over();
-      if (!all.size && this.sent.get(k) === all) this.sent.delete(k);
+      if (!all.size && this.inFlight.get(k) === all) this.inFlight.delete(k);
     }
   }
 
   /** A publish that is not stored, and that its caller will bring again: what is behind it must not overtake it. */
-  turnAway(b: { sender: string; topic: string; seq: number }): void {
+  recordRejection(b: { sender: string; topic: string; seq: number }): void {
     const k = senderKey(b.topic, b.sender);
-    for (const s of this.sent.get(k) ?? []) if (s.seq > b.seq) s.dropped = true;
+    for (const s of this.inFlight.get(k) ?? []) if (s.seq > b.seq) s.dropped = true;
     const { clock } = this.kernel.host;
-    const x = { seq: Math.min(b.seq, this.turned.get(k)?.seq ?? Infinity), until: clock.now() + REQUEST.onTheWayMs };
+    const x = { seq: Math.min(b.seq, this.turned.get(k)?.seq ?? Infinity), until: clock.now() + REQUEST.inFlightPublishMs };
     this.turned.set(k, x);
-    clock.after(REQUEST.onTheWayMs, () => {
+    clock.after(REQUEST.inFlightPublishMs, () => {
       if (this.turned.get(k) === x) this.turned.delete(k);
     });
   }
@@ -252,14 +252,14 @@
    * One visit at the owner, tried again while the key changes hands. Gives up, at once, when nobody owns the key
    * or the patience is over. `outcome_unknown` when some try may have been stored.
    */
-  async atOwner<T>(
+  async callOwner<T>(
     topic: string,
     m: RepeatablePeerRpc,
     body: () => unknown,
     patienceMs: number,
     sent?: Sent,
   ): Promise<T> {
-    mustBeRepeatable(m);
+    assertRepeatable(m);
     const { clock, random } = this.kernel.host;
     const shard = shardOf(topic);
     const until = clock.now() + patienceMs;
@@ -276,13 +276,13 @@
     for (;;) {
       const left = until - clock.now();
       if (left <= 0) break;
-      const peer = this.owner(shard);
+      const peer = this.ownerOf(shard);
       // Nobody owned the key for a while: give up now rather than hold the caller to its deadline.
       if (lostSince !== undefined && clock.now() - lostSince > REQUEST.noOwnerMs) break;
       if (sent?.dropped) break;
       if (!peer) {
         lostSince ??= clock.now();
-        this.seek(shard);
+        this.locateOwner(shard);
         await this.news(shard, Math.min(left, REQUEST.ownerRetryMs));
         continue;
       }
@@ -293,7 +293,7 @@
           shard,
           peer,
           m,
-          this.kernel.callAnyPath<T>(peer, m, body(), Math.min(REQUEST.ownerTryMs, left)),
+          this.kernel.callAnyPath<T>(peer, m, body(), Math.min(REQUEST.ownerAttemptMs, left)),
         );
       } catch (e) {
         f = toErrorDetails(e, m, peer);
@@ -315,10 +315,10 @@
           break;
         case 'not_owner':
           lostSince ??= clock.now();
-          if (f.tag === 'not_owner' && f.hint) this.hint(shard, f.hint, parseFence(f.hint).peer);
+          if (f.tag === 'not_owner' && f.hint) this.learnOwner(shard, f.hint, parseFence(f.hint).peer);
           break;
         case 'fenced':
-          if (f.tag === 'fenced') this.hint(shard, f.fence, parseFence(f.fence).peer);
+          if (f.tag === 'fenced') this.learnOwner(shard, f.fence, parseFence(f.fence).peer);
           lostSince = undefined;
           perhaps = true;
           break;
@@ -339,7 +339,7 @@
       // Another is known to have the key: there at once.
       if (this.hints.get(shard)!.fence !== fence) continue;
       if (until - clock.now() <= REQUEST.ownerRetryMs) break;
-      if (!newer) this.seek(shard);
+      if (!newer) this.locateOwner(shard);
       await this.news(shard, REQUEST.ownerRetryMs);
     }
     const retryAfterMs = jitteredRetryMs(random, REQUEST.retryMs);
@@ -354,5 +354,5 @@
 registerPlugin({
   name: 'route',
   needs: ['membership', 'register'],
-  setup: (k) => new Route(k, k.use('membership'), k.use('register')),
+  setup: (k) => new ShardRouter(k, k.use('membership'), k.use('register')),
 });
--- a/packages/data/src/sessions/delivery.ts
+++ b/packages/data/src/sessions/delivery.ts
@@ -9,7 +9,7 @@
 import type { LeaseTable, TopicLease } from '../interest/lease-table.js';
 import type { ControlFrame, Message, Outgoing } from './outgoing.js';
 import type { HistoryAnswer } from '../ownership/topic-history.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import type { LeaveReason, QueuedFrame, Session, Subscription } from './session.js';
 
 /** Pages of history read in one catch-up run; the next comparison of heads with the owner starts another run. */
@@ -29,7 +29,7 @@
   constructor(
     private kernel: Kernel,
     private register: ConsensusRegister,
-    private route: Route,
+    private route: ShardRouter,
     private leases: LeaseTable,
     /** Called for a session whose client reads more slowly than its messages arrive; closes it. */
     private saturated: (session: Session) => void,
@@ -76,7 +76,7 @@
         seq: entry.seq,
         offset: entry.off,
         body: entry.body,
-        bytes: Buffer.byteLength(entry.body) + SESSION.frameHeadBytes,
+        bytes: Buffer.byteLength(entry.body) + SESSION.frameOverheadBytes,
       };
       this.enqueue(session, {
         frame: { t: 'DELIVER', sub: subscription.id, msg: message },
@@ -126,11 +126,11 @@
       const from = Math.min(...behind.map((s) => s.next));
       let answer: HistoryAnswer;
       try {
-        answer = await this.route.atOwner<HistoryAnswer>(
+        answer = await this.route.callOwner<HistoryAnswer>(
           topic,
           'History',
           () => ({ topic, from }),
-          REQUEST.ownerTryMs * 2,
+          REQUEST.ownerAttemptMs * 2,
         );
       } catch {
         this.kernel.incrementCounter('pull.fail');
@@ -157,15 +157,15 @@
 
   /** Queues a control frame, which is flushed as soon as an urgent message. */
   send(session: Session, frame: ControlFrame): void {
-    this.enqueue(session, { frame, bytes: SESSION.frameHeadBytes, oversized: false, flushMs: SESSION.flushUrgentMs });
+    this.enqueue(session, { frame, bytes: SESSION.frameOverheadBytes, oversized: false, flushMs: SESSION.flushUrgentMs });
   }
 
   private enqueue(session: Session, queued: QueuedFrame): void {
     if (session.state === 'closed') return;
     queued.oversized = queued.bytes > SESSION.oversizedFromBytes;
     const exceedsLimit = queued.oversized
-      ? session.oversizedBytes + queued.bytes > SESSION.oversizedLaneBytes
-      : session.standardBytes + queued.bytes > SESSION.laneBytes;
+      ? session.oversizedBytes + queued.bytes > SESSION.oversizedQueueBytes
+      : session.standardBytes + queued.bytes > SESSION.standardQueueBytes;
     if (exceedsLimit) {
       // A saturated session is closed: its client attaches again with its cursor instead of getting a stream with gaps.
       this.saturated(session);
@@ -269,13 +269,13 @@
         name: 'conn',
         length: Math.max(0, ...all.map((s) => s.standardBytes)),
         most: this.peakStandardBytes,
-        bound: SESSION.laneBytes,
+        bound: SESSION.standardQueueBytes,
       },
       {
         name: 'conn.oversized',
         length: Math.max(0, ...all.map((s) => s.oversizedBytes)),
         most: this.peakOversizedBytes,
-        bound: SESSION.oversizedLaneBytes,
+        bound: SESSION.oversizedQueueBytes,
       },
     ];
   }
--- a/packages/data/src/sessions/session-homes.ts
+++ b/packages/data/src/sessions/session-homes.ts
@@ -72,7 +72,7 @@
     for (const notice of notices) {
       const openedAt = sentAt - notice.age;
       const known = this.latest.get(notice.consumer);
-      if (known && known.conn !== notice.conn && now - known.seenAt < SESSION.homeForgetMs) {
+      if (known && known.conn !== notice.conn && now - known.seenAt < SESSION.homeEntryTtlMs) {
         const [replaced, holder] = known.at <= openedAt ? [known.conn, known.peer] : [notice.conn, relay];
         this.kernel.call(holder, 'Replace', { conn: replaced }).catch(() => undefined);
         if (replaced === notice.conn) continue;
@@ -85,6 +85,6 @@
 
   private evictStale(now: number): void {
     for (const [consumer, { seenAt }] of this.latest)
-      if (now - seenAt > SESSION.homeForgetMs) this.latest.delete(consumer);
+      if (now - seenAt > SESSION.homeEntryTtlMs) this.latest.delete(consumer);
   }
 }
--- a/packages/data/src/sessions/sessions.ts
+++ b/packages/data/src/sessions/sessions.ts
@@ -19,7 +19,7 @@
 import { LeaseTable, type TopicLease } from '../interest/lease-table.js';
 import type { Sink } from './outgoing.js';
 import { Relocation } from './relocation.js';
-import type { Route } from '../routing/route.js';
+import type { ShardRouter } from '../routing/shard-router.js';
 import { SessionHomes } from './session-homes.js';
 import { Session, type CloseReason, type Subscription } from './session.js';
 
@@ -64,7 +64,7 @@
     private kernel: Kernel,
     private membership: MembershipTable,
     private register: ConsensusRegister,
-    private route: Route,
+    private route: ShardRouter,
   ) {
     this.lastReadLeaseAt = kernel.host.clock.now();
     this.leases = new LeaseTable(kernel, route, () => this.nextId(), {
@@ -129,7 +129,7 @@
         for (const session of this.byId.values()) session.lastActivityAt += ms;
       }),
     );
-    kernel.addSubscription(this.route.moved$.subscribe((shard) => this.leases.ownerChanged(shard)));
+    kernel.addSubscription(this.route.ownerChanged$.subscribe((shard) => this.leases.ownerChanged(shard)));
     kernel.addSubscription(register.value$.subscribe(() => this.endSubscriptionsToRemovedTopics()));
     kernel.addSubscription(
       register.value$
@@ -303,7 +303,7 @@
    */
   private async requestTopicBounds(topic: string, cursor: number | undefined, patienceMs: number): Promise<OpenAnswer> {
     const callOwner = (confirm: boolean): Promise<OpenAnswer> =>
-      this.route.atOwner<OpenAnswer>(topic, 'Open', () => ({ topic, confirm }), patienceMs);
+      this.route.callOwner<OpenAnswer>(topic, 'Open', () => ({ topic, confirm }), patienceMs);
     const answer = await callOwner(cursor === undefined);
     if (cursor === undefined || cursor <= answer.head) return answer;
     const confirmed = await callOwner(true);
@@ -332,7 +332,7 @@
   private async runPeriodicChecks(): Promise<void> {
     const now = this.kernel.host.clock.now();
     if (this.register.hasReadLease()) this.lastReadLeaseAt = now;
-    else if (now - this.lastReadLeaseAt > SESSION.leaseLostMs) this.closeAllAfterReadLeaseLoss();
+    else if (now - this.lastReadLeaseAt > SESSION.readLeaseLostMs) this.closeAllAfterReadLeaseLoss();
     this.homes.notifyChangedHomes(this.byId.values());
     for (const session of Array.from(this.byId.values())) this.endExpired(session, now);
     await this.leases.reportToOwners();
@@ -350,7 +350,7 @@
 
   /** Closes a session that has been silent for too long, and ends its leases that are past their deadline. */
   private endExpired(session: Session, now: number): void {
-    if (now - session.lastActivityAt > SESSION.silencePingCount * session.pingMs) {
+    if (now - session.lastActivityAt > SESSION.missedPingCount * session.pingMs) {
       this.close(session, 'silent');
       return;
     }
--- a/packages/harecross/src/query.ts
+++ b/packages/harecross/src/query.ts
@@ -11,7 +11,7 @@
   limit: number;
 }
 
-export type Parsed = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
+export type ParseResult = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
 
 const OPS: Op[] = ['<=', '>=', '!=', '=', '<', '>', '~'];
 const WORDS = new Set(['where', 'and', 'sort', 'show', 'limit']);
@@ -29,8 +29,8 @@
  * @example
  * parse('keys where behind > 0 sort shard'); // { tag: 'query', query: { table: 'keys', ... } }
  */
-export function parse(line: string): Parsed {
-  const wrong = (why: string): Parsed => ({ tag: 'wrong', why });
+export function parseQuery(line: string): ParseResult {
+  const wrong = (why: string): ParseResult => ({ tag: 'wrong', why });
   const ts = tokens(line.replaceAll(',', ' '));
   const table = ts.shift();
   if (!table) return wrong('name a table');
@@ -100,14 +100,14 @@
   }
 }
 
-export type Answered = { tag: 'rows'; fields: string[]; rows: Row[] } | { tag: 'wrong'; why: string };
+export type QueryResult = { tag: 'rows'; fields: string[]; rows: Row[] } | { tag: 'wrong'; why: string };
 
 /**
  * Runs a query on the rows of its table.
  * @example
  * answer(query, [new Map([['shard', 1]])]); // { tag: 'rows', fields: ['shard'], rows: [...] }
  */
-export function answer(q: Query, rows: Row[]): Answered {
+export function runQuery(q: Query, rows: Row[]): QueryResult {
   const fields = [...new Set(rows.flatMap((r) => [...r.keys()]))];
   const unknown = [...q.where, ...q.sort]
     .map((x) => x.field)
--- a/packages/kernel/src/flow.ts
+++ b/packages/kernel/src/concurrency.ts
@@ -193,7 +193,7 @@
 export class RetryBudget {
   private tokens: number;
   private refilledAt: number;
-  refused = 0;
+  rejectedCount = 0;
 
   constructor(
     private clock: Clock,
@@ -214,7 +214,7 @@
     this.tokens = Math.min(this.options.burst, this.tokens + ((now - this.refilledAt) / 1000) * this.options.perS);
     this.refilledAt = now;
     if (this.tokens < 1 + (urgent ? 0 : this.options.burst / 2)) {
-      this.refused++;
+      this.rejectedCount++;
       return false;
     }
     this.tokens--;
--- a/packages/kernel/src/constants.ts
+++ b/packages/kernel/src/constants.ts
@@ -12,23 +12,23 @@
   /** The owner keeps fanning this long past expiresAt, so it never stops before the relay does. */
   leaseSkewMs: 2_000,
   /** A conn silent for this many pings is dropped: one lost probe and one late one are forgiven. */
-  silencePingCount: 3,
+  missedPingCount: 3,
   /** Default ping_s; callers check in about every two seconds. */
   pingS: 2,
   /** Counts leave out conns silent for longer than this, whatever their ping: the truth of the last 5 s. */
-  countFreshMs: 4_500,
+  listenerActiveMs: 4_500,
   /** Standard lane of a conn's buffer. */
-  laneBytes: 512 * 1024,
+  standardQueueBytes: 512 * 1024,
   /** Frames above this size use the oversized lane. */
   oversizedFromBytes: 64 * 1024,
   /** Oversized lane of a conn's buffer; a few of the largest bodies. */
-  oversizedLaneBytes: 2 * 1024 * 1024,
+  oversizedQueueBytes: 2 * 1024 * 1024,
   /** Flush of a conn's buffer for routine families. */
   flushMs: 250,
   /** A family with an aim flushes after this share of it, if that is sooner. */
   flushShare: 0.1,
   /** What a frame takes beside its body: topic, sender, numbers. */
-  frameHeadBytes: 128,
+  frameOverheadBytes: 128,
   /** Flush when an urgent message waits: a warning must not sit a quarter second for company. */
   flushUrgentMs: 20,
   /** Catch-up from history pauses above this much buffered, so that it never saturates a lane itself. */
@@ -38,17 +38,17 @@
   /** Entries asked of history at a time; a page stays far below a lane. */
   historyPageLimit: 64,
   /** How long the owner waits for relays when it counts listeners; the asker's patience is about 2 s. */
-  countWaitMs: 700,
+  countTimeoutMs: 700,
   /** A key taken this lately: relays may not have told their interest, so all of them are asked. */
-  countAllMs: 4_000,
+  countAllRelaysMs: 4_000,
   /** Holds and conns a relay may have: beyond it, new conns are rejected at once. */
   connectionLimit: 4_000,
   /** Subscriptions a conn may have. */
   subscriptionsPerConnectionLimit: 256,
   /** A consumer's home forgets a conn not re-registered for this long. */
-  homeForgetMs: 40_000,
+  homeEntryTtlMs: 40_000,
   /** Unable to serve for this long a relay sends its conns elsewhere: before the others call it dead and count them no more. */
-  leaseLostMs: 4_000,
+  readLeaseLostMs: 4_000,
   /** Relay re-registers its conns at their homes this often. */
   homeRenewMs: 15_000,
   /** A planned restart sends its conns away over this long; a stop has less time. */
@@ -74,7 +74,7 @@
   memorySlackMs: 15_000,
   /** Every accepted message stays in the history this long, whatever its family's memory, so that a repeat of its number has its
    * first outcome. Callers repeat for 10 s; three times that, because clocks and the way of an answer come on top. */
-  repeatKeepMs: 30_000,
+  resendHistoryMs: 30_000,
   /** The last trimmed number of a sender and topic is known this long: what is above it and not in the history was never
    * accepted, what is below it is not known any more. Dedupe rows outlive any memory by a wide margin. */
   dedupeKeepMs: 30 * 60_000,
@@ -99,7 +99,7 @@
   /** After the hand-over, callers that still come are told where to go for this long. */
   redirectMs: 100,
   /** Who was allowed to take a key and did not within this long asked in vain. */
-  yieldMs: 1_500,
+  yieldTimeoutMs: 1_500,
   /** Who asked for a key in vain may ask again after this long. */
   yieldRefusalMs: 30_000,
   /** An owner in doubt this long calls itself ill, so that others take its keys ... */
@@ -107,7 +107,7 @@
   /** ... and stays so this long: links that broke seldom mend in seconds. */
   unhealthyMs: 20_000,
   /** Time limit of one Append; a slow disk may take a while, and the others make the majority. */
-  appendMs: 1_500,
+  appendTimeoutMs: 1_500,
   /** Entries in one Append. */
   appendEntryLimit: 256,
   /** Publishes waiting at one owner before it rejects; urgent ones have the whole, routine ones half. */
@@ -119,7 +119,7 @@
   /** ... and a copy follows this often: each time it writes more pages than for the appends since. */
   trimReplicaMs: 10_000,
   /** Copies follow in snapshots when behind the base; a snapshot call may take this long. */
-  snapshotMs: 5_000,
+  snapshotTimeoutMs: 5_000,
 } as const;
 
 /** Requests of clients: their way to an owner, and bounds of what a node takes at once. */
@@ -129,23 +129,23 @@
   /** Retry hint base; a random share of as much again spreads callers out. */
   retryMs: 400,
   /** One try of a relay at an owner. */
-  ownerTryMs: 900,
+  ownerAttemptMs: 900,
   /** A visit at an owner that lost its key is waited for this long: its answer may be on the way. */
   movedGraceMs: 20,
   /** Pause between two tries at owners while a key changes hands, unless there is news of it. */
   ownerRetryMs: 40,
   /** Time limit for asking a copy whom it promised its key. */
-  whoMs: 300,
+  fenceQueryMs: 300,
   /** An owner that takes this long for a visit is looked at by the membership: ordinary ones take a tenth of it. */
-  slowVisitMs: 150,
+  slowRequestMs: 150,
   /** ... and again after this long at most. */
-  slowAgainMs: 1_000,
+  slowOwnerProbeMs: 1_000,
   /** A publish whose key has no owner in sight is given up after this long, well below any patience. */
   noOwnerMs: 700,
   /** What a sender had on the way when an earlier publish of it was turned away arrives within this long: a round trip to callers. */
-  onTheWayMs: 100,
+  inFlightPublishMs: 100,
   /** Publishes of a sender that are given up together are answered in order, but none waits longer than this for those before it. */
-  inOrderMs: 250,
+  inOrderAnswerMs: 250,
   /** Tries at owners after a visit's first, of one node: this many a second ... */
   retriesPerS: 40,
   /** ... and this share of the first tries ... */
@@ -153,23 +153,23 @@
   /** ... of which so many may be saved: a key that changes hands is asked for a few times by each visit under way. */
   retryBurstLimit: 400,
   /** A link that gave no answer is tried directly this often; meanwhile visits of the data plane go round it. */
-  linkTryMs: 700,
+  linkProbeMs: 700,
   /** A line of a client: topic, cursor and name are far shorter. */
   accessLineBytes: 16 * 1024,
   /** The largest body any family may allow; larger ones are refused unread ... */
-  edgeBodyBytes: 1024 * 1024,
+  maxBodyBytes: 1024 * 1024,
   /** ... and thrown away up to this size; beyond it the connection is closed. */
-  accessSkipBytes: 16 * 1024 * 1024,
+  accessDiscardBytes: 16 * 1024 * 1024,
   /** Answers and frames a client has not read yet, beyond both lanes of its buffer: it does not read. */
   accessUnreadBytes: 4 * 1024 * 1024,
   /** Requests of one connection in work before we read no more of them. */
-  accessRunningLimit: 128,
+  accessInFlightLimit: 128,
   /** Bodies that come in pieces, of all connections together; a body beyond it is not taken. */
   accessBodiesBytes: 32 * 1024 * 1024,
   /** Connections that have not attached, and at most half of all: beyond it the oldest of them is closed. */
   accessUnattachedLimit: 1_000,
   /** A connection that has not attached within this time is closed; looked for this often. */
-  accessOpenMs: 10_000,
+  accessAttachMs: 10_000,
   accessSweepMs: 1_000,
   /** Default limit of a body. */
   bodyBytes: 64 * 1024,
@@ -181,7 +181,7 @@
   gossipPeerCount: 2,
   gossipMs: 500,
   /** While news keeps coming a node compares only this often. */
-  gossipAnywayMs: 2_000,
+  gossipWhileBusyMs: 2_000,
   /** After its start a node compares this often, for this long at most, or until so many peers had nothing new for it. */
   joinEveryMs: 100,
   joinMs: 3_000,
@@ -216,16 +216,16 @@
   /** Members asked to try in our place before we suspect one: they may have a better link to it. */
   probeIntermediaryCount: 3,
   /** A suspected member is dead after this long. */
-  deadMs: 8_000,
+  suspicionTimeoutMs: 8_000,
   /** A dead member's record is forgotten after this long. */
-  forgetMs: 120_000,
+  deadRecordTtlMs: 120_000,
   /** That a record was forgotten is remembered this long: several times what any node takes to forget it too, also one that joined late. */
   tombstoneMs: 600_000,
   /** Members known are kept on disk, where that changed, this often; and so many of them: a start needs one that is there. */
   rememberPeersEveryMs: 5_000,
   rememberedPeerLimit: 64,
   /** Time limit of small control calls. */
-  callMs: 800,
+  callTimeoutMs: 800,
   /** A gap in our own loop this long means we were frozen: duties are in doubt until confirmed. */
   loopFrozenMs: 1_200,
   /** What came while a process stood still is read within this long after it goes on. */
@@ -273,7 +273,7 @@
   /** A visit from a peer that knows a newer value waits for it; what could not be fetched is fetched again after this long. */
   laggingRetryMs: 40,
   /** Change attempts give up after this long, and say so. */
-  changeMs: 6_000,
+  changeTimeoutMs: 6_000,
   /**
    * An order is worked on for this long after it was last sent, whether its sender waits or not. Senders repeat an order that got no
    * clear answer within a second or two, at any node; longer than this, and an order of a node that was cut off would come into
@@ -286,7 +286,7 @@
    * A voter accepts a value this long after its promise, and no later: a round takes a few calls, and a value that lay in a buffer
    * while a machine stood still or was cut off must not be chosen when it wakes.
    */
-  promiseLifeMs: 3_000,
+  promiseTtlMs: 3_000,
   /** A voter that hears of a repair refuses the ballots of other proposers for this long: some rounds, with a wait between them. */
   repairReservationMs: 300,
   /** Different submissions that one node works on; resent ones share one, and few operators are at work at a time. */
@@ -298,7 +298,7 @@
   /** One try at that; then the highest revision that was sent meanwhile is taken up instead. */
   submitAttemptMs: 2_000,
   /** What is in force is asked of a majority again after about this long, before an old revision is answered. */
-  submitAskMs: 200,
+  submitPollMs: 200,
   /**
    * Revisions remembered with what came into force under them: an order sent again gets its first outcome until this many others came
    * into force. Hours at the changes of a busy day, against resends that come within seconds; about 20 bytes each in the value.
@@ -312,7 +312,7 @@
    * ... and for as many as a shard needs replicas up to this long; later ones join one step at a time. Where the config says what is to
    * be borne, the fleet is not founded before it is, and after this long that is reported.
    */
-  bootstrapAnywayMs: 4_000,
+  bootstrapReplicaWaitMs: 4_000,
   bootstrapEveryMs: 500,
   /** While the disks that are there can't bear what is asked for, that is said this often. */
   bootstrapReportMs: 10_000,
@@ -328,7 +328,7 @@
   /** Steps of the keeper that follow from one another at once; then it looks again after its period. */
   controllerStepLimit: 8,
   /** A disk this many times sooner than those made for copies is worth having copies on. */
-  quickDiskFactor: 4,
+  fastDiskFactor: 4,
   /** A disk seen live this long is let into the disk set: a process that ends right after its start is not. */
   joinAfterMs: 250,
   /** A disk dead this long is replaced. Longer than a restart, shorter than a second failure is likely. */
@@ -360,14 +360,14 @@
   /** SIGTERM to exit; the hard kill comes at 6 s. */
   stopMs: 4_500,
   /** Commits gather this long into one synced transaction: a turn of the loop. While a sync is under way they gather anyway. */
-  commitMs: 0,
+  commitGatherMs: 0,
   /** A log this long is written back; looked at every so many commits. A start reads it whole. */
-  walBytes: 4 * 1024 * 1024,
+  walCheckpointBytes: 4 * 1024 * 1024,
   walCheckCommits: 32,
   /** A relay whose disk could not be opened looks this often whether it can be. */
   diskRetryMs: 2_000,
   /** Settings files are compared this often, for changes without a signal. */
-  rereadMs: 1_000,
+  settingsPollMs: 1_000,
   /** A closed conn's last words have this long to get out before its socket is destroyed. */
   closeGraceMs: 5_000,
   /** Time limit for connecting to a peer; site links answer far sooner. */
--- a/packages/kernel/src/disk.ts
+++ b/packages/kernel/src/disk.ts
@@ -83,7 +83,7 @@
    * @example
    * await db.settled(); // at once, unless a sync is under way
    */
-  async settled(): Promise<void> {
+  async whenSynced(): Promise<void> {
     if (this.state === 'syncing') await new Promise<void>((res) => this.settles.push(res));
   }
 
@@ -167,7 +167,7 @@
   }
 
   /** Drops what was not yet synced, as a loss of power would. */
-  drop(): void {
+  discardUnsynced(): void {
     this.state = 'dead';
     this.wait = [];
   }
--- a/packages/kernel/src/fault-tolerance.ts
+++ b/packages/kernel/src/fault-tolerance.ts
@@ -50,7 +50,7 @@
  * @example
  * roomUnder([{ domain: 'a', count: 4 }, { domain: 'b', count: 1 }], { perDomain: 2, perRegion: Infinity }); // 3
  */
-export function roomUnder(places: Iterable<Place>, limits: SpreadLimits): number {
+export function maxMembersWithin(places: Iterable<Place>, limits: SpreadLimits): number {
   const byDomain = new Map<string, Place>();
   for (const place of places) {
     const known = byDomain.get(place.domain);
@@ -70,7 +70,7 @@
  * @example
  * setSizeFor({ machines: 1, domains: 1, regions: 0 }, { a: 'r', b: 'r', c: 'r' }); // 3
  */
-export function setSizeFor(
+export function minimumSetSize(
   tolerance: FaultTolerance,
   domains: Record<string, string> | undefined,
   least = 1,
@@ -79,7 +79,7 @@
   const fewest = 2 * Math.max(tolerance.machines, tolerance.domains, tolerance.regions) + 1;
   if (!tolerance.domains && !tolerance.regions) return Math.max(fewest, least);
   for (let size = Math.max(fewest, least); size <= LARGEST_SET; size += 2)
-    if (roomUnder(places, spreadLimits(size, tolerance)) >= size) return size;
+    if (maxMembersWithin(places, spreadLimits(size, tolerance)) >= size) return size;
   return undefined;
 }
 
@@ -89,7 +89,7 @@
  * faultInTolerance({ losses: 0, domainLosses: 1, domain: 'a', domains: { a: 'r', b: 'r' } });
  * // 'domainLosses: the loss of 1 failure domain is borne with 3 of them or more, and there are 2'
  */
-export function faultInTolerance(config: NodeConfig): string | undefined {
+export function findToleranceError(config: NodeConfig): string | undefined {
   const { domain, domains, losses, domainLosses = 0, regionLosses = 0 } = config;
   if (!domainLosses && !regionLosses) return undefined;
   const asked = domainLosses ? 'domainLosses' : 'regionLosses';
@@ -100,7 +100,7 @@
   const regionCount = new Set(Object.values(domains)).size;
   if (domainCount <= 2 * domainLosses) return tooFew('domainLosses', 'failure domain', domainLosses, domainCount);
   if (regionCount <= 2 * regionLosses) return tooFew('regionLosses', 'region', regionLosses, regionCount);
-  if (setSizeFor(faultToleranceOf(config)!, domains) !== undefined) return undefined;
+  if (minimumSetSize(faultToleranceOf(config)!, domains) !== undefined) return undefined;
   return `domainLosses and regionLosses: no spread over ${domainCount} failure domains in ${regionCount} regions bears both`;
 }
 
--- a/packages/kernel/src/flags.ts
+++ b/packages/kernel/src/flags.ts
@@ -10,7 +10,7 @@
  * @example
  * const { file, flags } = nodeFlags('relay', process.argv.slice(2));
  */
-export function nodeFlags(role: Role, argv: string[]): { file?: string; flags: Partial<NodeConfig> } {
+export function parseNodeFlags(role: Role, argv: string[]): { file?: string; flags: Partial<NodeConfig> } {
   const a = yargs(argv)
     .scriptName(`harecross-${role}`)
     .usage(
--- a/packages/kernel/src/host.ts
+++ b/packages/kernel/src/host.ts
@@ -18,7 +18,7 @@
 /** What the net tells of itself beside answers. */
 export interface NetEvents {
   /** A connection to this peer broke that was whole: its process may have ended. */
-  broken(peer: string): void;
+  connectionLost(peer: string): void;
   count(name: string): void;
 }
 
--- a/packages/kernel/src/indirect-calls.ts
+++ b/packages/kernel/src/indirect-calls.ts
@@ -5,7 +5,7 @@
 import { Subject } from 'rxjs';
 import { MEMBERSHIP, REQUEST } from './constants.js';
 import { toErrorDetails } from './fault.js';
-import { sleep } from './flow.js';
+import { sleep } from './concurrency.js';
 import { randomInt, type Host } from './host.js';
 import type { PeerRpc } from './peer-rpcs.js';
 import type { RpcEndpoint } from './rpc-endpoint.js';
@@ -112,7 +112,7 @@
         await this.rpc.call(peer, 'Ping', {}, MEMBERSHIP.probeMs);
         break;
       } catch {
-        await sleep(this.node.host.clock, REQUEST.linkTryMs);
+        await sleep(this.node.host.clock, REQUEST.linkProbeMs);
       }
     }
     this.carriers.delete(peer);
--- a/packages/kernel/src/kernel.ts
+++ b/packages/kernel/src/kernel.ts
@@ -2,7 +2,7 @@
 import { Subject, type Subscription } from 'rxjs';
 import { MEMBERSHIP } from './constants.js';
 import { toErrorDetails } from './fault.js';
-import { periodicTicks } from './flow.js';
+import { periodicTicks } from './concurrency.js';
 import type { Host } from './host.js';
 import { IndirectCalls } from './indirect-calls.js';
 import type { PeerRpc } from './peer-rpcs.js';
@@ -35,7 +35,7 @@
   /** Called with every revision seen on a peer's frame that is above ours. */
   onNewerRevision: (revision: number, peer: string) => Promise<void> = async () => {};
   /** Called with every frame of a peer; its instance is known only on its own requests. */
-  onSignOfLife: (peer: string, instanceId?: string) => void = () => {};
+  onPeerActivity: (peer: string, instanceId?: string) => void = () => {};
   /** Called when a peer surely did not get a request; speeds up suspicion. */
   onUnreachable: (peer: string) => void = () => {};
   /** Called when a whole connection to a peer broke; its process may have ended. */
@@ -95,7 +95,7 @@
   async boot(names: (keyof ServiceRegistry)[]): Promise<void> {
     for (const name of names) await this.load(name);
     await this.host.net.serve((frame) => this.rpc.handleFrame(frame), {
-      broken: (peer) => this.onConnectionLost(peer),
+      connectionLost: (peer) => this.onConnectionLost(peer),
       count: (name) => this.incrementCounter(name),
     });
     this.loopTickedAt = this.host.clock.now();
@@ -197,7 +197,7 @@
   }
 
   /** Calls a peer. A call to ourselves takes the same way without the net. */
-  call<T = unknown>(peer: string, method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T> {
+  call<T = unknown>(peer: string, method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callTimeoutMs): Promise<T> {
     return this.rpc.call<T>(peer, method, body, timeoutMs);
   }
 
@@ -206,7 +206,7 @@
    * @example
    * await Promise.allSettled(kernel.callEach(peers, 'News', { items }));
    */
-  callEach<T>(peers: string[], method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callMs): Promise<T>[] {
+  callEach<T>(peers: string[], method: PeerRpc, body: unknown, timeoutMs: number = MEMBERSHIP.callTimeoutMs): Promise<T>[] {
     return this.rpc.callEach<T>(peers, method, body, timeoutMs);
   }
 
@@ -215,7 +215,7 @@
     peer: string,
     method: PeerRpc,
     body: unknown,
-    timeoutMs: number = MEMBERSHIP.callMs,
+    timeoutMs: number = MEMBERSHIP.callTimeoutMs,
   ): Promise<T> {
     return this.indirectCalls.call<T>(peer, method, body, timeoutMs);
   }
--- a/packages/kernel/src/node-config.ts
+++ b/packages/kernel/src/node-config.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import Type from 'typebox';
 import { Compile } from 'typebox/compile';
-import { faultInTolerance } from './fault-tolerance.js';
+import { findToleranceError } from './fault-tolerance.js';
 import type { DiskUse, NodeConfig, Role } from './host.js';
 
 const Address = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
@@ -44,7 +44,7 @@
  * @example
  * faultInConfig({ domain: 'kaolack' }); // 'peer: required'
  */
-export function faultInConfig(x: unknown): string | undefined {
+export function findConfigError(x: unknown): string | undefined {
   if (!check.Check(x)) {
     const es = check.Errors(x) as SchemaError[];
     const e = es[0];
@@ -65,7 +65,7 @@
     if (Number(port) < 1 || Number(port) > 65535) return `${k}: port ${port} is out of range 1..65535`;
   }
   if (c.peer === c.client) return 'peer and client: must be two different addresses';
-  return faultInTolerance(c);
+  return findToleranceError(c);
 }
 
 /**
@@ -86,7 +86,7 @@
   }
   const x: Record<string, unknown> = { ...base };
   for (const [k, v] of Object.entries(flags)) if (v !== undefined) x[k] = v;
-  return checkedNodeConfig(role, x, file);
+  return validateNodeConfig(role, x, file);
 }
 
 /**
@@ -95,8 +95,8 @@
  * @example
  * const c = checkedNodeConfig('relay', { domain: 'fatick', peer, client, seeds }, 'relay-11.json');
  */
-export function checkedNodeConfig(role: Role, x: Record<string, unknown>, from?: string): NodeConfig {
-  const f = faultInConfig(x);
+export function validateNodeConfig(role: Role, x: Record<string, unknown>, from?: string): NodeConfig {
+  const f = findConfigError(x);
   if (f) throw new Error(from ? `${from}: ${f}` : f);
   if (x.role !== undefined && x.role !== role)
     throw new Error(`role: '${x.role as string}' in the config, but this program is '${role}'`);
--- a/packages/kernel/src/peer-framing.ts
+++ b/packages/kernel/src/peer-framing.ts
@@ -1,29 +1,29 @@
 /**
  * Framing of the peer transport: a connection carries lines `number frame`, both ways. The number ties an answer to its call; number
- * {@link PING} belongs to the transport itself.
+ * {@link CONTROL_ID} belongs to the transport itself.
  */
 import type { Socket } from 'node:net';
 
 /** Bounds of the peer transport; the defaults are in constants.ts. */
-export interface PeerNetBounds {
+export interface TransportLimits {
   connectMs: number;
   quietMs: number;
-  frameBytes: number;
-  waitingBytes: number;
-  callsN: number;
+  maxFrameBytes: number;
+  pendingBytesLimit: number;
+  callLimit: number;
   connectionLimit: number;
   closeMs: number;
 }
 
 /** What the transport needs of its surroundings; a model puts others in place. */
-export interface PeerSystem {
+export interface TransportEnvironment {
   connect(peer: string): Socket;
   /** Milliseconds of a steady clock. */
   now(): number;
   /** Runs `fn` after so many milliseconds; the result cancels. */
   after(ms: number, fn: () => void): () => void;
   /** Runs `fn` at the end of this turn of the loop, when all that it brought is read. */
-  soon(fn: () => void): void;
+  afterCurrentIteration(fn: () => void): void;
 }
 
 /**
@@ -41,21 +41,21 @@
 /** What a line is longer than its frame at most: the call's number, a space, the newline. */
 export const LINE_OVERHEAD_BYTES = 24;
 /** Bytes of one write at most, about. */
-export const PIECE_BYTES = 256 * 1024;
+export const WRITE_CHUNK_BYTES = 256 * 1024;
 /** A peer for which more than this waits is not read from. */
-export const UNREAD_BYTES = 4 * PIECE_BYTES;
+export const UNREAD_BYTES = 4 * WRITE_CHUNK_BYTES;
 /**
  * The number of the transport's own lines, which it answers by itself: pings, so that slow work is told from a dead peer, and the
  * introduction of both ends. Peers of earlier versions answer an introduction like a ping, with an empty frame.
  */
-export const PING = 0;
+export const CONTROL_ID = 0;
 
 /** Cuts a stream of bytes into lines of bounded length. */
 export class LineReader {
-  private held: Buffer[] = [];
+  private chunks: Buffer[] = [];
   private heldBytes = 0;
   constructor(
-    public limit: number,
+    public maxLineBytes: number,
     private line: (s: string) => boolean,
   ) {}
 
@@ -65,22 +65,22 @@
     for (;;) {
       const to = d.indexOf(10, from);
       const end = to < 0 ? d.length : to;
-      if (this.heldBytes + end - from > this.limit) {
-        this.held = [];
+      if (this.heldBytes + end - from > this.maxLineBytes) {
+        this.chunks = [];
         return false;
       }
       if (to < 0) {
         if (from < d.length) {
-          this.held.push(d.subarray(from));
+          this.chunks.push(d.subarray(from));
           this.heldBytes += d.length - from;
         }
         return true;
       }
       let s: string;
       if (this.heldBytes) {
-        this.held.push(d.subarray(from, to));
-        s = Buffer.concat(this.held).toString('utf8');
-        this.held = [];
+        this.chunks.push(d.subarray(from, to));
+        s = Buffer.concat(this.chunks).toString('utf8');
+        this.chunks = [];
         this.heldBytes = 0;
       } else s = d.toString('utf8', from, to);
       from = to + 1;
@@ -112,19 +112,19 @@
 }
 
 /** Does what was noted during a turn of the loop once, at its end: what was written meanwhile becomes one write. */
-export class WriteBatch {
+export class FlushScheduler {
   private dirty = new Set<{ flush(): void }>();
   private armed = false;
 
-  constructor(private system: PeerSystem) {}
+  constructor(private system: TransportEnvironment) {}
 
   note(x: { flush(): void }): void {
     this.dirty.add(x);
     if (this.armed) return;
     this.armed = true;
-    this.system.soon(() => this.run());
+    this.system.afterCurrentIteration(() => this.flushAll());
   }
-  run(): void {
+  flushAll(): void {
     this.armed = false;
     const all = [...this.dirty];
     this.dirty.clear();
@@ -139,7 +139,7 @@
   /** `moved` is called when a batch or a piece has left; a piece that left is a sign that the other side reads. */
   constructor(
     private s: Socket,
-    private moved: (piece: boolean) => void,
+    private onWritten: (piece: boolean) => void,
   ) {}
 
   /** Bytes that have not left. */
@@ -148,31 +148,31 @@
   }
   /** Whether the next batch may be written. */
   get free(): boolean {
-    return !this.pieces.length && this.s.writableLength < PIECE_BYTES;
+    return !this.pieces.length && this.s.writableLength < WRITE_CHUNK_BYTES;
   }
 
   write(out: string, bytes: number): void {
-    if (bytes <= 2 * PIECE_BYTES) {
+    if (bytes <= 2 * WRITE_CHUNK_BYTES) {
       this.s.write(out, 'utf8', (e) => {
         // A socket that failed takes nothing more: what waits was surely not written.
-        if (!e) this.moved(false);
+        if (!e) this.onWritten(false);
       });
       return;
     }
     const b = Buffer.from(out);
-    for (let i = 0; i < b.length; i += PIECE_BYTES) this.pieces.push(b.subarray(i, i + PIECE_BYTES));
+    for (let i = 0; i < b.length; i += WRITE_CHUNK_BYTES) this.pieces.push(b.subarray(i, i + WRITE_CHUNK_BYTES));
     this.piecesBytes = b.length;
-    this.next();
+    this.writeNextChunk();
   }
 
-  private next(): void {
+  private writeNextChunk(): void {
     const p = this.pieces.shift();
     if (!p) return;
     this.piecesBytes -= p.length;
     this.s.write(p, (e) => {
       if (e) return;
-      this.next();
-      this.moved(true);
+      this.writeNextChunk();
+      this.onWritten(true);
     });
   }
 }
--- a/packages/kernel/src/peer-link.ts
+++ b/packages/kernel/src/peer-link.ts
@@ -7,16 +7,16 @@
   GREETING,
   LineReader,
   LINE_OVERHEAD_BYTES,
-  PIECE_BYTES,
-  PING,
+  WRITE_CHUNK_BYTES,
+  CONTROL_ID,
   FrameWriter,
   introduce,
   introduced,
   readLine,
   type PeerIdentity,
-  type PeerNetBounds,
-  type PeerSystem,
-  type WriteBatch,
+  type TransportLimits,
+  type TransportEnvironment,
+  type FlushScheduler,
 } from './peer-framing.js';
 
 interface Call {
@@ -45,9 +45,9 @@
   /** Given up by their callers, and perhaps answered later. */
   private abandoned = 0;
   /** Numbers go on over connections, so that none is ever used twice. */
-  private nextId = PING + 1;
+  private nextId = CONTROL_ID + 1;
   /** The first number of this connection. */
-  private firstId = PING + 1;
+  private firstId = CONTROL_ID + 1;
   private greeted = false;
   /** Whether the other end has answered our introduction, and who it is if it said so. */
   private known = false;
@@ -59,10 +59,10 @@
 
   constructor(
     private peer: string,
-    private bounds: PeerNetBounds,
-    private turn: WriteBatch,
+    private limits: TransportLimits,
+    private turn: FlushScheduler,
     private introduction: () => PeerIdentity,
-    private system: PeerSystem,
+    private system: TransportEnvironment,
     private news: () => NetEvents | undefined,
   ) {}
 
@@ -70,26 +70,26 @@
     return new Promise((res, rej) => {
       const bytes = Buffer.byteLength(frame);
       const fail = (f: ErrorDetails): void => rej(new HarecrossError(f));
-      if (bytes > this.bounds.frameBytes) {
-        fail({ tag: 'too_large', step: 'call', peer: this.peer, limit: this.bounds.frameBytes });
+      if (bytes > this.limits.maxFrameBytes) {
+        fail({ tag: 'too_large', step: 'call', peer: this.peer, limit: this.limits.maxFrameBytes });
         return;
       }
       const waiting = this.unsentBytes + (this.writer?.waiting ?? 0) + bytes;
-      if (waiting > this.bounds.waitingBytes || this.sent.size + this.unsent.length >= this.bounds.callsN) {
+      if (waiting > this.limits.pendingBytesLimit || this.sent.size + this.unsent.length >= this.limits.callLimit) {
         this.news()?.count('peer.link.full');
         fail({ tag: 'overloaded', step: 'call', peer: this.peer, retryAfterMs: REQUEST.retryMs });
         return;
       }
       this.usedAt = this.system.now();
       const c: Call = {
-        id: PING,
+        id: CONTROL_ID,
         frame,
         bytes,
         over: false,
         res,
         rej: fail,
         // What already lies in the socket when our loop comes late is read first.
-        cancelTimer: this.system.after(timeoutMs, () => this.system.soon(() => this.giveUp(c))),
+        cancelTimer: this.system.after(timeoutMs, () => this.system.afterCurrentIteration(() => this.giveUp(c))),
         ...(this.state === 'open' && this.peerInstance !== undefined ? { instance: this.peerInstance } : {}),
       };
       this.unsent.push(c);
@@ -119,7 +119,7 @@
   private giveUp(c: Call): void {
     if (c.over) return;
     this.end(c, { tag: 'timeout', step: 'call', peer: this.peer });
-    if (c.id !== PING) {
+    if (c.id !== CONTROL_ID) {
       this.sent.delete(c.id);
       this.abandoned++;
       return;
@@ -142,8 +142,8 @@
       }
     });
     let why = 'closed by the peer';
-    const cancelLate = this.system.after(this.bounds.connectMs, () => this.lost(s, 'ETIMEDOUT'));
-    const lines = new LineReader(this.bounds.frameBytes + LINE_OVERHEAD_BYTES, (l) => this.line(l));
+    const cancelLate = this.system.after(this.limits.connectMs, () => this.onDisconnect(s, 'ETIMEDOUT'));
+    const lines = new LineReader(this.limits.maxFrameBytes + LINE_OVERHEAD_BYTES, (l) => this.line(l));
     s.on('connect', () => {
       cancelLate();
       if (this.socket !== s) return;
@@ -155,24 +155,24 @@
       if (this.socket !== s) return;
       this.heard = true;
       this.pinged = false;
-      if (!lines.take(d)) this.lost(s, 'not a line of a peer');
+      if (!lines.take(d)) this.onDisconnect(s, 'not a line of a peer');
     });
     s.on('error', (e: Error & { code?: string }) => {
       why = e.code ?? e.message;
     });
-    s.on('end', () => this.lost(s, why));
+    s.on('end', () => this.onDisconnect(s, why));
     s.on('close', () => {
       cancelLate();
-      this.lost(s, why);
+      this.onDisconnect(s, why);
     });
   }
 
   private line(l: string): boolean {
     const r = readLine(l);
     if (!r) return false;
-    if (r.id === PING) {
+    if (r.id === CONTROL_ID) {
       this.abandoned = 0;
-      this.meet(introduced(r.frame));
+      this.onHelloAnswered(introduced(r.frame));
       return true;
     }
     const c = this.sent.get(r.id);
@@ -192,7 +192,7 @@
   }
 
   /** The other end has answered our introduction. What was meant for an earlier process at its address was never written: it ends here. */
-  private meet(peer: PeerIdentity | undefined): void {
+  private onHelloAnswered(peer: PeerIdentity | undefined): void {
     if (this.known) return;
     this.known = true;
     this.peerInstance = peer?.instance;
@@ -217,7 +217,7 @@
   flush(): void {
     const w = this.writer;
     if (this.state !== 'open' || !w?.free || !this.unsent.length) return;
-    let out = this.greeted ? '' : `${GREETING}\n${PING} ${introduce(this.introduction())}\n`;
+    let out = this.greeted ? '' : `${GREETING}\n${CONTROL_ID} ${introduce(this.introduction())}\n`;
     this.greeted = true;
     if (this.mustMeet) {
       if (out) w.write(out, out.length);
@@ -226,7 +226,7 @@
     }
     let bytes = 0;
     let n = 0;
-    while (n < this.unsent.length && bytes < PIECE_BYTES) {
+    while (n < this.unsent.length && bytes < WRITE_CHUNK_BYTES) {
       const c = this.unsent[n++]!;
       c.id = this.nextId++;
       this.sent.set(c.id, c);
@@ -246,29 +246,29 @@
    */
   private watchQuiet(): void {
     if (this.cancelWatch) return;
-    const due = this.system.now() + this.bounds.quietMs;
+    const due = this.system.now() + this.limits.quietMs;
     this.heard = false;
-    this.cancelWatch = this.system.after(this.bounds.quietMs, () => {
+    this.cancelWatch = this.system.after(this.limits.quietMs, () => {
       this.cancelWatch = undefined;
       const s = this.socket;
       if (this.state !== 'open' || !s || (!this.sent.size && !this.abandoned && !this.mustMeet)) return;
-      const late = this.system.now() - due > this.bounds.quietMs / 2;
+      const late = this.system.now() - due > this.limits.quietMs / 2;
       if (!this.heard && !late) {
         if (this.pinged) {
           this.news()?.count('peer.link.silent');
-          this.lost(s, 'silent', 'timeout');
+          this.onDisconnect(s, 'silent', 'timeout');
           return;
         }
         this.pinged = true;
         // Behind a batch that does not get out it would only wait too.
-        if (this.writer!.free) s.write(`${PING} \n`);
+        if (this.writer!.free) s.write(`${CONTROL_ID} \n`);
       }
       this.watchQuiet();
     });
   }
 
   /** The one way a connection ends. Written calls end with `tag`; the others were surely not seen. */
-  private lost(s: Socket, detail: string, tag: 'cut' | 'timeout' = 'cut'): void {
+  private onDisconnect(s: Socket, detail: string, tag: 'cut' | 'timeout' = 'cut'): void {
     if (this.socket !== s) return;
     const was = this.state;
     this.socket = undefined;
@@ -295,7 +295,7 @@
       }
       case 'open':
         this.news()?.count('peer.link.lost');
-        this.news()?.broken(peer);
+        this.news()?.connectionLost(peer);
         if (this.unsent.length && this.state === 'closed') this.open();
         break;
     }
@@ -320,7 +320,7 @@
     this.unsent = [];
     this.unsentBytes = 0;
     for (const c of all) this.end(c, { tag: 'cut', step: 'call', peer: this.peer, detail: 'closed by us' });
-    if (s) await endSocket(s, this.bounds.closeMs);
+    if (s) await endSocket(s, this.limits.closeMs);
   }
 }
 
--- a/packages/kernel/src/peer-net.ts
+++ b/packages/kernel/src/peer-net.ts
@@ -4,18 +4,18 @@
 import { PROCESS } from './constants.js';
 import { HarecrossError } from './fault.js';
 import { parseAddress, type Net, type NetEvents } from './host.js';
-import { PIECE_BYTES, WriteBatch, type PeerIdentity, type PeerNetBounds, type PeerSystem } from './peer-framing.js';
+import { WRITE_CHUNK_BYTES, FlushScheduler, type PeerIdentity, type TransportLimits, type TransportEnvironment } from './peer-framing.js';
 import { endSocket, PeerLink } from './peer-link.js';
 import { AcceptedConnection } from './peer-server.js';
 
-const realSystem: PeerSystem = {
-  connect: (peer) => connect({ ...parseAddress(peer), noDelay: true, highWaterMark: PIECE_BYTES } as NetConnectOpts),
+const realSystem: TransportEnvironment = {
+  connect: (peer) => connect({ ...parseAddress(peer), noDelay: true, highWaterMark: WRITE_CHUNK_BYTES } as NetConnectOpts),
   now: () => performance.now(),
   after: (ms, fn) => {
     const timer = setTimeout(fn, ms);
     return () => clearTimeout(timer);
   },
-  soon: (fn) => {
+  afterCurrentIteration: (fn) => {
     setImmediate(fn);
   },
 };
@@ -29,7 +29,7 @@
   /** In the order in which they came. */
   readonly all = new Set<AcceptedConnection>();
 
-  met(connection: AcceptedConnection): void {
+  closeSuperseded(connection: AcceptedConnection): void {
     const { peer } = connection;
     if (!peer) return;
     let cameLater = false;
@@ -56,13 +56,13 @@
  * await net.serve(async (frame) => answer(frame));
  * await net.call('127.0.0.1:7102', frame, 800); // rejects with a Failure: unreachable, cut, timeout, overloaded, too_large
  */
-export function peerNet(self: string, bounds: Partial<PeerNetBounds> = {}): Net {
-  const b: PeerNetBounds = {
+export function peerNet(self: string, bounds: Partial<TransportLimits> = {}): Net {
+  const b: TransportLimits = {
     connectMs: PROCESS.connectMs,
     quietMs: PROCESS.peerQuietMs,
-    frameBytes: PROCESS.peerFrameBytes,
-    waitingBytes: PROCESS.peerWaitingBytes,
-    callsN: PROCESS.peerCallLimit,
+    maxFrameBytes: PROCESS.peerFrameBytes,
+    pendingBytesLimit: PROCESS.peerWaitingBytes,
+    callLimit: PROCESS.peerCallLimit,
     connectionLimit: PROCESS.peerConnectionLimit,
     closeMs: PROCESS.peerCloseMs,
     ...bounds,
@@ -73,7 +73,7 @@
   const introduction = (): PeerIdentity => ({ ...identity, connection: ++opened });
   const system = realSystem;
   const accepted = new AcceptedConnections();
-  const turn = new WriteBatch(system);
+  const turn = new FlushScheduler(system);
   let news: NetEvents | undefined;
   let server: Server | undefined;
   let closed = false;
@@ -91,7 +91,7 @@
     async serve(handle, n) {
       news = n;
       const srv = createServer(
-        { noDelay: true, highWaterMark: PIECE_BYTES, keepAlive: true, keepAliveInitialDelay: PROCESS.peerKeepAliveMs },
+        { noDelay: true, highWaterMark: WRITE_CHUNK_BYTES, keepAlive: true, keepAliveInitialDelay: PROCESS.peerKeepAliveMs },
         (s) => {
           const a = new AcceptedConnection(
             s,
@@ -99,7 +99,7 @@
             turn,
             identity,
             system,
-            (c) => accepted.met(c),
+            (c) => accepted.closeSuperseded(c),
             handle,
             () => news,
           );
@@ -137,7 +137,7 @@
         new Promise<void>((res) => {
           srv.close(() => res());
         });
-      turn.run();
+      turn.flushAll();
       await Promise.all([
         ...[...links.values()].map((l) => l.close()),
         ...[...accepted.all].map((a) => endSocket(a.s, b.closeMs)),
--- a/packages/kernel/src/peer-rpcs.ts
+++ b/packages/kernel/src/peer-rpcs.ts
@@ -138,6 +138,6 @@
  * @example
  * mustBeRepeatable('Carry'); // throws
  */
-export function mustBeRepeatable(m: RepeatablePeerRpc): void {
+export function assertRepeatable(m: RepeatablePeerRpc): void {
   if (!isRepeatable(m)) throw new Error(`${String(m)} must not be sent again`);
 }
--- a/packages/kernel/src/peer-server.ts
+++ b/packages/kernel/src/peer-server.ts
@@ -5,56 +5,56 @@
   GREETING,
   LineReader,
   LINE_OVERHEAD_BYTES,
-  PING,
+  CONTROL_ID,
   UNREAD_BYTES,
   FrameWriter,
   introduce,
   introduced,
   readLine,
   type PeerIdentity,
-  type PeerNetBounds,
-  type PeerSystem,
-  type WriteBatch,
+  type TransportLimits,
+  type TransportEnvironment,
+  type FlushScheduler,
 } from './peer-framing.js';
 
 /** A connection that a peer opened to us. */
 export class AcceptedConnection {
   private greeted = false;
-  private out: string[] = [];
+  private outputQueue: string[] = [];
   private outBytes = 0;
   private writer: FrameWriter;
-  private busy = 0;
+  private callsInFlight = 0;
   private paused = false;
   private superseded = false;
-  private lines: LineReader;
+  private lineReader: LineReader;
   private cancelHello: () => void;
   /** Numbers of one connection only rise: a line that comes twice is none of a peer's. */
-  private lastId = PING;
+  private lastId = CONTROL_ID;
   /** The process at the other end, once it has introduced itself. */
   peer?: PeerIdentity;
 
   constructor(
     readonly s: Socket,
-    private bounds: PeerNetBounds,
-    private turn: WriteBatch,
+    private limits: TransportLimits,
+    private turn: FlushScheduler,
     private self: PeerIdentity,
-    system: PeerSystem,
+    system: TransportEnvironment,
     private met: (connection: AcceptedConnection) => void,
     private handle: (frame: string) => Promise<string>,
     private news: () => NetEvents | undefined,
   ) {
-    this.lines = new LineReader(GREETING.length, (l) => this.line(l));
+    this.lineReader = new LineReader(GREETING.length, (l) => this.line(l));
     this.writer = new FrameWriter(s, () => {
       this.flush();
       this.pace();
     });
-    this.cancelHello = system.after(bounds.connectMs * 2, () =>
-      system.soon(() => {
+    this.cancelHello = system.after(limits.connectMs * 2, () =>
+      system.afterCurrentIteration(() => {
         if (!this.greeted) this.bad();
       }),
     );
     s.on('data', (d) => {
-      if (!this.lines.take(d)) this.bad();
+      if (!this.lineReader.take(d)) this.bad();
     });
     s.on('error', () => undefined);
     s.on('close', () => this.cancelHello());
@@ -71,28 +71,28 @@
       if (l !== GREETING) return false;
       this.greeted = true;
       this.cancelHello();
-      this.lines.limit = this.bounds.frameBytes + LINE_OVERHEAD_BYTES;
+      this.lineReader.maxLineBytes = this.limits.maxFrameBytes + LINE_OVERHEAD_BYTES;
       return true;
     }
     const r = readLine(l);
     if (!r) return false;
-    if (r.id === PING) {
+    if (r.id === CONTROL_ID) {
       this.own(r.frame);
       return true;
     }
     if (this.superseded) return true;
     if (r.id <= this.lastId) return false;
     this.lastId = r.id;
-    this.busy++;
+    this.callsInFlight++;
     this.handle(r.frame).then(
       (a) => {
-        this.busy--;
+        this.callsInFlight--;
         this.say(r.id, a);
         this.pace();
       },
       // Not a frame of ours: a peer never sends one.
       () => {
-        this.busy--;
+        this.callsInFlight--;
         this.bad();
       },
     );
@@ -104,11 +104,11 @@
   private own(frame: string): void {
     const peer = introduced(frame);
     if (!peer) {
-      this.say(PING, '');
+      this.say(CONTROL_ID, '');
       return;
     }
     this.peer = peer;
-    this.say(PING, introduce(this.self));
+    this.say(CONTROL_ID, introduce(this.self));
     this.met(this);
   }
 
@@ -122,33 +122,33 @@
   private say(id: number, frame: string): void {
     if (!this.s.writable) return;
     let bytes = Buffer.byteLength(frame);
-    if (bytes > this.bounds.frameBytes) {
+    if (bytes > this.limits.maxFrameBytes) {
       frame = '';
       bytes = 0;
     }
-    if (this.outBytes + this.writer.waiting + bytes > this.bounds.waitingBytes) {
+    if (this.outBytes + this.writer.waiting + bytes > this.limits.pendingBytesLimit) {
       // It asks and does not read.
       this.news()?.count('peer.link.unread');
       this.s.destroy();
       return;
     }
-    this.out.push(`${id} ${frame}\n`);
+    this.outputQueue.push(`${id} ${frame}\n`);
     this.outBytes += bytes;
     this.turn.note(this);
   }
 
   flush(): void {
-    if (!this.s.writable || !this.writer.free || !this.out.length) return;
-    const out = this.out.join('');
+    if (!this.s.writable || !this.writer.free || !this.outputQueue.length) return;
+    const out = this.outputQueue.join('');
     const bytes = this.outBytes;
-    this.out = [];
+    this.outputQueue = [];
     this.outBytes = 0;
     this.writer.write(out, bytes);
   }
 
   /** Reads on only while the peer reads too and not too much of it is in work. */
   private pace(): void {
-    const stop = this.busy >= this.bounds.callsN || this.outBytes + this.writer.waiting > UNREAD_BYTES;
+    const stop = this.callsInFlight >= this.limits.callLimit || this.outBytes + this.writer.waiting > UNREAD_BYTES;
     if (stop === this.paused || this.s.destroyed) return;
     this.paused = stop;
     if (stop) this.s.pause();
--- a/packages/kernel/src/real.ts
+++ b/packages/kernel/src/real-host.ts
@@ -115,7 +115,7 @@
   return {
     sync: () => sync(log, wal),
     tidy: () =>
-      ++commits % PROCESS.walCheckCommits || fstatSync(log).size < PROCESS.walBytes ? undefined : writeBack(),
+      ++commits % PROCESS.walCheckCommits || fstatSync(log).size < PROCESS.walCheckpointBytes ? undefined : writeBack(),
     close: (db) => {
       db.pragma('synchronous = FULL');
       db.close();
@@ -132,7 +132,7 @@
  * @example
  * const db = openDb('/var/lib/harecross', clock, log, (e) => process.exit(3), '10.1.0.4:7100');
  */
-export function openDb(
+export function openDatabase(
   folder: string,
   clock: Clock,
   log: Log,
@@ -151,7 +151,7 @@
     r = tryOpen(file);
   }
   if (r.tag !== 'well') throw new Error(`${file}: ${r.why}`);
-  const db = new SyncedDatabase(r.sql, clock, () => PROCESS.commitMs, onFault, self, ownSyncs(r.sql, file, sync));
+  const db = new SyncedDatabase(r.sql, clock, () => PROCESS.commitGatherMs, onFault, self, ownSyncs(r.sql, file, sync));
   db.openMs = r.ms;
   return db;
 }
@@ -193,7 +193,7 @@
   };
   if (config.data) {
     try {
-      host.db = openDb(config.data, realClock, log, (e) => die(`disk fault: ${e.message}`), config.peer);
+      host.db = openDatabase(config.data, realClock, log, (e) => die(`disk fault: ${e.message}`), config.peer);
     } catch (e) {
       // What is on the disk counts as there while the process runs: only a relay has anything to do without it, and only until it is back.
       if (config.role !== 'relay') throw e;
--- a/packages/kernel/src/rpc-endpoint.ts
+++ b/packages/kernel/src/rpc-endpoint.ts
@@ -2,7 +2,7 @@
 import { ClockOffsets } from './clock-offsets.js';
 import { MEMBERSHIP, REGISTER, REQUEST } from './constants.js';
 import { HarecrossError, toErrorDetails, type ErrorDetails } from './fault.js';
-import { sleep, withTimeout } from './flow.js';
+import { sleep, withTimeout } from './concurrency.js';
 import { jitteredRetryMs, type Host } from './host.js';
 import { PEER_RPCS, type PeerRpc } from './peer-rpcs.js';
 import { SerializedBody, decodeAnswer, decodeRequest, encodeAnswer, encodeRequest } from './rpc-envelope.js';
@@ -11,7 +11,7 @@
 export interface RequestContext {
   peer: string;
   /** Id of the sender's process. */
-  inst: string;
+  instanceId: string;
   /** When it sent the request, by our clock: also one that was held up on its way. */
   sentAt: number;
   /** Turns a time of the sender's clock into ours. */
@@ -30,7 +30,7 @@
   readonly isStopped: boolean;
   incrementCounter(name: string): void;
   onNewerRevision(revision: number, peer: string): Promise<void>;
-  onSignOfLife(peer: string, instanceId?: string): void;
+  onPeerActivity(peer: string, instanceId?: string): void;
   onUnreachable(peer: string): void;
 }
 
@@ -80,7 +80,7 @@
     const { self: peer, instanceId, host } = this.node;
     const handler = this.handlers.get(method);
     if (!handler) throw new HarecrossError({ tag: 'unknown_method', step: method, peer, method });
-    const sender: RequestContext = { peer, inst: instanceId, sentAt: host.clock.now(), toLocal: (time) => time };
+    const sender: RequestContext = { peer, instanceId: instanceId, sentAt: host.clock.now(), toLocal: (time) => time };
     const answer = (async (): Promise<{ ok: unknown }> => ({ ok: await handler.handle(body, sender) }))();
     const got = await withTimeout(host.clock, timeoutMs, answer);
     if (!got) throw new HarecrossError({ tag: 'timeout', step: method, peer });
@@ -103,7 +103,7 @@
     );
     const answer = decodeAnswer(frame);
     if (!answer) throw new HarecrossError({ tag: 'cut', step: method, peer, detail: 'not an answer' });
-    node.onSignOfLife(peer);
+    node.onPeerActivity(peer);
     if (answer.revision > node.rev) void node.onNewerRevision(answer.revision, peer);
     if ('error' in answer) throw new HarecrossError(answer.error);
     return answer.ok as T;
@@ -128,10 +128,10 @@
     node.incrementCounter('peer.in');
     const request = decodeRequest(frame);
     const offset = this.offsets.learn(`${request.sender} ${request.instanceId}`, now - request.sentAt, now);
-    node.onSignOfLife(request.sender, request.instanceId);
+    node.onPeerActivity(request.sender, request.instanceId);
     const sender: RequestContext = {
       peer: request.sender,
-      inst: request.instanceId,
+      instanceId: request.instanceId,
       sentAt: request.sentAt + offset,
       toLocal: (time) => time + offset,
     };
@@ -177,7 +177,7 @@
   /** Waits, for half of a call, until we have what a peer has; says whether we do. */
   private async awaitRevision(revision: number, peer: string): Promise<boolean> {
     const { clock } = this.node.host;
-    const until = clock.now() + MEMBERSHIP.callMs / 2;
+    const until = clock.now() + MEMBERSHIP.callTimeoutMs / 2;
     for (;;) {
       await withTimeout(clock, until - clock.now(), this.node.onNewerRevision(revision, peer));
       if (this.node.rev >= revision) return true;
--- a/packages/relay/src/main.ts
+++ b/packages/relay/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import '@harecross/control';
 import { runNode } from '@harecross/data';
-import { nodeFlags } from '@harecross/kernel';
+import { parseNodeFlags } from '@harecross/kernel';
 
-const { file, flags } = nodeFlags('relay', process.argv.slice(2));
+const { file, flags } = parseNodeFlags('relay', process.argv.slice(2));
 await runNode('relay', file, flags);
--- a/packages/store/src/main.ts
+++ b/packages/store/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 import '@harecross/control';
 import { runNode } from '@harecross/data';
-import { nodeFlags } from '@harecross/kernel';
+import { parseNodeFlags } from '@harecross/kernel';
 
-const { file, flags } = nodeFlags('store', process.argv.slice(2));
+const { file, flags } = parseNodeFlags('store', process.argv.slice(2));
 await runNode('store', file, flags);
--- a/packages/trial/src/disk-writer.ts
+++ b/packages/trial/src/disk-writer.ts
@@ -1,4 +1,4 @@
-import { openDb, realClock } from '@harecross/kernel';
+import { openDatabase, realClock } from '@harecross/kernel';
 import { lastIdx, makeFence, NO_FENCE, DurableState, type Replica } from '@harecross/state';
 
 /**
@@ -12,7 +12,7 @@
     process.stdout.write(`! ${l}\n`);
   },
 };
-const db = openDb(
+const db = openDatabase(
   folder,
   realClock,
   quiet,
--- a/packages/trial/src/faults/client-faults.ts
+++ b/packages/trial/src/faults/client-faults.ts
@@ -1,6 +1,6 @@
 /** Scenarios in which clients disconnect for long, vanish, arrive all at once or overload the fleet. */
 import { SHARD } from '@harecross/kernel';
-import { Consumer, Pipeliner, Sender } from '../actors.js';
+import { Consumer, PipelinedSender, Sender } from '../simulated-clients.js';
 import type { Scenario } from '../scenario.js';
 import { randomElement, CROWDED, pause } from './common.js';
 
@@ -8,7 +8,7 @@
   [
     'cursors',
     {
-      forMs: 130_000,
+      faultPhaseMs: 130_000,
       skewMs: 60_000,
       faults: async (context) => {
         // Consumers disconnect for nearly the retention time and resume with their cursors at any node. Meanwhile history is trimmed,
@@ -17,7 +17,7 @@
           for (const consumer of context.crowd.consumers)
             if (context.random.next() < 0.5) {
               consumer.domain = randomElement(context, context.site.domains);
-              void consumer.away(12_000 + 11_000 * context.random.next());
+              void consumer.disconnectFor(12_000 + 11_000 * context.random.next());
             }
           await pause(context, 24_000);
         };
@@ -68,14 +68,20 @@
   [
     'handovers',
     {
-      forMs: 35_000,
+      faultPhaseMs: 35_000,
       faults: async (context) => {
         // Owners are stopped, killed and cut off in turn while up to eight publishes at a time are in progress on many of their topics.
         const extra = context.crowd.topics
           .slice(4, 16)
           .map(
             (topic, i) =>
-              new Pipeliner(context.world, `many${i}`, randomElement(context, context.site.domains), topic, 60),
+              new PipelinedSender(
+                context.clientContext,
+                `many${i}`,
+                randomElement(context, context.site.domains),
+                topic,
+                60,
+              ),
           );
         for (const pipeliner of extra) pipeliner.start();
         for (let i = 0; i < 6; i++) {
@@ -92,7 +98,7 @@
           } else {
             for (const other of context.sim.nodes.values()) if (other !== node) context.sim.cut(node.name, other.name);
             await pause(context, 2_500);
-            context.sim.heal();
+            context.sim.healAll();
           }
           await pause(context, 3_000);
         }
@@ -108,11 +114,11 @@
         for (let i = 0; i < 40; i++) {
           const consumer = randomElement(context, context.crowd.consumers);
           const choice = context.random.next();
-          if (choice < 0.4) consumer.drop();
-          else if (choice < 0.7) void consumer.away(500 + 12_000 * context.random.next());
+          if (choice < 0.4) consumer.disconnect();
+          else if (choice < 0.7) void consumer.disconnectFor(500 + 12_000 * context.random.next());
           else if (choice < 0.85) {
             consumer.domain = randomElement(context, context.site.domains);
-            consumer.drop('moved');
+            consumer.disconnect('moved');
           } else {
             const topic = randomElement(context, [...consumer.want]);
             if (topic) {
@@ -130,7 +136,7 @@
     'vanish',
     {
       site: CROWDED,
-      forMs: 40_000,
+      faultPhaseMs: 40_000,
       faults: async (context) => {
         // Clients vanish without closing, 90 % of the streams are reset at once, clients move to other domains, and a store machine is killed
         // at that moment.
@@ -155,7 +161,7 @@
           await pause(context, 2_000);
           for (const consumer of context.crowd.consumers.filter((other) => !vanished.includes(other)).slice(0, 12)) {
             consumer.domain = randomElement(context, context.site.domains);
-            consumer.drop('moved');
+            consumer.disconnect('moved');
           }
           await context.sim.start(node);
           for (const consumer of vanished) consumer.start();
@@ -168,14 +174,14 @@
   [
     'crowd',
     {
-      forMs: 15_000,
+      faultPhaseMs: 15_000,
       faults: async (context) => {
         context.note('a crowd arrives at once');
         const extra = Array.from(
           { length: 240 },
           (_, i) =>
             new Consumer(
-              context.world,
+              context.clientContext,
               `crowd${i}`,
               randomElement(context, context.site.domains),
               [context.crowd.topics[i % context.crowd.topics.length]!, 'u/0'],
@@ -192,13 +198,13 @@
   [
     'overload',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         // Disks become so slow that publishes queue up. The queue limit is lowered meanwhile, so that a small deployment reaches it.
         const original = { ownerQueueLimit: SHARD.ownerQueueLimit };
         // The eight publishes that a pipelined sender has in progress would fill so small a queue alone.
-        for (const sender of context.crowd.senders) if (sender instanceof Pipeliner) sender.stop();
-        const seen = context.world.journal.seen;
+        for (const sender of context.crowd.senders) if (sender instanceof PipelinedSender) sender.stop();
+        const seen = context.clientContext.journal.seen;
         try {
           for (const node of context.disks) node.kernel!.use('owner').resizePublishQueue(8);
           for (const node of context.disks) node.diskMs = 250;
@@ -206,7 +212,7 @@
             { length: 30 },
             (_, i) =>
               new Sender(
-                context.world,
+                context.clientContext,
                 `flood${i}`,
                 randomElement(context, context.site.domains),
                 context.crowd.topics.filter((_, j) => j % 30 === i),
--- a/packages/trial/src/faults/clock-faults.ts
+++ b/packages/trial/src/faults/clock-faults.ts
@@ -19,7 +19,7 @@
   [
     'clock-jump',
     {
-      forMs: 45_000,
+      faultPhaseMs: 45_000,
       faults: async (context) => {
         // Machines without a hardware clock restart with a wall clock that is an hour behind or ahead.
         const hour = 3_600_000;
@@ -32,7 +32,7 @@
           await pause(context, 3_500);
         }
         // All machines restart with a wrong clock at once, and every consumer resumes with its cursor.
-        for (const consumer of context.crowd.consumers) void consumer.away(4_000);
+        for (const consumer of context.crowd.consumers) void consumer.disconnectFor(4_000);
         for (const node of context.sim.nodes.values()) context.sim.kill(node);
         for (const node of context.sim.nodes.values()) {
           node.skewMs += hour;
@@ -45,14 +45,14 @@
   [
     'wrong-rates',
     {
-      forMs: 40_000,
+      faultPhaseMs: 40_000,
       faults: async (context) => {
         // Clocks run up to 3 % too fast or too slow, and wall clocks are stepped by up to 15 minutes while the machines run.
         for (const node of context.sim.nodes.values()) context.sim.setRate(node, 0.97 + 0.06 * context.random.next());
         for (let i = 0; i < 3; i++) {
           const node = randomElement(context, context.stores);
-          node.stepMs += (context.random.next() * 2 - 1) * 900_000;
-          context.note(`kill ${node.name}; its wall clock is off by ${Math.round(node.stepMs)} ms`);
+          node.wallStepMs += (context.random.next() * 2 - 1) * 900_000;
+          context.note(`kill ${node.name}; its wall clock is off by ${Math.round(node.wallStepMs)} ms`);
           context.sim.kill(node);
           await pause(context, 3_000);
           await context.sim.start(node);
--- a/packages/trial/src/faults/disk-faults.ts
+++ b/packages/trial/src/faults/disk-faults.ts
@@ -6,7 +6,7 @@
   [
     'lost-disk',
     {
-      forMs: 70_000,
+      faultPhaseMs: 70_000,
       faults: async (context) => {
         const node = randomElement(context, context.stores);
         context.note(`disk of ${node.name} dies`);
@@ -53,7 +53,7 @@
       faults: async (context) => {
         context.note('all power fails');
         for (const node of context.sim.nodes.values()) context.sim.kill(node);
-        context.world.journal.add({ k: 'closing' });
+        context.clientContext.journal.add({ k: 'closing' });
         await pause(context, 1_500);
         for (const node of context.sim.nodes.values()) await context.sim.start(node);
         await pause(context, 16_000);
@@ -69,7 +69,7 @@
         context.note(`all power fails, and the disk of ${node.name} dies`);
         for (const other of context.sim.nodes.values()) if (other !== node) context.sim.kill(other);
         context.sim.loseDisk(node);
-        context.world.journal.add({ k: 'closing' });
+        context.clientContext.journal.add({ k: 'closing' });
         await pause(context, 1_500);
         for (const other of context.sim.nodes.values()) await context.sim.start(other);
         await pause(context, 16_000);
@@ -79,7 +79,7 @@
   [
     'wiped-seeds',
     {
-      forMs: 75_000,
+      faultPhaseMs: 75_000,
       faults: async (context) => {
         // The disks of the seeds are lost one after another, with time for repair between them: no second fleet may be bootstrapped.
         for (const node of context.stores.slice(0, 3)) {
@@ -95,15 +95,15 @@
   [
     'stall',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         // Disk syncs block the whole event loop for 1 to 3 s, on one machine after another: of shard owners, replicas and voters.
         for (let i = 0; i < 3; i++) {
           const node = randomElement(context, context.disks);
           context.note(`syncs of ${node.name} stop its loop`);
-          node.stallMs = [1_000, 3_000];
+          node.syncStallMs = [1_000, 3_000];
           await pause(context, 5_000);
-          node.stallMs = undefined;
+          node.syncStallMs = undefined;
           await pause(context, 4_000);
         }
       },
@@ -112,7 +112,7 @@
   [
     'full-disk',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         const node = randomElement(context, context.disks);
         context.note(`disk of ${node.name} is full`);
--- a/packages/trial/src/faults/machine-faults.ts
+++ b/packages/trial/src/faults/machine-faults.ts
@@ -44,7 +44,7 @@
   [
     'rolling',
     {
-      forMs: 60_000,
+      faultPhaseMs: 60_000,
       faults: async (context) => {
         for (const node of [...context.stores, ...context.relays]) {
           context.note(`stop ${node.name}`);
@@ -77,10 +77,10 @@
     {
       faults: async (context) => {
         const node = randomElement(context, context.disks);
-        node.slowMs = 150;
+        node.maxExtraDelayMs = 150;
         node.diskMs = 120;
         await pause(context, 8_000);
-        node.slowMs = 0;
+        node.maxExtraDelayMs = 0;
         node.diskMs = 2;
         await pause(context, 3_000);
       },
@@ -89,15 +89,15 @@
   [
     'slow-relay',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (context) => {
         for (let i = 0; i < 6; i++) {
           const node = randomElement(context, [...context.relays, ...context.stores]);
           context.note(`${node.name} is slow`);
-          node.slowMs = 250;
+          node.maxExtraDelayMs = 250;
           node.diskMs = 100;
           await pause(context, 500 + 2_500 * context.random.next());
-          node.slowMs = 0;
+          node.maxExtraDelayMs = 0;
           node.diskMs = 2;
           await pause(context, 800);
         }
@@ -125,7 +125,7 @@
   [
     'closing',
     {
-      forMs: 10_000,
+      faultPhaseMs: 10_000,
       faults: async (context) => {
         context.note('closing fault: half of the relays and a store die for good');
         // Of the machines with a disk, one store and at most one relay are killed: every replica set keeps its majority in either deployment.
@@ -134,7 +134,7 @@
           randomElement(context, context.stores),
         ];
         for (const node of victims) context.sim.kill(node);
-        context.world.journal.add({ k: 'closing' });
+        context.clientContext.journal.add({ k: 'closing' });
         await pause(context, 17_000);
       },
     },
@@ -142,12 +142,12 @@
   [
     'domain-dies',
     {
-      forMs: 12_000,
+      faultPhaseMs: 12_000,
       faults: async (context) => {
         const domain = randomElement(context, context.site.domains);
         context.note(`all machines of ${domain} die for good`);
         for (const node of context.sim.nodes.values()) if (node.config.domain === domain) context.sim.kill(node);
-        context.world.journal.add({ k: 'closing' });
+        context.clientContext.journal.add({ k: 'closing' });
         await pause(context, 17_000);
       },
     },
@@ -155,7 +155,7 @@
   [
     'mixed',
     {
-      forMs: 40_000,
+      faultPhaseMs: 40_000,
       opts: { loss: 0.01 },
       skewMs: 60_000,
       faults: async (context) => {
@@ -177,7 +177,7 @@
             for (const other of context.sim.nodes.values())
               if (other !== node) context.sim.cut(node.name, other.name, context.random.next() < 0.5);
             await pause(context, 500 + 4_000 * context.random.next());
-            context.sim.heal();
+            context.sim.healAll();
           } else {
             context.note(`stop ${node.name}`);
             await context.sim.stop(node);
--- a/packages/trial/src/faults/network-faults.ts
+++ b/packages/trial/src/faults/network-faults.ts
@@ -1,6 +1,6 @@
 /** Scenarios in which links lose packets or are cut, and connections are reset. */
-import { Consumer, Sender } from '../actors.js';
-import { configOf, type Scenario } from '../scenario.js';
+import { Consumer, Sender } from '../simulated-clients.js';
+import { fleetConfigOf, type Scenario } from '../scenario.js';
 import { randomElement, EIGHT_DISKS, pause } from './common.js';
 
 export const NETWORK_FAULTS: [string, Scenario][] = [
@@ -37,7 +37,7 @@
         for (const other of context.sim.nodes.values())
           if (other !== node) context.sim.cut(node.name, other.name, both);
         await pause(context, 4_000 + 6_000 * context.random.next());
-        context.sim.heal();
+        context.sim.healAll();
         context.note('healed');
         await pause(context, 4_000);
       },
@@ -47,7 +47,7 @@
     'link-cut',
     {
       site: EIGHT_DISKS,
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         // Some links of one machine are cut: it still reaches a majority of the voters, but not of the replicas of every shard.
         const node = randomElement(context, context.stores);
@@ -58,7 +58,7 @@
         context.note(`${node.name} loses its links to ${unreachable.map((event) => event.name).join(' ')}`);
         for (const other of unreachable) context.sim.cut(node.name, other.name);
         await pause(context, 8_000);
-        const seen = context.world.journal.seen;
+        const seen = context.clientContext.journal.seen;
         const from = seen.length;
         await pause(context, 8_000);
         const answers = seen.slice(from).filter((event) => event.k === 'pub.answer');
@@ -68,7 +68,7 @@
           throw new Error(
             `only ${ok} of ${answers.length} publishes were accepted while the links of ${node.name} were cut`,
           );
-        context.sim.heal();
+        context.sim.healAll();
         await pause(context, 5_000);
       },
     },
@@ -84,7 +84,7 @@
         for (const a of context.sim.nodes.keys())
           for (const b of context.sim.nodes.keys()) if (side.has(a) && !side.has(b)) context.sim.cut(a, b);
         await pause(context, 5_000);
-        context.sim.heal();
+        context.sim.healAll();
         await pause(context, 6_000);
       },
     },
@@ -92,7 +92,7 @@
   [
     'stale-owner',
     {
-      forMs: 22_000,
+      faultPhaseMs: 22_000,
       faults: async (context) => {
         // An owner and relays are cut off together, with publishers and listeners on both sides. When the links are restored, the owner
         // does not know yet that other nodes own its shards now.
@@ -107,7 +107,7 @@
             { length: 12 },
             (_, j) =>
               new Sender(
-                context.world,
+                context.clientContext,
                 `more${i}-${j}`,
                 randomElement(context, context.site.domains),
                 context.crowd.topics.filter((_, t) => t % 12 === j),
@@ -116,7 +116,7 @@
           );
           for (const sender of extraSenders) sender.start();
           await pause(context, 4_500);
-          context.sim.heal();
+          context.sim.healAll();
           await pause(context, 3_500);
           for (const sender of extraSenders) sender.stop();
         }
@@ -126,7 +126,7 @@
   [
     'link',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         // Only the links between one relay and two machines with a disk are cut: requests must take a detour through other nodes.
         const relay = randomElement(
@@ -136,7 +136,7 @@
         const unreachable = [...context.disks].sort(() => context.random.next() - 0.5).slice(0, 2);
         context.note(`the links of ${relay.name} to ${unreachable.map((event) => event.name).join(' and ')} break`);
         for (const other of unreachable) context.sim.cut(relay.name, other.name);
-        const seen = context.world.journal.seen;
+        const seen = context.clientContext.journal.seen;
         const from = seen.length;
         await pause(context, 16_000);
         const answers = seen
@@ -149,7 +149,7 @@
         context.note(`accepted ${ok} of ${answers.length} through ${relay.name} meanwhile`);
         if (answers.length < 15 || ok < answers.length * 0.95)
           throw new Error(`only ${ok} of ${answers.length} publishes through ${relay.name} were accepted`);
-        context.sim.heal();
+        context.sim.healAll();
         await pause(context, 5_000);
       },
     },
@@ -157,16 +157,16 @@
   [
     'half-open',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         // Streams stop without an error on either side, while keepalives on other connections continue: no consumer may miss a message.
         for (let i = 0; i < 3; i++) {
           const halfOpen = context.crowd.consumers.filter(() => context.random.next() < 0.4);
           context.note(`the streams of ${halfOpen.length} consumers are half-open`);
-          for (const consumer of halfOpen) context.sim.deaf.add(consumer.name);
+          for (const consumer of halfOpen) context.sim.halfOpenConsumers.add(consumer.name);
           await pause(context, 8_000);
         }
-        const noticed = context.world.journal.seen.filter(
+        const noticed = context.clientContext.journal.seen.filter(
           (event) => event.k === 'conn.end' && event.why === 'dead stream',
         ).length;
         context.note(`${noticed} were noticed`);
@@ -177,12 +177,12 @@
   [
     'thin-links',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (context) => {
         // Two consumers have links of limited bandwidth. The one whose link is too slow for large messages is closed as saturated; others must not be delayed.
         await context.crowd.operator.submit(
           'bulk',
-          configOf(context.site, [
+          fleetConfigOf(context.site, [
             {
               name: 'bulk',
               topics: ['bulk/*'],
@@ -194,23 +194,27 @@
           ]),
           true,
         );
-        context.sim.thin.set('thin0', 40_000);
-        context.sim.thin.set('thin1', 4_000_000);
+        context.sim.linkBytesPerS.set('thin0', 40_000);
+        context.sim.linkBytesPerS.set('thin1', 4_000_000);
         const consumers = ['thin0', 'thin1', 'wide0'].map(
           (name) =>
-            new Consumer(context.world, name, randomElement(context, context.site.domains), ['bulk/0', 'r/0', 'u/0']),
+            new Consumer(context.clientContext, name, randomElement(context, context.site.domains), [
+              'bulk/0',
+              'r/0',
+              'u/0',
+            ]),
         );
         for (const consumer of consumers) consumer.start();
         const senders = [
-          new Sender(context.world, 'bulky', context.site.domains[0]!, ['bulk/0'], 400, { bodyBytes: 100_000 }),
-          new Sender(context.world, 'chatty', context.site.domains[0]!, ['bulk/0'], 12, { bodyBytes: 20_000 }),
+          new Sender(context.clientContext, 'bulky', context.site.domains[0]!, ['bulk/0'], 400, { bodyBytes: 100_000 }),
+          new Sender(context.clientContext, 'chatty', context.site.domains[0]!, ['bulk/0'], 12, { bodyBytes: 20_000 }),
         ];
         await pause(context, 1_500);
         for (const sender of senders) sender.start();
         await pause(context, 12_000);
         for (const sender of senders) sender.stop();
-        context.sim.thin.clear();
-        for (const consumer of consumers) consumer.drop();
+        context.sim.linkBytesPerS.clear();
+        for (const consumer of consumers) consumer.disconnect();
         await pause(context, 5_000);
         const closedAsSaturated = context.relays.reduce(
           (count, relay) => count + (relay.kernel?.counters.get('conn.closed.saturated') ?? 0),
@@ -219,7 +223,7 @@
         if (!closedAsSaturated)
           throw new Error('no client session was saturated: the scenario did not cause its fault');
         if (
-          context.world.journal.seen.some(
+          context.clientContext.journal.seen.some(
             (event) =>
               event.k === 'conn.end' &&
               event.consumer !== 'thin0' &&
--- a/packages/trial/src/faults/operator-faults.ts
+++ b/packages/trial/src/faults/operator-faults.ts
@@ -2,8 +2,8 @@
 import { isInPlannedRestart } from '@harecross/control';
 import { SESSION, SHARD } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
-import { Marker, Operator } from '../actors.js';
-import { configOf, type Scenario } from '../scenario.js';
+import { MarkerChecker, Operator } from '../simulated-clients.js';
+import { fleetConfigOf, type Scenario } from '../scenario.js';
 import { randomElement, pause, SIX_DISKS } from './common.js';
 
 /** Longest time from the start of a planned restart until the machine knows of it: one interval of the controller and one committed change. */
@@ -17,7 +17,7 @@
     {
       faults: async (context) => {
         const configWith = (suffix: number) =>
-          configOf(context.site, [
+          fleetConfigOf(context.site, [
             { name: `extra${suffix}`, topics: [`x${suffix}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 },
           ]);
         const operator = context.crowd.operator;
@@ -44,9 +44,9 @@
   [
     'remove-family',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
-        const families = configOf(context.site).families;
+        const families = fleetConfigOf(context.site).families;
         const operator = context.crowd.operator;
         await operator.submit('remove', { families: families.slice(0, 1) }, true);
         await pause(context, 9_000);
@@ -58,10 +58,10 @@
   [
     'cut-config',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (context) => {
         // Some nodes are cut off while the configuration changes: they must stop serving rather than serve by an old configuration.
-        const base = configOf(context.site);
+        const base = fleetConfigOf(context.site);
         for (let i = 0; i < 2; i++) {
           const isolated = [
             randomElement(context, context.stores),
@@ -78,7 +78,7 @@
             true,
           );
           await pause(context, 6_000);
-          context.sim.heal();
+          context.sim.healAll();
           await pause(context, 4_000);
         }
       },
@@ -87,12 +87,12 @@
   [
     'marks',
     {
-      forMs: 45_000,
+      faultPhaseMs: 45_000,
       faults: async (context) => {
         // Each configuration has its own marker topic. Every relay is polled for the last two, while configurations change and machines
         // restart, are cut off, freeze and thaw.
-        const marker = new Marker(context.world);
-        const base = configOf(context.site);
+        const marker = new MarkerChecker(context.clientContext);
+        const base = fleetConfigOf(context.site);
         const submit = async (n: number): Promise<void> => {
           marker.at = n;
           const markerFamily = {
@@ -121,7 +121,7 @@
             context.note(`cut off ${victim.name}`);
             for (const other of context.sim.nodes.values())
               if (other !== victim) context.sim.cut(victim.name, other.name, context.random.next() < 0.7);
-            void pause(context, 3_500).then(() => context.sim.heal());
+            void pause(context, 3_500).then(() => context.sim.healAll());
           }
           await pause(context, 300 * context.random.next());
           await submit(n);
@@ -130,7 +130,7 @@
         marker.stop();
         await context.crowd.operator.submit('no marks', base, true);
         await pause(context, 4_000);
-        const answerCount = context.world.journal.seen.filter((event) => event.k === 'mark').length;
+        const answerCount = context.clientContext.journal.seen.filter((event) => event.k === 'mark').length;
         context.note(`${answerCount} answers on markers`);
         if (answerCount < 4_000)
           throw new Error(
@@ -142,12 +142,12 @@
   [
     'revisions',
     {
-      forMs: 50_000,
+      faultPhaseMs: 50_000,
       faults: async (context) => {
         // Two operators submit revisions concurrently, some resent late and some invalid. Families are renamed, split and nested under
         // traffic. Marker topics show which configuration every relay serves by, while machines restart, freeze and are cut off.
-        const marker = new Marker(context.world);
-        const base = configOf(context.site).families;
+        const marker = new MarkerChecker(context.clientContext);
+        const base = fleetConfigOf(context.site).families;
         const [routine, urgent] = [base[0]!, base[1]!];
         const shapes: FleetConfig['families'][] = [
           base,
@@ -163,7 +163,7 @@
           ],
         ];
         let lastMark = 0;
-        const operators = [context.crowd.operator, new Operator(context.world, 'other')];
+        const operators = [context.crowd.operator, new Operator(context.clientContext, 'other')];
         const submitRevision = (i: number): Promise<unknown> => {
           const mark = ++lastMark;
           const revision = mark * 3 + i;
@@ -211,7 +211,7 @@
             context.note(`cut off ${victim.name}`);
             for (const other of context.sim.nodes.values())
               if (other !== victim) context.sim.cut(victim.name, other.name, context.random.next() < 0.7);
-            void pause(context, 3_500).then(() => context.sim.heal());
+            void pause(context, 3_500).then(() => context.sim.healAll());
           }
           await pause(context, 300 * context.random.next());
           await Promise.all([
@@ -222,7 +222,7 @@
         }
         marker.stop();
         await pause(context, 4_000);
-        const answers = context.world.journal.seen.filter((event) => event.k === 'cfg.answer');
+        const answers = context.clientContext.journal.seen.filter((event) => event.k === 'cfg.answer');
         const countOf = (out: string): number =>
           answers.filter((event) => event.k === 'cfg.answer' && event.out === out).length;
         context.note(`${countOf('taken')} taken, ${countOf('overtaken')} overtaken, ${countOf('invalid')} invalid`);
@@ -234,11 +234,13 @@
   [
     'late-change',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (context) => {
         const operator = context.crowd.operator;
         const configWith = (name: string) =>
-          configOf(context.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
+          fleetConfigOf(context.site, [
+            { name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 },
+          ]);
         for (let i = 0; i < 4; i++) {
           await operator.submit(`c${i}`, configWith(`n${i}`), true);
           await operator.read();
@@ -261,7 +263,7 @@
     'empty',
     {
       site: SIX_DISKS,
-      forMs: 45_000,
+      faultPhaseMs: 45_000,
       faults: async (context) => {
         // A disk is emptied while a machine is killed and restarted; no shard may have fewer replicas meanwhile.
         const operator = context.crowd.operator;
@@ -319,7 +321,7 @@
     'calendar',
     {
       site: SIX_DISKS,
-      forMs: 60_000,
+      faultPhaseMs: 60_000,
       faults: async (context) => {
         // A new machine, a restart and an emptied disk at planned times; the machine of the elected controller is killed in between.
         const operator = context.crowd.operator;
@@ -354,7 +356,7 @@
           moves: [{ id: 'p', kind: 'empty', node: emptiedStore.config.peer, from: 1, until: 2 }],
         });
         if (pastMove.body.error?.tag !== 'invalid_config') throw new Error('a planned move in the past was accepted');
-        const response = await operator.plan('plan', configOf(context.site), moves);
+        const response = await operator.plan('plan', fleetConfigOf(context.site), moves);
         if (response.status !== 200) throw new Error(JSON.stringify(response.body));
         await context.sim.start(addedNode);
         // The machine learns of its restart soon after the planned start, and asks its last client to move at the end of the drain spread.
@@ -392,13 +394,13 @@
     'placed',
     {
       site: SIX_DISKS,
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (context) => {
         // Replicas are placed on three machines by configuration; one of them is killed meanwhile and restarted.
         const operator = context.crowd.operator;
         const storePeers = context.stores.map((store) => store.config.peer);
         const config = {
-          ...configOf(context.site),
+          ...fleetConfigOf(context.site),
           placement: Array.from({ length: SHARD.shardCount }, (_, shard) => ({ shard, nodes: storePeers })),
         };
         const answer = await operator.submit('placed', config, true);
--- a/packages/trial/src/hunt.ts
+++ b/packages/trial/src/hunt.ts
@@ -2,7 +2,7 @@
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import yargs from 'yargs';
-import type { Run } from './scenario.js';
+import type { ScenarioResult } from './scenario.js';
 import { playDay } from './trouble/day.js';
 import { DEPLOYMENTS, lightOf } from './trouble/deployment.js';
 import { drawSchedule, KIND_NAMES, readSchedule, showSchedule, type Trouble } from './trouble/schedule.js';
@@ -39,9 +39,9 @@
   return drawSchedule(seed, options.troubles, only && KIND_NAMES.filter((name) => only.includes(name)));
 }
 
-function rulesOf(run: Run): string {
+function rulesOf(run: ScenarioResult): string {
   const counts = new Map<string, number>();
-  for (const { rule } of run.bad) counts.set(rule, (counts.get(rule) ?? 0) + 1);
+  for (const { rule } of run.violations) counts.set(rule, (counts.get(rule) ?? 0) + 1);
   return [...counts].map(([rule, count]) => `${rule} ${count}`).join(', ');
 }
 
@@ -54,23 +54,23 @@
   const took = ((performance.now() - began) / 1000).toFixed(1);
   const accepted = run.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
   const tried = run.seen.filter((s) => s.k === 'pub.try').length;
-  const verdict = run.bad.length ? `BAD ${rulesOf(run)}` : 'clean';
+  const verdict = run.violations.length ? `BAD ${rulesOf(run)}` : 'clean';
   const out = [`${name} seed ${seed}: ${accepted}/${tried} accepted, ${took} s: ${verdict}`];
-  if (run.bad.length || options.notes) {
+  if (run.violations.length || options.notes) {
     out.push(`  ${showSchedule(troubles)}`, ...run.notes.map((n) => `  ${n}`));
-    out.push(...run.bad.slice(0, SHOWN).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
+    out.push(...run.violations.slice(0, SHOWN).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
   }
   process.stdout.write(`${out.join('\n')}\n`);
-  if (run.bad.length && options.shrink && troubles.length > 1) {
-    const { rule } = run.bad[0]!;
+  if (run.violations.length && options.shrink && troubles.length > 1) {
+    const { rule } = run.violations[0]!;
     const fewest = await shrink(troubles, async (some) =>
-      (await playDay(seed, deployment, some)).bad.some((v) => v.rule === rule),
+      (await playDay(seed, deployment, some)).violations.some((v) => v.rule === rule),
     );
     process.stdout.write(
       `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${showSchedule(fewest)}'\n`,
     );
   }
-  return run.bad.length === 0;
+  return run.violations.length === 0;
 }
 
 /** Plays one day in a process of its own; gives whether it was clean. */
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -8,25 +8,25 @@
   AcceptedConnection,
   AcceptedConnections,
   HarecrossError,
-  PIECE_BYTES,
+  WRITE_CHUNK_BYTES,
   PeerLink,
-  WriteBatch,
+  FlushScheduler,
   type ErrorDetails,
   type PeerIdentity,
-  type PeerNetBounds,
-  type PeerSystem,
+  type TransportLimits,
+  type TransportEnvironment,
   type RandomSource,
 } from '@harecross/kernel';
-import { seeded } from './sim.js';
+import { seededRandom } from './sim.js';
 
 const CALLER = '10.0.0.1:7100';
 const SERVER = '10.0.0.2:7100';
-const BOUNDS: PeerNetBounds = {
+const BOUNDS: TransportLimits = {
   connectMs: 1_000,
   quietMs: 200,
-  frameBytes: 64 * 1024,
-  waitingBytes: 1024 * 1024,
-  callsN: 1_000,
+  maxFrameBytes: 64 * 1024,
+  pendingBytesLimit: 1024 * 1024,
+  callLimit: 1_000,
   connectionLimit: 100,
   closeMs: 100,
 };
@@ -129,7 +129,7 @@
   }
 
   get writableLength(): number {
-    return this.pending > 0 && this.time.now < this.stalledUntil ? PIECE_BYTES : 0;
+    return this.pending > 0 && this.time.now < this.stalledUntil ? WRITE_CHUNK_BYTES : 0;
   }
 
   pause(): this {
@@ -256,7 +256,7 @@
   private serverInstances = 0;
   private serverUp = false;
   private accepted = new AcceptedConnections();
-  private serverBatch = new WriteBatch(this.system());
+  private serverBatch = new FlushScheduler(this.system());
   private link!: PeerLink;
   /** The process that the caller last heard an answer of on the connection that it has. */
   private heardOf: string | undefined;
@@ -265,11 +265,11 @@
     seed: number,
     private plan: CallsPlan,
   ) {
-    this.random = seeded(seed);
+    this.random = seededRandom(seed);
   }
 
   /** The surroundings of a process; once it has ended nothing of it runs any more. */
-  private system(alive: () => boolean = () => true): PeerSystem {
+  private system(alive: () => boolean = () => true): TransportEnvironment {
     const { time } = this;
     const whileAlive = (fn: () => void) => (): void => {
       if (alive()) fn();
@@ -278,7 +278,7 @@
       connect: () => this.connect(),
       now: () => time.now,
       after: (ms, fn) => time.after(ms, whileAlive(fn)),
-      soon: (fn) => {
+      afterCurrentIteration: (fn) => {
         time.after(0, whileAlive(fn));
       },
     };
@@ -310,7 +310,7 @@
       this.serverBatch,
       { address: SERVER, instance, connection: 0 },
       this.system(),
-      (c) => accepted.met(c),
+      (c) => accepted.closeSuperseded(c),
       (frame) => this.serve(frame, instance, connection, accepted),
       () => undefined,
     );
@@ -361,12 +361,12 @@
     this.link = new PeerLink(
       SERVER,
       BOUNDS,
-      new WriteBatch(system),
+      new FlushScheduler(system),
       () => ({ ...identity, connection: ++opened }),
       system,
       () => ({
         count: () => undefined,
-        broken: () => {
+        connectionLost: () => {
           if (mine === this.callerInstances) this.heardOf = undefined;
         },
       }),
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -1,4 +1,4 @@
-import { incarnationsAfter, type MembershipTable, type ConsensusRegister } from '@harecross/control';
+import { nextIncarnations, type MembershipTable, type ConsensusRegister } from '@harecross/control';
 import { ReplicaStore, ShardOwner, type ShardState, type ShardTable } from '@harecross/data';
 import {
   HarecrossError,
@@ -52,7 +52,7 @@
   rev: 1,
   version: 1,
   config: CONFIG,
-  incarnations: incarnationsAfter(new Map(), CONFIG, 1),
+  incarnations: nextIncarnations(new Map(), CONFIG, 1),
   shards: new Map([[SHARD, { gen: 1, copies: COPIES }]]),
   disks: new Map(NODES.map((d) => [d, { id: d, peer: d, domain: d, state: 'active' }])),
 };
--- a/packages/trial/src/oracle.ts
+++ b/packages/trial/src/oracle.ts
@@ -1,5 +1,5 @@
 /** Checks the journal of a run against every rule, by what clients and operators saw and which faults the fleet had. */
-import type { Seen } from './journal.js';
+import type { JournalEvent } from './journal.js';
 import { checkListenerCounts } from './oracle/counts.js';
 import { checkOffsetOrder, checkCompleteness, checkReadBack } from './oracle/deliveries.js';
 import { checkNodeReports, checkMarkerTopics } from './oracle/in-force.js';
@@ -39,7 +39,7 @@
  * @example
  * const violations = checkJournal(journal.seen); // [] if no rule was broken
  */
-export function judge(seen: readonly Seen[], bounds: Bounds = SIMULATOR_LIMITS): Violation[] {
+export function judge(seen: readonly JournalEvent[], bounds: Bounds = SIMULATOR_LIMITS): Violation[] {
   const record = new RunRecord(seen, bounds);
   for (const check of CHECKS) check(record);
   return record.violations();
--- a/packages/trial/src/oracle/counts.ts
+++ b/packages/trial/src/oracle/counts.ts
@@ -36,13 +36,13 @@
     const description = `${event.topic}: told ${event.count}${event.partial ? ' (partial)' : ''}, truth of the last 5 s was ${least}..${most}`;
     if (event.count > most + slack || (!event.partial && event.count < least - slack))
       record.report('counts', event.t, description);
-    const since = event.asked - record.fleetConditions.changedAt(event.asked);
+    const since = event.asked - record.fleetConditions.lastHealthChange(event.asked);
     if (
       event.partial &&
       since < Infinity &&
       since > PARTIAL_MS &&
       record.fleetConditions.calm(event.asked - PARTIAL_MS, event.t) &&
-      !record.fleetConditions.ailing(event.asked - PARTIAL_MS, event.t)
+      !record.fleetConditions.anyUnhealthy(event.asked - PARTIAL_MS, event.t)
     )
       record.report('counts', event.t, `${description}; nothing changed for ${Math.round(since)} ms`);
   }
--- a/packages/trial/src/oracle/deliveries.ts
+++ b/packages/trial/src/oracle/deliveries.ts
@@ -109,12 +109,13 @@
         ],
         [
           DELIVERY_LIMIT_MS.fault,
-          (to: number) => record.fleetConditions.well(node, from, to) && record.fleetConditions.able(from, to),
+          (to: number) =>
+            record.fleetConditions.wasHealthy(node, from, to) && record.fleetConditions.shardsAvailable(from, to),
         ],
       ] as const) {
         const to = from + limit + record.bounds.wayMs;
         if ((receivedAt ?? Infinity) <= to || (subscription.endedAt ?? record.end) <= to || to >= record.end) continue;
-        if (!ok(to) || record.fleetConditions.poor(subscription.consumer, from, to)) continue;
+        if (!ok(to) || record.fleetConditions.hadPoorLink(subscription.consumer, from, to)) continue;
         const how = receivedAt === undefined ? 'not at all' : `after ${Math.round(receivedAt - from)} ms`;
         record.report(
           'late',
--- a/packages/trial/src/oracle/in-force.ts
+++ b/packages/trial/src/oracle/in-force.ts
@@ -11,7 +11,7 @@
   for (const event of record.seen) {
     if (event.k !== 'node.says' && event.k !== 'node.silent') continue;
     const dueConfig = record.taken.filter((accepted) => event.asked > accepted.t + record.bounds.inForceMs).at(-1);
-    const isWell = record.fleetConditions.well(event.node, event.asked - JOIN_MS, event.t);
+    const isWell = record.fleetConditions.wasHealthy(event.node, event.asked - JOIN_MS, event.t);
     if (event.k === 'node.silent') {
       if (dueConfig && isWell)
         record.report(
--- a/packages/trial/src/oracle/record.ts
+++ b/packages/trial/src/oracle/record.ts
@@ -1,7 +1,7 @@
 /** The journal of a run, indexed for the checks; and the violations that they found. */
 import { familyOf, type FleetConfig } from '@harecross/schema';
-import type { Seen } from '../journal.js';
-import { Sky } from '../weather.js';
+import type { JournalEvent } from '../journal.js';
+import { FleetConditions } from '../fleet-conditions.js';
 import type { Bounds, Rule, Violation } from './rules.js';
 
 /** Time after the last fault and the last publish that suffices for every repair. */
@@ -9,7 +9,7 @@
 /** This long after the last change of the fleet it must work as if nothing had happened. */
 export const CALM_MS = 12_000;
 
-export type EventOfKind<K extends Seen['k']> = Extract<Seen, { k: K }>;
+export type EventOfKind<K extends JournalEvent['k']> = Extract<JournalEvent, { k: K }>;
 export interface PublishRecord {
   topic: string;
   sender: string;
@@ -84,14 +84,14 @@
   readonly absencesByTopic = new Map<string, AbsenceWindow[]>();
   readonly nodeOfConn = new Map<string, string>();
   /** Which nodes and links had faults, by time. */
-  readonly fleetConditions: Sky;
+  readonly fleetConditions: FleetConditions;
   readonly end: number;
 
   constructor(
-    readonly seen: readonly Seen[],
+    readonly seen: readonly JournalEvent[],
     readonly bounds: Bounds,
   ) {
-    this.fleetConditions = new Sky(seen);
+    this.fleetConditions = new FleetConditions(seen);
     this.end = seen.find((event) => event.k === 'end')?.t ?? Infinity;
     for (const event of seen) if (event.k === 'conn.open') this.nodeOfConn.set(event.conn, event.node);
   }
--- a/packages/trial/src/oracle/recovery.ts
+++ b/packages/trial/src/oracle/recovery.ts
@@ -1,5 +1,5 @@
 /** Service after the last fault of a run (`closing`): whether the fleet serves again, and how soon. */
-import type { Seen } from '../journal.js';
+import type { JournalEvent } from '../journal.js';
 import { appendTo, type RunRecord, type EventOfKind } from './record.js';
 
 export function checkRecovery(record: RunRecord): void {
@@ -15,7 +15,7 @@
     else if (event.k === 'pub.try') domainOf.set(event.try, event.domain);
   }
   const liveDomains = [...domains]
-    .filter(([, nodes]) => nodes.some((node) => record.fleetConditions.well(node, from - 3_000, from + 3_500)))
+    .filter(([, nodes]) => nodes.some((node) => record.fleetConditions.wasHealthy(node, from - 3_000, from + 3_500)))
     .map(([domain]) => domain);
   for (const domain of [undefined, ...liveDomains]) {
     const belongs = (id: number | string): boolean => domain === undefined || domainOf.get(id) === domain;
@@ -72,11 +72,11 @@
  * recoveryTimes(journal.seen); // { accepted: { quarterMs: 900, mostMs: 2100 }, delivered: ... }
  */
 export function recovery(
-  seen: readonly Seen[],
+  seen: readonly JournalEvent[],
 ): { accepted: { quarterMs: number; mostMs: number }; delivered: { quarterMs: number; mostMs: number } } | undefined {
   const closingFault = [...seen].reverse().find((event) => event.k === 'closing');
   if (!closingFault) return undefined;
-  const measure = (matches: (event: Seen) => boolean): { quarterMs: number; mostMs: number } => {
+  const measure = (matches: (event: JournalEvent) => boolean): { quarterMs: number; mostMs: number } => {
     const times = seen.filter(matches).map((event) => event.t);
     const perSecond = (a: number, b: number): number => times.filter((t) => t > a && t <= b).length / ((b - a) / 1000);
     const before = perSecond(closingFault.t - 8_000, closingFault.t);
--- a/packages/trial/src/oracle/waits.ts
+++ b/packages/trial/src/oracle/waits.ts
@@ -34,8 +34,8 @@
     const family = record.familyAt(event.topic, attempt.t);
     if (record.bounds.timed && family) {
       const isWell =
-        record.fleetConditions.well(event.node, attempt.t, event.t) &&
-        !record.fleetConditions.anyPoor(attempt.t, event.t);
+        record.fleetConditions.wasHealthy(event.node, attempt.t, event.t) &&
+        !record.fleetConditions.anyPoorLink(attempt.t, event.t);
       if (event.tag === 'no answer') {
         if (isWell)
           record.report('held', event.t, `${what} got no answer in ${Math.round(elapsedMs)} ms, and the node was well`);
@@ -87,7 +87,7 @@
   const accepted = [...record.publishes.values()]
     .filter((publish) => publish.acceptedAt !== undefined)
     .map((publish) => publish.acceptedAt!);
-  const returns = record.fleetConditions.returns().sort((a, b) => b - a);
+  const returns = record.fleetConditions.recoveryTimes().sort((a, b) => b - a);
   for (const event of record.seen) {
     if (event.k !== 'node.says') continue;
     for (const holding of event.holdings ?? []) {
--- a/packages/trial/src/sim-disk.ts
+++ b/packages/trial/src/sim-disk.ts
@@ -4,7 +4,7 @@
  */
 import { copyFileSync, existsSync, fstatSync, mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { openDb, type Clock, type SyncedDatabase, type Log, type RandomSource } from '@harecross/kernel';
+import { openDatabase, type Clock, type SyncedDatabase, type Log, type RandomSource } from '@harecross/kernel';
 
 /** What a disk writes at once; a loss of power keeps or drops whole ones, or tears one. */
 const BLOCK_BYTES = 4_096;
@@ -17,7 +17,7 @@
 const LOG = 'state.db-wal';
 
 /** What the disk needs of its machine. */
-export interface DiskSurroundings {
+export interface DiskEnvironment {
   /** Runs `fn` once a sync that begins now is done. */
   afterSync(fn: () => void): void;
 }
@@ -39,7 +39,7 @@
 
   constructor(
     private readonly root: string,
-    private readonly surroundings: DiskSurroundings,
+    private readonly surroundings: DiskEnvironment,
   ) {}
 
   private folder(life = this.life): string {
@@ -50,7 +50,7 @@
   open(clock: Clock, log: Log, onFault: (e: Error) => void, self: string): SyncedDatabase {
     const folder = this.folder();
     mkdirSync(folder, { recursive: true });
-    const db = openDb(folder, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
+    const db = openDatabase(folder, clock, log, onFault, self, (fd, file) => this.sync(fd, file));
     // Opening syncs both files, and the folder once the log is made: SQLite does so at the first commit.
     this.syncedData = readFileSync(join(folder, DATA));
     this.syncedLogBytes = readFileSync(join(folder, LOG)).length;
@@ -129,7 +129,7 @@
     mkdirSync(to, { recursive: true });
     if (existsSync(join(from, DATA))) carry(from, to);
     this.life++;
-    this.db?.drop();
+    this.db?.discardUnsynced();
     if (this.db?.sql.open) this.db.close();
     this.db = undefined;
     rmSync(from, { recursive: true, force: true });
--- a/packages/trial/src/soak.ts
+++ b/packages/trial/src/soak.ts
@@ -5,12 +5,12 @@
 import { realClock, sleep } from '@harecross/kernel';
 import { consola } from 'consola';
 import yargs from 'yargs';
-import { audit, type Way, type World } from './actors.js';
-import { Fleet } from './fleet.js';
+import { audit, type ClientTransport, type ClientContext } from './simulated-clients.js';
+import { Fleet } from './process-fleet.js';
 import { Journal } from './journal.js';
 import { judge, SETTLE_MS, TIMELESS_RULES, type Violation } from './oracle.js';
-import { configOf, crowd, SMALL, type Site } from './scenario.js';
-import { seeded } from './sim.js';
+import { fleetConfigOf, createClients, SMALL, type DeploymentSpec } from './scenario.js';
+import { seededRandom } from './sim.js';
 import { drawSoak } from './soak/schedule.js';
 import { SOAK_LOSSES, SoakFaultInjector } from './soak/stage.js';
 
@@ -39,16 +39,16 @@
 const IN_FORCE_MS = 3_000;
 
 /** A client transport that keeps using a node until its process has ended, whatever its readiness endpoint answers. */
-const whileProcessRuns = (fleet: Fleet): Way => ({
-  ...fleet.way,
+const whileProcessRuns = (fleet: Fleet): ClientTransport => ({
+  ...fleet.clientTransport,
   nodes: (domain) =>
     fleet.relays
       .filter((proc) => proc.up && (domain === undefined || proc.config.domain === domain))
       .map((proc) => proc.config.client),
 });
 
-async function startFleet(site: Site, folder: string): Promise<Fleet> {
-  const fleet = await Fleet.of(site, folder);
+async function startFleet(site: DeploymentSpec, folder: string): Promise<Fleet> {
+  const fleet = await Fleet.create(site, folder);
   for (const proc of fleet.procs) {
     proc.config.losses = SOAK_LOSSES;
     fleet.writeConfig(proc);
@@ -58,18 +58,18 @@
 }
 
 async function soak(seed: number): Promise<boolean> {
-  const site: Site = { ...SMALL, relays: options.relays, relayDisks: 0, stores: options.stores };
+  const site: DeploymentSpec = { ...SMALL, relays: options.relays, relayDisks: 0, stores: options.stores };
   const folder = mkdtempSync(join(tmpdir(), 'harecross-soak-'));
   const beganAt = realClock.now();
-  const clock: World['clock'] = {
+  const clock: ClientContext['clock'] = {
     now: () => realClock.now() - beganAt,
     wall: () => realClock.wall(),
     after: (ms, fn) => realClock.after(ms, fn),
   };
   const journal = new Journal(() => clock.now());
   const fleet = await startFleet(site, folder);
-  const world: World = { clock, random: seeded(seed), way: whileProcessRuns(fleet), journal };
-  const { consumers, senders, operator } = crowd(world, site, { staysUntilEnd: true });
+  const world: ClientContext = { clock, random: seededRandom(seed), clientTransport: whileProcessRuns(fleet), journal };
+  const { consumers, senders, operator } = createClients(world, site, { staysUntilEnd: true });
   const recordNode = ({ config, role }: Fleet['procs'][number]): void =>
     journal.add({ k: 'node', node: config.client, domain: config.domain, role });
   const log = (line: string): void => {
@@ -78,17 +78,17 @@
   fleet.procs.forEach(recordNode);
   journal.add({ k: 'weather', well: [], ailing: [], able: true, rough: true, poor: [] });
   await sleep(realClock, BOOTSTRAP_MS);
-  await operator.submit('first', configOf(site), true);
+  await operator.submit('first', fleetConfigOf(site), true);
   for (const actor of [...consumers, ...senders]) actor.start();
   await sleep(realClock, FAULT_FREE_MS);
 
-  const entries = drawSoak(seeded(seed), options.forS * 1000);
+  const entries = drawSoak(seededRandom(seed), options.forS * 1000);
   const injector = new SoakFaultInjector(fleet, site, operator, log, recordNode);
   await injector.play(entries);
   await sleep(realClock, FAULT_FREE_MS);
   for (const sender of senders) sender.stop();
   await sleep(realClock, FAULT_FREE_MS);
-  const audited = await audit(world, 'audit', configOf(site), AUDIT_MS);
+  const audited = await audit(world, 'audit', fleetConfigOf(site), AUDIT_MS);
   await sleep(realClock, SETTLE_MS);
   await operator.read(true);
   const ended = injector.unexpectedExits();
