--- a/packages/trial/src/soak/stage.ts
+++ b/packages/trial/src/soak/stage.ts
@@ -1,10 +1,10 @@
 /** Applies the entries of a soak test to a fleet of real processes, within the declared losses. */
 import { rmSync } from 'node:fs';
 import { randomInt, randomSample, sleep, realClock, type RandomSource } from '@harecross/kernel';
-import type { Operator } from '../actors.js';
-import type { Fleet, Proc } from '../fleet.js';
-import { configOf, type Site } from '../scenario.js';
-import { seeded } from '../sim.js';
+import type { Operator } from '../simulated-clients.js';
+import type { Fleet, NodeProcess } from '../process-fleet.js';
+import { fleetConfigOf, type DeploymentSpec } from '../scenario.js';
+import { seededRandom } from '../sim.js';
 import { Tolerance, type Claim, type Losable } from '../trouble/tolerance.js';
 import type { SoakEntry, SoakKind } from './schedule.js';
 
@@ -26,7 +26,7 @@
   removed = false;
   affected = false;
 
-  constructor(readonly proc: Proc) {}
+  constructor(readonly proc: NodeProcess) {}
 
   get counted(): boolean {
     return this.proc.config.data !== undefined;
@@ -48,10 +48,10 @@
 
   constructor(
     private readonly fleet: Fleet,
-    private readonly site: Site,
+    private readonly site: DeploymentSpec,
     private readonly operator: Operator,
     private readonly say: (line: string) => void,
-    private readonly added: (proc: Proc) => void,
+    private readonly added: (proc: NodeProcess) => void,
   ) {
     this.machines = fleet.procs.map((proc) => new Machine(proc));
     this.actionByKind = {
@@ -72,12 +72,16 @@
     const running: Promise<void>[] = [];
     for (const entry of entries) {
       await sleep(realClock, Math.max(0, beganAt + entry.atMs - realClock.now()));
-      running.push(this.actionByKind[entry.kind](seeded(entry.seed)));
+      running.push(this.actionByKind[entry.kind](seededRandom(entry.seed)));
     }
     await Promise.all(running);
   }
 
-  private async applyToOne(random: RandomSource, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
+  private async applyToOne(
+    random: RandomSource,
+    what: string,
+    act: (proc: NodeProcess) => Promise<void>,
+  ): Promise<void> {
     const claim = await this.tolerance.claim(() => this.candidates(), 1, random);
     if (!claim) return;
     await this.applyToClaim(claim, what, act);
@@ -91,7 +95,11 @@
     return up.filter((machine) => machine.proc.role !== 'relay' || relays > MIN_RELAYS);
   }
 
-  private async applyToClaim(claim: Claim<Machine>, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
+  private async applyToClaim(
+    claim: Claim<Machine>,
+    what: string,
+    act: (proc: NodeProcess) => Promise<void>,
+  ): Promise<void> {
     for (const machine of claim.machines) {
       machine.affected = true;
       this.say(`${what} ${machine.proc.name}`);
@@ -101,19 +109,19 @@
     for (const machine of claim.machines) machine.affected = false;
   }
 
-  private async terminate(proc: Proc, random: RandomSource): Promise<void> {
+  private async terminate(proc: NodeProcess, random: RandomSource): Promise<void> {
     await this.fleet.stop(proc);
     await sleep(realClock, between(random, RESTART_MS));
     this.fleet.start(proc);
   }
 
-  private async kill(proc: Proc, random: RandomSource): Promise<void> {
+  private async kill(proc: NodeProcess, random: RandomSource): Promise<void> {
     await this.fleet.kill(proc);
     await sleep(realClock, between(random, RESTART_MS));
     this.fleet.start(proc);
   }
 
-  private async freeze(proc: Proc, random: RandomSource): Promise<void> {
+  private async freeze(proc: NodeProcess, random: RandomSource): Promise<void> {
     this.fleet.signal(proc, 'SIGSTOP');
     await sleep(realClock, between(random, FREEZE_MS));
     this.fleet.signal(proc, 'SIGCONT');
@@ -141,7 +149,7 @@
 
   /** Sends SIGHUP only to serving processes: one that is still loading has no handler for the signal yet. */
   private async reload(random: RandomSource): Promise<void> {
-    const serving = this.machines.filter((other) => !other.removed && other.isUp() && other.proc.well);
+    const serving = this.machines.filter((other) => !other.removed && other.isUp() && other.proc.healthy);
     const [machine] = randomSample(random, serving, 1);
     if (!machine) return;
     this.say(`SIGHUP ${machine.proc.name}`);
@@ -156,7 +164,7 @@
   private async change(): Promise<void> {
     const name = `extra${++this.changeCount}`;
     const family = { name, topics: [`${name}/*`], urgency: 'routine' as const, patienceMs: 2_000, memoryS: 30 };
-    const { out } = await this.operator.submit(`soak-${name}`, configOf(this.site, [family]), true);
+    const { out } = await this.operator.submit(`soak-${name}`, fleetConfigOf(this.site, [family]), true);
     this.say(`configuration with ${name}: ${out}`);
   }
 
@@ -178,7 +186,7 @@
     rmSync(old.proc.config.data!, { recursive: true, force: true });
   }
 
-  private async addLike(old: Proc): Promise<Machine> {
+  private async addLike(old: NodeProcess): Promise<Machine> {
     const proc = await this.fleet.add('store', old.config.domain);
     const { peer, client, data, seeds } = proc.config;
     Object.assign(proc.config, old.config, { peer, client, data, seeds });
@@ -197,9 +205,9 @@
 }
 
 /** Waits until the process answers, or the timeout. On a busy machine loading a process takes seconds. */
-async function waitUntilAnswering(proc: Proc): Promise<void> {
+async function waitUntilAnswering(proc: NodeProcess): Promise<void> {
   const until = realClock.now() + START_TIMEOUT_MS;
-  while (!proc.answers && realClock.now() < until) await sleep(realClock, 50);
+  while (!proc.responding && realClock.now() < until) await sleep(realClock, 50);
 }
 
 const between = (random: RandomSource, [least, most]: readonly [number, number]): number =>
--- a/packages/trial/src/test/disk.test.ts
+++ b/packages/trial/src/test/disk.test.ts
@@ -17,10 +17,10 @@
 import { tmpdir } from 'node:os';
 import { basename, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { openDb, realClock, type Log } from '@harecross/kernel';
+import { openDatabase, realClock, type Log } from '@harecross/kernel';
 import { lastIdx, NO_FENCE, DurableState, type Entry } from '@harecross/state';
 import test from 'ava';
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 const folder = (): string => mkdtempSync(join(tmpdir(), 'harecross-disk-'));
 const told: string[] = [];
@@ -43,7 +43,7 @@
 });
 
 async function filled(dir: string): Promise<void> {
-  const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+  const db = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
   const st = new DurableState(db);
   st.init();
   await db.commit(() => {
@@ -65,7 +65,7 @@
 test('what was committed is there again: promise, base, entries, cut tail', async (t) => {
   const dir = folder();
   await filled(dir);
-  const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+  const db = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
   const st = new DurableState(db);
   st.init();
   const c = st.loadReplicas(9_000).get(3)!;
@@ -97,7 +97,7 @@
     await filled(dir);
     damage(join(dir, 'state.db'));
     told.length = 0;
-    const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+    const db = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
     const st = new DurableState(db);
     st.init();
     t.is(st.get('disk'), undefined, 'a new disk');
@@ -112,7 +112,7 @@
 test.serial('a folder that cannot be written is an error with its reason', (t) => {
   const dir = folder();
   writeFileSync(join(dir, 'file'), '');
-  t.throws(() => openDb(join(dir, 'file'), realClock, log, () => undefined, '127.0.0.1:1'), {
+  t.throws(() => openDatabase(join(dir, 'file'), realClock, log, () => undefined, '127.0.0.1:1'), {
     message: /EEXIST|ENOTDIR|not a directory/,
   });
   rmSync(dir, { recursive: true });
@@ -121,7 +121,7 @@
 test.serial('work in one moment shares a sync; a fault rejects it all and is told once', async (t) => {
   const dir = folder();
   const faults: string[] = [];
-  const db = openDb(dir, realClock, log, (e) => faults.push(e.message), '127.0.0.1:1');
+  const db = openDatabase(dir, realClock, log, (e) => faults.push(e.message), '127.0.0.1:1');
   const st = new DurableState(db);
   st.init();
   await Promise.all(Array.from({ length: 20 }, (_, i) => db.commit(() => st.set(`k${i}`, 'v'))));
@@ -139,7 +139,7 @@
 /** A folder whose database was left by a kill: the log holds commits of one entry each, and the file is behind it. */
 async function killed(entries: number): Promise<string> {
   const dir = folder();
-  const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+  const db = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
   const st = new DurableState(db);
   st.init();
   const c = {
@@ -166,9 +166,9 @@
   writeSync(h, Buffer.from([b[0]! ^ 0x10]), 0, 1, at);
   closeSync(h);
 };
-const open = (dir: string): { disk: string | undefined; last: number; db: ReturnType<typeof openDb> } => {
+const open = (dir: string): { disk: string | undefined; last: number; db: ReturnType<typeof openDatabase> } => {
   told.length = 0;
-  const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+  const db = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
   const st = new DurableState(db);
   st.init();
   const c = st.loadReplicas(0).get(3);
@@ -184,7 +184,7 @@
     let held: (() => void) | undefined;
     let file = '';
     let whenHeld = (): void => {};
-    const db = openDb(
+    const db = openDatabase(
       dir,
       realClock,
       log,
@@ -236,7 +236,7 @@
       for (let i = 0; i < 5; i++) await new Promise((r) => setImmediate(r));
     };
     /** A file of which each block, and its cut, is as it was synced last or as it was made since. */
-    const random = seeded(7);
+    const random = seededRandom(7);
     const mixed = (f: string, lost: number): Buffer => {
       const [synced, is] = [safe.get(f)!, readFileSync(f)];
       const was = random.next() < lost ? synced : synced.subarray(0, is.length);
@@ -298,7 +298,7 @@
       await turns();
     }
     t.is(backs, 3, 'the log was written back on the way');
-    db.drop();
+    db.discardUnsynced();
     db.sql.close();
     rmSync(dir, { recursive: true });
   },
@@ -310,7 +310,7 @@
     const dir = folder();
     let syncs = 0;
     let held = (): void => {};
-    const db = openDb(
+    const db = openDatabase(
       dir,
       realClock,
       log,
@@ -325,12 +325,12 @@
     const st = new DurableState(db);
     st.init();
     t.is(await db.commit(() => st.get('disk')), undefined);
-    await db.settled();
+    await db.whenSynced();
     t.is(syncs, 0);
     const order: string[] = [];
     const done = db.commit(() => st.set('disk', 'd1')).then(() => order.push('written'));
     while (syncs === 0) await new Promise((r) => setImmediate(r));
-    const settled = db.settled().then(() => order.push('settled'));
+    const settled = db.whenSynced().then(() => order.push('settled'));
     const read = db.commit(() => st.get('disk')).then((x) => order.push(`read ${x}`));
     await new Promise((r) => setImmediate(r));
     t.deepEqual(order, []);
@@ -346,7 +346,7 @@
 test.serial('a sync that fails rejects what it was for, and the disk takes no more', async (t) => {
   const dir = folder();
   const faults: string[] = [];
-  const db = openDb(
+  const db = openDatabase(
     dir,
     realClock,
     log,
@@ -415,7 +415,7 @@
 test.serial('a database made before rows had sums is taken as it is', async (t) => {
   const dir = folder();
   await filled(dir);
-  const first = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+  const first = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
   for (const x of ['meta', 'copy', 'entry', 'topic', 'sender']) first.sql.exec(`alter table ${x} drop column sum`);
   first.close();
   const o = open(dir);
@@ -440,7 +440,7 @@
   await Promise.all(
     Array.from({ length: LANES }, async (_, lane) => {
       const dir = folder();
-      const random = seeded(lane + 1);
+      const random = seededRandom(lane + 1);
       const last = Array<number>(SHARDS).fill(0);
       const promised = Array<string>(SHARDS).fill(NO_FENCE);
       for (let i = 0; i < KILLS; i++) {
@@ -466,7 +466,7 @@
           p.on('close', () => res());
         });
       }
-      const db = openDb(dir, realClock, log, () => undefined, '127.0.0.1:1');
+      const db = openDatabase(dir, realClock, log, () => undefined, '127.0.0.1:1');
       const st = new DurableState(db);
       st.init();
       const copies = st.loadReplicas(0);
--- a/packages/trial/src/test/fault-tolerance.test.ts
+++ b/packages/trial/src/test/fault-tolerance.test.ts
@@ -1,8 +1,8 @@
 /** Failure domains and regions that may be lost at once: how many replicas and voters that takes, where they are, and what is refused. */
 import {
-  faultInTolerance,
-  roomUnder,
-  setSizeFor,
+  findToleranceError,
+  maxMembersWithin,
+  minimumSetSize,
   spreadLimits,
   type FaultTolerance,
   type NodeConfig,
@@ -230,7 +230,7 @@
     data: 'data',
     losses: 1,
   };
-  const told = (more: Partial<NodeConfig>): string | undefined => faultInTolerance({ ...config, ...more });
+  const told = (more: Partial<NodeConfig>): string | undefined => findToleranceError({ ...config, ...more });
   t.is(told({}), undefined);
   t.is(told({ domainLosses: 0, regionLosses: 0 }), undefined);
   t.is(told({ domainLosses: 1, domains: THREE_ZONES }), undefined);
@@ -276,7 +276,7 @@
             Array.from({ length: zones }, (_, i) => [`z${region}.${i}`, `r${region}`]),
           ),
         );
-        const size = setSizeFor(bears, domains);
+        const size = minimumSetSize(bears, domains);
         if (size === undefined) return;
         const disks: DiskRecord[] = Object.entries(domains).flatMap(([domain, region]) =>
           Array.from({ length: size }, (_, i) => ({
@@ -315,7 +315,7 @@
     { domain: 'b', region: 'r', count: 3 },
     { domain: 'c', region: 's', count: 1 },
   ];
-  t.is(roomUnder(places, { perDomain: Infinity, perRegion: Infinity }), 7);
-  t.is(roomUnder(places, { perDomain: 2, perRegion: Infinity }), 5);
-  t.is(roomUnder(places, { perDomain: 2, perRegion: 3 }), 4);
+  t.is(maxMembersWithin(places, { perDomain: Infinity, perRegion: Infinity }), 7);
+  t.is(maxMembersWithin(places, { perDomain: 2, perRegion: Infinity }), 5);
+  t.is(maxMembersWithin(places, { perDomain: 2, perRegion: 3 }), 4);
 });
--- a/packages/trial/src/test/fuzz.test.ts
+++ b/packages/trial/src/test/fuzz.test.ts
@@ -1,5 +1,5 @@
 import { Edge, statusOf } from '@harecross/data';
-import { faultInConfig } from '@harecross/kernel';
+import { findConfigError } from '@harecross/kernel';
 import { configFaults, FAULTS, Rpcs, visitFault, type Method } from '@harecross/schema';
 import test from 'ava';
 import fc from 'fast-check';
@@ -246,7 +246,7 @@
   let bad = 0;
   fc.assert(
     fc.property(fc.constantFrom(...Object.keys(right), 'data', 'role', 'other'), wild, (key, value) => {
-      const f = faultInConfig({ ...right, [key]: value });
+      const f = findConfigError({ ...right, [key]: value });
       if (f === undefined) return true;
       bad++;
       return typeof f === 'string' && f.length > 0 && !f.includes('\n');
@@ -254,5 +254,5 @@
     { seed: SEED, numRuns: 600 },
   );
   t.true(bad > 300);
-  t.is(faultInConfig(right), undefined);
+  t.is(findConfigError(right), undefined);
 });
--- a/packages/trial/src/test/gossip.test.ts
+++ b/packages/trial/src/test/gossip.test.ts
@@ -5,13 +5,13 @@
   compressList,
   decompressList,
   valueAnswer,
-  valueIn,
+  valueFromAnswer,
   valueRequest,
 } from '@harecross/control';
 import type { Clock } from '@harecross/kernel';
 import type { Fact, FleetValue } from '@harecross/control';
 import test from 'ava';
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 /** A clock that stands until it is told to go on. */
 function handClock(): Clock & { pass(ms: number): void } {
@@ -81,7 +81,7 @@
   const members = Array.from({ length: 90 }, (_, i) => `10.0.0.${i}:7100`);
   const inViews = new Map<string, number>();
   for (let node = 0; node < 300; node++) {
-    const view = new PeerView(seeded(node), 12);
+    const view = new PeerView(seededRandom(node), 12);
     for (const member of members) view.offer(member);
     t.is(view.peers().length, 12);
     for (const peer of view.peers()) inViews.set(peer, (inViews.get(peer) ?? 0) + 1);
@@ -137,14 +137,14 @@
   const answer = valueAnswer(valueRequest(own), newer);
   t.is(typeof answer, 'object');
   t.false(JSON.stringify(answer).includes('family-2'));
-  t.deepEqual(valueIn(answer, own), newer);
+  t.deepEqual(valueFromAnswer(answer, own), newer);
   // Our own configuration changed meanwhile: what came is of no use.
-  t.is(valueIn(answer, value(10, 3)), undefined);
+  t.is(valueFromAnswer(answer, value(10, 3)), undefined);
   // Another version, nothing at all, or an older node that says nothing of what it has: whole.
   for (const has of [value(4, 1), undefined]) {
     const whole = valueAnswer(valueRequest(has), newer);
     t.is(typeof whole, 'string');
-    t.deepEqual(valueIn(whole, has), newer);
+    t.deepEqual(valueFromAnswer(whole, has), newer);
   }
   t.is(valueAnswer(valueRequest(newer), newer), undefined);
   t.is(valueAnswer(valueRequest(value(10, 3)), newer), undefined);
--- a/packages/trial/src/test/holds.test.ts
+++ b/packages/trial/src/test/holds.test.ts
@@ -160,7 +160,7 @@
   t.like(a.frames.at(-1), { t: 'CLOSED', reason: 'replaced' });
   t.deepEqual((await s.ask(s.relays[1]!, 'Listeners', { topic: 'feed/1' })).body, { count: 0, partial: false });
   t.is((await s.ask(s.relays[1]!, 'Probe', { conn: a.conn })).status, 410);
-  await s.pass(SESSION.silencePingCount * 2_000 + 500);
+  await s.pass(SESSION.missedPingCount * 2_000 + 500);
   t.like(b.frames.at(-1), { t: 'CLOSED', reason: 'silent' });
   s.sim.close();
 });
@@ -227,7 +227,7 @@
   await s.pass(6_000);
   t.deepEqual(delivered(c.frames), []);
   for (const f of healed) f();
-  await s.pass(SESSION.headsMs + REQUEST.ownerTryMs * 2 + 500);
+  await s.pass(SESSION.headsMs + REQUEST.ownerAttemptMs * 2 + 500);
   t.deepEqual(delivered(c.frames), [2, 3]);
   s.sim.close();
 });
--- a/packages/trial/src/test/hunt.test.ts
+++ b/packages/trial/src/test/hunt.test.ts
@@ -20,7 +20,7 @@
     const troubles = drawSchedule(seed, count);
     t.log(showSchedule(troubles));
     const run = await playDay(seed, light(name), troubles);
-    t.deepEqual(run.bad, []);
+    t.deepEqual(run.violations, []);
     t.true(run.seen.filter((s) => s.k === 'deliver').length > 200, 'the day was not empty');
   });
 
@@ -46,7 +46,7 @@
   target[plant.method] = plant.fault(old);
   try {
     for (const seed of plant.seeds) {
-      const { bad } = await playDay(seed, plant.deployment, readSchedule(plant.troubles));
+      const { violations: bad } = await playDay(seed, plant.deployment, readSchedule(plant.troubles));
       for (const { rule } of bad) rules.add(rule);
       if (plant.rules.some((rule) => rules.has(rule))) return 'found';
     }
--- a/packages/trial/src/test/model-calls.test.ts
+++ b/packages/trial/src/test/model-calls.test.ts
@@ -1,4 +1,4 @@
-import { AcceptedConnection, AcceptedConnections, PeerLink, PING } from '@harecross/kernel';
+import { AcceptedConnection, AcceptedConnections, PeerLink, CONTROL_ID } from '@harecross/kernel';
 import test from 'ava';
 import { CALLS_PLAN, playCalls, type CallsPlan } from '../model-calls.js';
 
@@ -75,7 +75,7 @@
         'line',
         (old) =>
           function (...args) {
-            this.lastId = PING;
+            this.lastId = CONTROL_ID;
             return call(old, this, args);
           },
       ],
@@ -93,7 +93,7 @@
             const line = String(args[0]);
             const id = Number(line.slice(0, line.indexOf(' ')));
             const [oldest] = this.sent.values();
-            if (id === PING || this.sent.has(id) || !oldest) return call(old, this, args);
+            if (id === CONTROL_ID || this.sent.has(id) || !oldest) return call(old, this, args);
             this.sent.delete(oldest.id);
             this.end(oldest, line.slice(line.indexOf(' ') + 1));
             return true;
--- a/packages/trial/src/test/peer-net.test.ts
+++ b/packages/trial/src/test/peer-net.test.ts
@@ -7,10 +7,10 @@
   type ErrorDetails,
   type Net,
   type NetEvents,
-  type PeerNetBounds,
+  type TransportLimits,
 } from '@harecross/kernel';
 import test, { type ExecutionContext } from 'ava';
-import { freePorts } from '../fleet.js';
+import { freePorts } from '../process-fleet.js';
 
 const LONG = 60_000;
 const fault = (p: Promise<unknown>): Promise<ErrorDetails | 'answered'> =>
@@ -32,7 +32,7 @@
     this.lines.push(name);
     for (const w of this.waits.splice(0)) w();
   }
-  broken(peer: string): void {
+  connectionLost(peer: string): void {
     this.count(`broken ${peer}`);
   }
   async until(name: string): Promise<void> {
@@ -44,7 +44,7 @@
 async function node(
   t: ExecutionContext,
   handle: (f: string) => Promise<string>,
-  bounds: Partial<PeerNetBounds> = {},
+  bounds: Partial<TransportLimits> = {},
   at?: string,
 ): Promise<Node> {
   // A port that the OS called free may be another process's by now: then the next one.
@@ -305,7 +305,7 @@
   const p = await raw(t, (s) => {
     s.pause();
   });
-  const a = await node(t, echo, { waitingBytes: 8_000_000, quietMs: LONG });
+  const a = await node(t, echo, { pendingBytesLimit: 8_000_000, quietMs: LONG });
   const frame = 'x'.repeat(100_000);
   const calls = Array.from({ length: 300 }, () => fault(a.net.call(p.at, frame, LONG)));
   const f = await Promise.race(calls);
@@ -324,7 +324,7 @@
       n++;
       return 'y'.repeat(100_000);
     },
-    { waitingBytes: 30_000_000 },
+    { pendingBytesLimit: 30_000_000 },
   );
   const s = caller(b.at);
   s.pause();
--- a/packages/trial/src/test/platform-access.test.ts
+++ b/packages/trial/src/test/platform-access.test.ts
@@ -7,7 +7,7 @@
 import test, { type ExecutionContext } from 'ava';
 import fc from 'fast-check';
 import type { Json } from '../json.js';
-import { freePorts } from '../fleet.js';
+import { freePorts } from '../process-fleet.js';
 import { LineClient } from './platform-client.js';
 
 const SEED = 20_261;
@@ -383,7 +383,7 @@
   for (const [bad, want] of [
     ['PROBE\n', 'REJECT - - - MALFORMED'],
     ['x'.repeat(REQUEST.accessLineBytes + 1), 'REJECT - - - OVERSIZE'],
-    [`PUBLISH a 1 ${REQUEST.accessSkipBytes + 1}\r\n`, 'REJECT PUBLISH - - OVERSIZE'],
+    [`PUBLISH a 1 ${REQUEST.accessDiscardBytes + 1}\r\n`, 'REJECT PUBLISH - - OVERSIZE'],
     ['PUBLISH a 1\r\n', 'REJECT PUBLISH - - MALFORMED'],
     ['\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n', 'REJECT - - - MALFORMED'],
     ['GET / HTTP/1.1\r\n\n', 'REJECT - - - MALFORMED'],
@@ -405,14 +405,14 @@
   const s = await stage(t);
   s.edge.at = well;
   const c = await attached(s, 'u1');
-  for (const n of [REQUEST.edgeBodyBytes + 1, REQUEST.accessSkipBytes]) {
+  for (const n of [REQUEST.maxBodyBytes + 1, REQUEST.accessDiscardBytes]) {
     c.send(`PUBLISH a 1 ${n}\r\n`);
     c.send(Buffer.alloc(n, 'x'));
     t.is(await c.ask(''), 'REJECT PUBLISH a 1 OVERSIZE');
     t.is(await c.ask('PROBE'), 'PROBEACK');
   }
-  c.send(`PUBLISH a 1 ${REQUEST.edgeBodyBytes}\r\n`);
-  c.send(Buffer.alloc(REQUEST.edgeBodyBytes, 'x'));
+  c.send(`PUBLISH a 1 ${REQUEST.maxBodyBytes}\r\n`);
+  c.send(Buffer.alloc(REQUEST.maxBodyBytes, 'x'));
   t.is(await c.ask(''), 'ACCEPT a 1', 'the largest that is read');
   t.is(s.edge.visits.length, 1);
 });
@@ -420,11 +420,11 @@
 test('bodies of all connections together take so much room and no more', async (t) => {
   const s = await stage(t);
   s.edge.at = well;
-  const n = REQUEST.accessBodiesBytes / REQUEST.edgeBodyBytes;
+  const n = REQUEST.accessBodiesBytes / REQUEST.maxBodyBytes;
   const all: LineClient[] = [];
   for (let i = 0; i < n; i++) {
     const c = await attached(s, `u${i}`);
-    c.send(`PUBLISH a 1 ${REQUEST.edgeBodyBytes}\r\nx`);
+    c.send(`PUBLISH a 1 ${REQUEST.maxBodyBytes}\r\nx`);
     all.push(c);
   }
   const [other, pulse] = [await attached(s, 'other'), await attached(s, 'pulse')];
@@ -558,7 +558,7 @@
     slow.slice(-900).every((c) => !c.over),
     'the newest are still there',
   );
-  s.clock.pass(REQUEST.accessOpenMs - 1_000);
+  s.clock.pass(REQUEST.accessAttachMs - 1_000);
   await turns(first, 3);
   t.is(s.counters.get('access.slow'), undefined, 'not before their time');
   s.clock.pass(3 * REQUEST.accessSweepMs);
@@ -614,7 +614,7 @@
     if (++served % 500 === 0) await turns(other, 1);
   }
   await c.until((all) => all.length === N + 1);
-  t.is(s.edge.mostOpen, REQUEST.accessRunningLimit);
+  t.is(s.edge.mostOpen, REQUEST.accessInFlightLimit);
   const got = c.all.slice(1).map((x) => x.fields.join(' '));
   t.deepEqual([...got].sort(), topics.map((x, i) => (i % 3 ? `TALLY ${x} ${i}` : `ACCEPT ${x} ${i + 1}`)).sort());
   t.deepEqual(
--- a/packages/trial/src/test/platform-boot.test.ts
+++ b/packages/trial/src/test/platform-boot.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { nodeConfigOf, readSettings } from '@harecross/platform/boot';
-import { faultInConfiguration, fleetConfigOf } from '@harecross/platform/management';
+import { configurationError, fleetConfigOf } from '@harecross/platform/management';
 import { diskUsesOf, type Role } from '@harecross/kernel';
 import { configFaults } from '@harecross/schema';
 import test, { type ExecutionContext } from 'ava';
@@ -286,6 +286,6 @@
       `${s} is a control process`,
     );
   const c = JSON.parse(readFileSync(join(folder, 'configuration.json'), 'utf8'));
-  t.is(faultInConfiguration(c), undefined);
+  t.is(configurationError(c), undefined);
   t.deepEqual(configFaults(fleetConfigOf(c)), []);
 });
--- a/packages/trial/src/test/platform-lines.test.ts
+++ b/packages/trial/src/test/platform-lines.test.ts
@@ -1,4 +1,4 @@
-import { Room, RequestReader, deliver, line, reject, type Read, type ReadLimits } from '@harecross/platform/lines';
+import { Quota, RequestReader, deliver, line, reject, type Read, type ReadLimits } from '@harecross/platform/lines';
 import test from 'ava';
 import fc from 'fast-check';
 
@@ -7,7 +7,7 @@
 const RUNS = 400;
 
 type Reader = Pick<RequestReader, 'push' | 'read' | 'held' | 'end'>;
-type Make = (limits: ReadLimits, room: Room) => Reader;
+type Make = (limits: ReadLimits, room: Quota) => Reader;
 const real: Make = (limits, room) => new RequestReader(limits, room);
 
 /** All that a reader makes of these pieces. */
@@ -15,7 +15,7 @@
   pieces: Buffer[],
   make: Make = real,
   limits = LIMITS,
-  room = new Room(1e9),
+  room = new Quota(1e9),
 ): { out: Read[]; held: number; most: number } {
   const r = make(limits, room);
   const out: Read[] = [];
@@ -163,27 +163,27 @@
 });
 
 test('bodies in pieces take room from what all connections have together, and give it back', (t) => {
-  const room = new Room(150);
+  const room = new Quota(150);
   const [a, b] = [real(LIMITS, room), real(LIMITS, room)];
   a.push(Buffer.from('PUBLISH t 1 100\r\nxx'));
   t.is(a.read(), undefined);
-  t.is(room.taken, 100);
+  t.is(room.used, 100);
   b.push(Buffer.from('PUBLISH t 2 100\r\nxx'));
   t.is(shown(b.read()!), 'REJECT PUBLISH t 2 INDETERM', 'no promise: an earlier try may have been taken');
   b.push(Buffer.from('x'.repeat(98) + '\r\nPUBLISH t 3 120\r\n' + 'y'.repeat(120) + '\r\n'));
   t.is(shown(b.read()!), `["PUBLISH","t",3,"${'y'.repeat(120)}"]`, 'one that is there whole needs no room');
   a.push(Buffer.from('x'.repeat(98) + '\r\n'));
   t.is(a.read()!.tag, 'request');
-  t.is(room.taken, 0, 'given back when it is whole');
+  t.is(room.used, 0, 'given back when it is whole');
   a.push(Buffer.from('PUBLISH t 1 100\r\nxx'));
   a.read();
   a.end();
-  t.is(room.taken, 0, 'given back at the end');
+  t.is(room.used, 0, 'given back at the end');
   b.push(Buffer.from('PUBLISH t 1 3\r\nab'));
   b.read();
   b.push(Buffer.from('zz\r\n'));
   t.is(b.read()!.tag, 'unreadable');
-  t.is(room.taken, 0, 'given back when it cannot be read');
+  t.is(room.used, 0, 'given back when it cannot be read');
 });
 
 // --- properties ---
@@ -243,7 +243,7 @@
 const noise = fc.uint8Array({ maxLength: 2_000 }).map((b) => Buffer.from(b));
 const holdsLittle = (make: Make) =>
   fc.property(fc.oneof(stream, noise, endless), (b) => {
-    const room = new Room(1e9);
+    const room = new Quota(1e9);
     const one = readAll(
       [...b].map((x) => Buffer.from([x])),
       make,
@@ -256,8 +256,8 @@
     return (
       one.most <= bound &&
       ends <= 1 &&
-      (ends === 0 || (one.out.at(-1)!.tag === 'unreadable' && one.held === 0 && room.taken === 0)) &&
-      room.taken <= LIMITS.bodyBytes &&
+      (ends === 0 || (one.out.at(-1)!.tag === 'unreadable' && one.held === 0 && room.used === 0)) &&
+      room.used <= LIMITS.bodyBytes &&
       readAll([b], make).held <= bound
     );
   });
--- a/packages/trial/src/test/platform-management.test.ts
+++ b/packages/trial/src/test/platform-management.test.ts
@@ -1,6 +1,6 @@
 import { connect } from 'node:net';
 import {
-  faultInConfiguration,
+  configurationError,
   fleetConfigOf,
   serveManagement,
   serveReadiness,
@@ -13,7 +13,7 @@
 import fc from 'fast-check';
 import { request } from 'undici';
 import type { Json } from '../json.js';
-import { freePorts } from '../fleet.js';
+import { freePorts } from '../process-fleet.js';
 import type { SimNode } from '../sim.js';
 import { LineClient } from './platform-client.js';
 import { smallFleet, type Small } from './small-fleet.js';
@@ -316,7 +316,7 @@
   }
   t.is((await s.http('POST', a.management + REPLACE, whole, 'text/html')).status, 415);
   const large = shown(50, (c) => {
-    c.pad = 'x'.repeat(REQUEST.accessSkipBytes);
+    c.pad = 'x'.repeat(REQUEST.accessDiscardBytes);
   });
   t.is((await s.http('POST', a.management + REPLACE, large)).status, 413);
   t.is((await s.http('GET', a.management + REPLACE)).status, 404);
@@ -392,7 +392,7 @@
 
 test('whatever is right by the pages is right by the product; spoilt in one place it is refused by one of them', (t) => {
   const refused = (c: Configuration): boolean =>
-    faultInConfiguration(c) !== undefined || configFaults(fleetConfigOf(c)).length > 0;
+    configurationError(c) !== undefined || configFaults(fleetConfigOf(c)).length > 0;
   fc.assert(
     fc.property(right, (raw) => {
       const c = JSON.parse(JSON.stringify(raw)) as Configuration;
@@ -506,7 +506,7 @@
   for (const n of s.sim.nodes.values()) if (n !== relay) s.sim.cut(relay.name, n.name);
   await s.pass(REGISTER.applyMs);
   t.is(await ready(a), '503 draining', 'cut off');
-  s.sim.heal();
+  s.sim.healAll();
   await s.pass(3_000);
   t.is(await ready(a), '200 in_service', 'and back');
   const stopped = s.sim.stop(relay);
--- a/packages/trial/src/test/schema.test.ts
+++ b/packages/trial/src/test/schema.test.ts
@@ -2,7 +2,7 @@
 import { statusOf } from '@harecross/data';
 import { configFaults, FAULTS, Rpcs, visitFault, type Method } from '@harecross/schema';
 import { emit } from '@harecross/schema/openapi';
-import { faultInConfig } from '@harecross/kernel';
+import { findConfigError } from '@harecross/kernel';
 import test from 'ava';
 import { Errors } from 'typebox/value';
 import type { SimNode } from '../sim.js';
@@ -150,13 +150,13 @@
     client: '127.0.0.1:2',
     seeds: ['127.0.0.1:1', '127.0.0.1:3', '127.0.0.1:4'],
   };
-  t.is(faultInConfig(ok), undefined);
+  t.is(findConfigError(ok), undefined);
   t.snapshot({
-    missing: faultInConfig({ ...ok, domain: undefined }),
-    noSeeds: faultInConfig({ ...ok, seeds: [] }),
-    badIp: faultInConfig({ ...ok, peer: '999.0.0.1:1' }),
-    badPort: faultInConfig({ ...ok, peer: '127.0.0.1:70000' }),
-    unknownKey: faultInConfig({ ...ok, domian: 'b' }),
-    same: faultInConfig({ ...ok, client: ok.peer }),
+    missing: findConfigError({ ...ok, domain: undefined }),
+    noSeeds: findConfigError({ ...ok, seeds: [] }),
+    badIp: findConfigError({ ...ok, peer: '999.0.0.1:1' }),
+    badPort: findConfigError({ ...ok, peer: '127.0.0.1:70000' }),
+    unknownKey: findConfigError({ ...ok, domian: 'b' }),
+    same: findConfigError({ ...ok, client: ok.peer }),
   });
 });
--- a/packages/trial/src/test/trouble.test.ts
+++ b/packages/trial/src/test/trouble.test.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { sleep, type SyncedDatabase, type Log } from '@harecross/kernel';
 import test from 'ava';
-import { seeded, Sim } from '../sim.js';
+import { seededRandom, Sim } from '../sim.js';
 import { SimDisk } from '../sim-disk.js';
 import { DEPLOYMENTS } from '../trouble/deployment.js';
 import { playOf } from '../trouble/kinds.js';
@@ -44,7 +44,7 @@
     const tolerance = new Tolerance(sim.clock, deployment.losses, deployment.syncMs);
     const lostUntil = new Map<Machine, number>();
     let strikes = 0;
-    const random = seeded(7);
+    const random = seededRandom(7);
     const trouble = async (): Promise<void> => {
       await sleep(sim.clock, 20_000 * random.next());
       const claim = await tolerance.claim(() => stores, 1 + Math.floor(2 * random.next()), random);
@@ -69,7 +69,7 @@
 test('a loss of power takes only what was not synced, block by block or all of it', async (t) => {
   const root = mkdtempSync(join(tmpdir(), 'harecross-trouble-'));
   const sim = new Sim(3);
-  const random = seeded(3);
+  const random = seededRandom(3);
   let outcomes = { kept: 0, gone: 0 };
   let acknowledged = 0;
   let written = 0;
--- a/packages/trial/src/trouble/day.ts
+++ b/packages/trial/src/trouble/day.ts
@@ -1,7 +1,7 @@
 /** A simulated run with a schedule of random faults, on the machines of a deployment. */
-import { play, weakSets, type Run, type Scenario, type Stage } from '../scenario.js';
-import { Marker } from '../actors.js';
-import { seeded } from '../sim.js';
+import { runScenario, weakReplicaSets, type ScenarioResult, type Scenario, type ScenarioContext } from '../scenario.js';
+import { MarkerChecker } from '../simulated-clients.js';
+import { seededRandom } from '../sim.js';
 import type { Deployment } from './deployment.js';
 import { deploymentSpecOf } from './deployment.js';
 import { playOf } from './kinds.js';
@@ -36,7 +36,7 @@
   const site = deploymentSpecOf(deployment);
   return {
     site,
-    forMs: FAULT_PHASE_MS,
+    faultPhaseMs: FAULT_PHASE_MS,
     opts: { files: true, delayMs: [0.5, 4], log },
     bounds: { wayMs: OBSERVATION_DELAY_MS, timed: true, inForceMs: deployment.applyMs },
     machines: async (sim) => {
@@ -48,7 +48,7 @@
       return { stores: nodes('store'), relays, disks: machines.counted().map((machine) => machine.main) };
     },
     first: (scenario) => {
-      parts.operators = new PlatformOperators(scenario.world, parts.machines!, site);
+      parts.operators = new PlatformOperators(scenario.clientContext, parts.machines!, site);
       // The run reads the newest configuration at its end; on the platform, operators read it from a core machine.
       scenario.crowd.operator = parts.operators.operator;
       return parts.operators.change();
@@ -58,7 +58,7 @@
 }
 
 async function injectFaults(
-  scenario: Stage,
+  scenario: ScenarioContext,
   machines: Machines,
   operators: PlatformOperators,
   faults: readonly Trouble[],
@@ -69,7 +69,7 @@
     machines,
     operators,
     tolerance: new Tolerance(machines.sim.clock, losses, syncMs, () => {
-      const { broken, thin } = weakSets(machines.sim, losses);
+      const { broken, thin } = weakReplicaSets(machines.sim, losses);
       if (broken.length) scenario.note(`without a majority already: ${broken.join(', ')}`);
       else if (thin.length) scenario.note(`do not bear the declared losses yet: ${thin.join(', ')}`);
     }),
@@ -78,7 +78,7 @@
   await Promise.all(
     faults.map(async (fault) => {
       await pause(context, fault.at);
-      await playOf(fault.kind)(context, fault, seeded(fault.pick));
+      await playOf(fault.kind)(context, fault, seededRandom(fault.pick));
     }),
   );
   while (context.tolerance.count() > 0) await pause(context, 500);
@@ -92,22 +92,26 @@
 
 /** After the last fault every replica set has its majority again and can lose as many members as declared, and clients are served. */
 function checkRecovered(context: FaultContext): void {
-  const { broken, thin } = weakSets(context.machines.sim, context.machines.deployment.losses);
-  if (broken.length) context.scenario.wrong('lost', `no majority is left of ${broken.join(', ')}`);
-  else if (thin.length) context.scenario.wrong('lost', `the next loss would end the majority of ${thin.join(', ')}`);
-  const { seen } = context.scenario.world.journal;
+  const { broken, thin } = weakReplicaSets(context.machines.sim, context.machines.deployment.losses);
+  if (broken.length) context.scenario.reportViolation('lost', `no majority is left of ${broken.join(', ')}`);
+  else if (thin.length)
+    context.scenario.reportViolation('lost', `the next loss would end the majority of ${thin.join(', ')}`);
+  const { seen } = context.scenario.clientContext.journal;
   const since = context.machines.sim.now - SERVED_WINDOW_MS;
   const answers = seen.filter(
     (event) => event.k === 'pub.answer' && event.t > since && !event.topic.startsWith('mark/'),
   );
   const accepted = answers.filter((event) => event.k === 'pub.answer' && event.out === 'accepted').length;
   if (accepted < answers.length * SERVED_SHARE || !accepted)
-    context.scenario.wrong('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
+    context.scenario.reportViolation(
+      'served',
+      `${accepted} of ${answers.length} publishes were accepted at the end of the day`,
+    );
 }
 
 /** Polls marker topics on every relay during the whole run, to see which configuration it serves by. */
-function pollMarkers(scenario: Stage, operators: PlatformOperators): { stop(): void } {
-  const marker = new Marker(scenario.world, MARKER_POLL_MS);
+function pollMarkers(scenario: ScenarioContext, operators: PlatformOperators): { stop(): void } {
+  const marker = new MarkerChecker(scenario.clientContext, MARKER_POLL_MS);
   marker.start(scenario.relays.map((node) => node.config.client));
   let on = true;
   const follow = (): void => {
@@ -128,6 +132,11 @@
  * @example
  * const run = await runFaultSchedule(7, DEPLOYMENTS.get('sss-control')!, drawSchedule(7, 6));
  */
-export function playDay(seed: number, deployment: Deployment, faults: readonly Trouble[], log = false): Promise<Run> {
-  return play(seed, scenarioOf(deployment, faults, log));
+export function playDay(
+  seed: number,
+  deployment: Deployment,
+  faults: readonly Trouble[],
+  log = false,
+): Promise<ScenarioResult> {
+  return runScenario(seed, scenarioOf(deployment, faults, log));
 }
--- a/packages/trial/src/trouble/deployment.ts
+++ b/packages/trial/src/trouble/deployment.ts
@@ -1,5 +1,5 @@
 /** The deployments under test: numbers of machines and the platform's timers, with fewer clients than in production. */
-import type { Site } from '../scenario.js';
+import type { DeploymentSpec } from '../scenario.js';
 
 /** A deployment: its machines, how many of them may be lost at once, and the platform's timers. */
 export interface Deployment {
@@ -84,7 +84,7 @@
 export const lightOf = (deployment: Deployment): Deployment => ({ ...deployment, accessCount: 1, consumers: 6 });
 
 /** Topics and message rates of a run: enough to show faults in a small fleet. */
-export function deploymentSpecOf(deployment: Deployment): Site {
+export function deploymentSpecOf(deployment: Deployment): DeploymentSpec {
   return {
     name: deployment.name,
     domains: deployment.zones,
@@ -93,8 +93,16 @@
     stores: deployment.storeCount,
     consumers: deployment.consumers,
     families: [
-      { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', perS: 14, memoryS: 35, patienceMs: 3_000 },
-      { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', perS: 6, memoryS: 25, patienceMs: 2_000 },
+      {
+        name: 'routine',
+        prefix: 'r/',
+        topics: 24,
+        urgency: 'routine',
+        messagesPerS: 14,
+        memoryS: 35,
+        patienceMs: 3_000,
+      },
+      { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', messagesPerS: 6, memoryS: 25, patienceMs: 2_000 },
     ],
   };
 }
--- a/packages/trial/src/trouble/loss-kinds.ts
+++ b/packages/trial/src/trouble/loss-kinds.ts
@@ -116,7 +116,7 @@
     if (fault.how.includes('kill_all')) context.machines.kill(machine);
     else context.machines.powerOff(machine);
   }
-  context.scenario.world.journal.add({ k: 'closing' });
+  context.scenario.clientContext.journal.add({ k: 'closing' });
   await restartAfter(context, [...unpowered, ...(victims?.machines ?? [])], fault.forMs);
   await pause(context, RECOVERY_MS);
   victims?.back();
--- a/packages/trial/src/trouble/machine-kinds.ts
+++ b/packages/trial/src/trouble/machine-kinds.ts
@@ -57,9 +57,9 @@
   if (!victims) return;
   note(context, 'slow', victims.machines);
   const nodes = victims.machines.flatMap((machine) => machine.nodes);
-  for (const node of nodes) node.slowMs = SLOW_EXTRA_MS;
+  for (const node of nodes) node.maxExtraDelayMs = SLOW_EXTRA_MS;
   await pause(context, fault.forMs);
-  for (const node of nodes) node.slowMs = 0;
+  for (const node of nodes) node.maxExtraDelayMs = 0;
   note(context, 'quick again', victims.machines);
   victims.back();
 };
@@ -106,9 +106,9 @@
   const nodes = randomSample(random, context.machines.of(fault.on), fault.count).flatMap((machine) => machine.nodes);
   const by = fault.how.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
   context.scenario.note(`the time of day jumps by ${by} ms on ${nodes.map((node) => node.name).join(' ')}`);
-  for (const node of nodes) node.stepMs += by;
+  for (const node of nodes) node.wallStepMs += by;
   await pause(context, fault.forMs);
-  for (const node of nodes) node.stepMs -= by;
+  for (const node of nodes) node.wallStepMs -= by;
 };
 
 const addNodes: FaultAction = async (context, fault) => {
--- a/packages/trial/src/trouble/machines.ts
+++ b/packages/trial/src/trouble/machines.ts
@@ -219,7 +219,7 @@
       this.coreLists.push({ at: this.sim.now, core });
       for (const machine of this.all)
         for (const node of machine.nodes) {
-          if (node.up || machine.held || machine.removed || !node.life) {
+          if (node.up || machine.held || machine.removed || !node.incarnation) {
             endedAt.delete(node);
             continue;
           }
--- a/packages/trial/src/trouble/network-kinds.ts
+++ b/packages/trial/src/trouble/network-kinds.ts
@@ -84,10 +84,10 @@
   const until = clock.now() + fault.forMs;
   const nodes = victims.machines.map((machine) => machine.main);
   for (let left = fault.forMs; left > 0; left = until - clock.now()) {
-    for (const node of nodes) node.stallMs = [left, left];
+    for (const node of nodes) node.syncStallMs = [left, left];
     await pause(context, Math.min(left, 50));
   }
-  for (const node of nodes) node.stallMs = undefined;
+  for (const node of nodes) node.syncStallMs = undefined;
   victims.back();
 };
 
--- a/packages/trial/src/trouble/orders.ts
+++ b/packages/trial/src/trouble/orders.ts
@@ -1,7 +1,7 @@
 /** The platform's operators: they call the core machines of a list that lags, and their acknowledgements may be lost. */
 import type { FleetConfig } from '@harecross/schema';
-import { Operator, type Way, type World } from '../actors.js';
-import { configOf, type Site } from '../scenario.js';
+import { Operator, type ClientTransport, type ClientContext } from '../simulated-clients.js';
+import { fleetConfigOf, type DeploymentSpec } from '../scenario.js';
 import type { Machine, Machines } from './machines.js';
 
 /** Revisions are assigned in steps, so that an unused lower one can be sent later. */
@@ -31,23 +31,28 @@
   lastRead?: MachineAnswer;
   private revision = 0;
   private waiters: ((answer: MachineAnswer) => void)[] = [];
-  private readonly transport: Way;
+  private readonly transport: ClientTransport;
 
   constructor(
-    private readonly world: World,
+    private readonly world: ClientContext,
     private readonly machines: Machines,
-    private readonly site: Site,
+    private readonly site: DeploymentSpec,
   ) {
     this.transport = {
-      ...world.way,
+      ...world.clientTransport,
       nodes: () => machines.listedCoreMachines().map((m) => m.main.config.client),
       visit: (node, method, body, timeoutMs) => this.visit(node, method, body, timeoutMs),
     };
-    this.operator = new Operator({ ...world, way: this.transport }, 'op');
+    this.operator = new Operator({ ...world, clientTransport: this.transport }, 'op');
   }
 
-  private async visit(node: string, method: string, body: unknown, timeoutMs: number): ReturnType<Way['visit']> {
-    const answer = await this.world.way.visit(node, method, body, timeoutMs);
+  private async visit(
+    node: string,
+    method: string,
+    body: unknown,
+    timeoutMs: number,
+  ): ReturnType<ClientTransport['visit']> {
+    const answer = await this.world.clientTransport.visit(node, method, body, timeoutMs);
     const machine = this.machines.machineOfClient(node);
     if (!machine || answer?.status !== 200) return answer;
     const seen = { machine, at: this.world.clock.now() };
@@ -68,7 +73,7 @@
   /** A configuration with all topics of the deployment and a new marker topic. */
   private nextConfig(kind: ChangeKind): FleetConfig {
     const mark = ++this.mark;
-    const { families } = configOf(this.site);
+    const { families } = fleetConfigOf(this.site);
     const varied = families.map((family) =>
       kind === 'timeout' ? { ...family, patienceMs: family.patienceMs + mark } : family,
     );
@@ -103,14 +108,14 @@
   private operatorStartingAt(machine: Machine, tries: number): Operator {
     let left = tries;
     const nodes = (): string[] => (left-- > 0 ? [machine.main.config.client] : this.transport.nodes());
-    return new Operator({ ...this.world, way: { ...this.transport, nodes } }, 'op');
+    return new Operator({ ...this.world, clientTransport: { ...this.transport, nodes } }, 'op');
   }
 
   /** Submits a configuration that must not come into force; `how` as in the platform's `bad_config`. */
   async submitInvalid(how: string): Promise<void> {
     if (how === 'old_version') {
       const revision = this.revision - 1 - Math.floor(this.world.random.next() * (REVISION_STEP - 2));
-      await this.operator.revise(revision, configOf(this.site), true, { revision });
+      await this.operator.revise(revision, fleetConfigOf(this.site), true, { revision });
       return;
     }
     this.revision += REVISION_STEP;
@@ -120,8 +125,8 @@
 }
 
 /** A configuration that every node must reject. */
-function invalidConfig(how: string, site: Site): unknown {
-  const { families } = configOf(site);
+function invalidConfig(how: string, site: DeploymentSpec): unknown {
+  const { families } = fleetConfigOf(site);
   switch (how) {
     case 'no_timeout':
       return { families: families.map(({ patienceMs: _patience, ...family }) => family) };
--- a/packages/trial/src/trouble/schedule.ts
+++ b/packages/trial/src/trouble/schedule.ts
@@ -1,5 +1,5 @@
 /** Fault schedules: drawn from a seed, printed as one line, and parsed again for a replay. */
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 /** Classes of machines that a fault can affect. */
 export const CLASSES = ['core', 'store', 'access'] as const;
@@ -151,7 +151,7 @@
  * drawSchedule(7, 6)
  */
 export function drawSchedule(seed: number, count: number, only?: readonly KindName[]): Trouble[] {
-  const random = seeded(seed ^ 0x7d0b1e);
+  const random = seededRandom(seed ^ 0x7d0b1e);
   const kinds = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
   const faults = Array.from({ length: count }, () =>
     drawFault(randomElement(random, kinds), FAULT_PHASE_MS * random.next(), random),
--- a/packages/trial/src/trouble/stage.ts
+++ b/packages/trial/src/trouble/stage.ts
@@ -1,6 +1,6 @@
 /** The context in which the actions of scheduled faults run. */
 import { randomSample, sleep, type RandomSource } from '@harecross/kernel';
-import type { Stage } from '../scenario.js';
+import type { ScenarioContext } from '../scenario.js';
 import type { Machine, Machines } from './machines.js';
 import type { PlatformOperators } from './orders.js';
 import type { MachineClass, Trouble } from './schedule.js';
@@ -8,7 +8,7 @@
 
 /** The context of a run with scheduled faults. */
 export interface FaultContext {
-  scenario: Stage;
+  scenario: ScenarioContext;
   machines: Machines;
   operators: PlatformOperators;
   tolerance: Tolerance;
@@ -56,7 +56,7 @@
   on: MachineClass,
   random: RandomSource,
 ): Promise<Machine | undefined> {
-  const { seen } = context.scenario.world.journal;
+  const { seen } = context.scenario.clientContext.journal;
   const from = seen.length;
   const accepted = (): boolean => seen.slice(from).some((x) => x.k === 'pub.answer' && x.out === 'accepted');
   for (let i = 0; i < ACCEPT_POLLS && !accepted(); i++) await pause(context, ACCEPT_POLL_MS);
