--- a/packages/trial/src/day.ts
+++ b/packages/trial/src/day.ts
@@ -9,7 +9,7 @@
 import { Fleet, type NodeProcess } from './process-fleet.js';
 import { Journal } from './journal.js';
 import type { LinkProxy } from './link-proxy.js';
-import { judge, recovery, SETTLE_MS, TIMELESS_RULES } from './oracle.js';
+import { checkJournal, recoveryTimes, SETTLE_MS, TIMING_INDEPENDENT_RULES } from './oracle.js';
 import { fleetConfigOf, createClients, DUNARE, SINE_SALOUM, SMALL, type DeploymentSpec } from './scenario.js';
 import { seededRandom } from './sim.js';
 
@@ -392,10 +392,10 @@
 await cr.operator.read(true);
 journal.add({ k: 'end' });
 
-const bad = judge(journal.seen, { wayMs: 1_500, timed: a.timed, inForceMs: 3_000 }).filter(
-  (v) => a.timed || TIMELESS_RULES.includes(v.rule),
+const bad = checkJournal(journal.seen, { observationDelayMs: 1_500, timed: a.timed, configInForceMs: 3_000 }).filter(
+  (v) => a.timed || TIMING_INDEPENDENT_RULES.includes(v.rule),
 );
-const back = recovery(journal.seen);
+const back = recoveryTimes(journal.seen);
 if (back)
   say(
     `after the closing fault a quarter and nine tenths were back after ${back.accepted.quarterMs}/${back.accepted.mostMs} ms accepted, ${back.delivered.quarterMs}/${back.delivered.mostMs} ms delivered`,
--- a/packages/trial/src/faults.ts
+++ b/packages/trial/src/faults.ts
@@ -8,7 +8,7 @@
 import type { Scenario } from './scenario.js';
 
 /** All fault scenarios, by the name that the sweep takes. */
-export const SCENARIOS = new Map<string, Scenario>([
+export const FAULT_SCENARIOS = new Map<string, Scenario>([
   ...MACHINE_FAULTS,
   ...DISK_FAULTS,
   ...NETWORK_FAULTS,
--- a/packages/trial/src/hunt.ts
+++ b/packages/trial/src/hunt.ts
@@ -3,10 +3,10 @@
 import { fileURLToPath } from 'node:url';
 import yargs from 'yargs';
 import type { ScenarioResult } from './scenario.js';
-import { playDay } from './trouble/day.js';
-import { DEPLOYMENTS, lightOf } from './trouble/deployment.js';
-import { drawSchedule, KIND_NAMES, readSchedule, showSchedule, type Trouble } from './trouble/schedule.js';
-import { shrink } from './trouble/shrink.js';
+import { runFaultSchedule } from './trouble/fault-run.js';
+import { DEPLOYMENTS, withFewClients } from './trouble/deployment.js';
+import { drawSchedule, FAULT_KINDS, parseSchedule, formatSchedule, type ScheduledFault } from './trouble/schedule.js';
+import { shrinkSchedule } from './trouble/shrink.js';
 
 const options = yargs(process.argv.slice(2))
   .scriptName('hunt')
@@ -23,7 +23,7 @@
   .option('troubles', { type: 'number', default: 6, describe: 'number of faults in a schedule' })
   .option('kinds', {
     type: 'string',
-    describe: `comma-separated kinds of faults to draw from: ${KIND_NAMES.join(', ')}`,
+    describe: `comma-separated kinds of faults to draw from: ${FAULT_KINDS.join(', ')}`,
   })
   .option('schedule', { type: 'string', describe: 'run this schedule, in the form printed for a failing run' })
   .option('shrink', { type: 'boolean', default: true })
@@ -38,10 +38,10 @@
 /** Maximum number of violations printed for a failing run. */
 const MAX_PRINTED_VIOLATIONS = 6;
 
-function scheduleFor(seed: number): Trouble[] {
-  if (options.schedule !== undefined) return readSchedule(options.schedule);
+function scheduleFor(seed: number): ScheduledFault[] {
+  if (options.schedule !== undefined) return parseSchedule(options.schedule);
   const kinds = options.kinds?.split(',');
-  return drawSchedule(seed, options.troubles, kinds && KIND_NAMES.filter((name) => kinds.includes(name)));
+  return drawSchedule(seed, options.troubles, kinds && FAULT_KINDS.filter((name) => kinds.includes(name)));
 }
 
 /** The violated rules with their numbers of violations. */
@@ -54,27 +54,27 @@
 /** Runs one simulation and prints the result; false if it failed. */
 async function runOne(name: string, seed: number): Promise<boolean> {
   const full = DEPLOYMENTS.get(name)!;
-  const deployment = options.light ? lightOf(full) : full;
+  const deployment = options.light ? withFewClients(full) : full;
   const schedule = scheduleFor(seed);
   const startedAt = performance.now();
-  const run = await playDay(seed, deployment, schedule, options.log);
+  const run = await runFaultSchedule(seed, deployment, schedule, options.log);
   const tookS = ((performance.now() - startedAt) / 1000).toFixed(1);
   const accepted = run.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
   const tried = run.seen.filter((s) => s.k === 'pub.try').length;
   const verdict = run.violations.length ? `BAD ${describeViolations(run)}` : 'clean';
   const out = [`${name} seed ${seed}: ${accepted}/${tried} accepted, ${tookS} s: ${verdict}`];
   if (run.violations.length || options.notes) {
-    out.push(`  ${showSchedule(schedule)}`, ...run.notes.map((n) => `  ${n}`));
+    out.push(`  ${formatSchedule(schedule)}`, ...run.notes.map((n) => `  ${n}`));
     out.push(...run.violations.slice(0, MAX_PRINTED_VIOLATIONS).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
   }
   process.stdout.write(`${out.join('\n')}\n`);
   if (run.violations.length && options.shrink && schedule.length > 1) {
     const { rule } = run.violations[0]!;
-    const fewest = await shrink(schedule, async (subset) =>
-      (await playDay(seed, deployment, subset)).violations.some((v) => v.rule === rule),
+    const fewest = await shrinkSchedule(schedule, async (subset) =>
+      (await runFaultSchedule(seed, deployment, subset)).violations.some((v) => v.rule === rule),
     );
     process.stdout.write(
-      `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${showSchedule(fewest)}'\n`,
+      `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${formatSchedule(fewest)}'\n`,
     );
   }
   return run.violations.length === 0;
--- a/packages/trial/src/oracle/counts.ts
+++ b/packages/trial/src/oracle/counts.ts
@@ -1,5 +1,5 @@
 /** Listener counts: at least the lowest and at most the highest true number of listeners. */
-import { appendTo, type RunRecord } from './record.js';
+import { appendTo, type RunRecord } from './run-record.js';
 
 /** A count may be marked partial while a node is unhealthy, and for this long after the last change of the fleet. */
 const PARTIAL_MS = 12_000;
--- a/packages/trial/src/oracle/deliveries.ts
+++ b/packages/trial/src/oracle/deliveries.ts
@@ -1,6 +1,6 @@
 /** Deliveries: the sequence of offsets, missing and late messages, and what auditors read back from history. */
 import { isUrgent } from '@harecross/schema';
-import { CALM_MS, SETTLE_MS, messageId, type RunRecord } from './record.js';
+import { CALM_MS, SETTLE_MS, messageId, type RunRecord } from './run-record.js';
 
 /** Limits on the time from acceptance to delivery: without faults by urgency, and after a fault. */
 const DELIVERY_LIMIT_MS = { urgent: 600, routine: 1_200, fault: 8_000 } as const;
@@ -113,7 +113,7 @@
             record.fleetConditions.wasHealthy(node, from, to) && record.fleetConditions.shardsAvailable(from, to),
         ],
       ] as const) {
-        const to = from + limit + record.bounds.wayMs;
+        const to = from + limit + record.bounds.observationDelayMs;
         if ((receivedAt ?? Infinity) <= to || (subscription.endedAt ?? record.end) <= to || to >= record.end) continue;
         if (!ok(to) || record.fleetConditions.hadPoorLink(subscription.consumer, from, to)) continue;
         const how = receivedAt === undefined ? 'not at all' : `after ${Math.round(receivedAt - from)} ms`;
--- a/packages/trial/src/oracle/operators.ts
+++ b/packages/trial/src/oracle/operators.ts
@@ -1,6 +1,6 @@
 /** What operators were answered: no acknowledged change is lost, and reads return the newest configuration. */
 import type { FleetConfig } from '@harecross/schema';
-import { appendTo, type RunRecord, type EventOfKind } from './record.js';
+import { appendTo, type RunRecord, type EventOfKind } from './run-record.js';
 
 export function checkOperatorAnswers(record: RunRecord): void {
   for (const event of record.seen) {
--- a/packages/trial/src/oracle/publishes.ts
+++ b/packages/trial/src/oracle/publishes.ts
@@ -1,5 +1,5 @@
 /** What publishers were answered for each message, and whether it was stored and delivered. */
-import { CALM_MS, messageId, type RunRecord, type PublishRecord } from './record.js';
+import { CALM_MS, messageId, type RunRecord, type PublishRecord } from './run-record.js';
 
 /** The error tag that says that a sequence number was never accepted and never will be. */
 const FINAL_TAG = 'stale_seq';
--- a/packages/trial/src/oracle/recovery.ts
+++ b/packages/trial/src/oracle/recovery.ts
@@ -1,6 +1,6 @@
 /** Service after the last fault of a run (`closing`): whether the fleet serves again, and how soon. */
 import type { JournalEvent } from '../journal.js';
-import { appendTo, type RunRecord, type EventOfKind } from './record.js';
+import { appendTo, type RunRecord, type EventOfKind } from './run-record.js';
 
 export function checkRecovery(record: RunRecord): void {
   const closingFault = [...record.seen].reverse().find((event) => event.k === 'closing');
@@ -71,7 +71,7 @@
  * @example
  * recoveryTimes(journal.seen); // { accepted: { quarterMs: 900, mostMs: 2100 }, delivered: ... }
  */
-export function recovery(
+export function recoveryTimes(
   seen: readonly JournalEvent[],
 ): { accepted: { quarterMs: number; mostMs: number }; delivered: { quarterMs: number; mostMs: number } } | undefined {
   const closingFault = [...seen].reverse().find((event) => event.k === 'closing');
--- a/packages/trial/src/oracle/rules.ts
+++ b/packages/trial/src/oracle/rules.ts
@@ -29,7 +29,7 @@
 ] as const;
 export type Rule = (typeof RULES)[number];
 /** Rules that do not depend on timing: the only ones checked with real processes on a machine that runs other work too. */
-export const TIMELESS_RULES: readonly Rule[] = [
+export const TIMING_INDEPENDENT_RULES: readonly Rule[] = [
   'once',
   'order',
   'skipped',
@@ -51,11 +51,11 @@
 }
 
 /** Time limits of the checks, in ms. Network delay in the simulator is up to 40 ms; on a loaded machine answers take longer. */
-export interface Bounds {
+export interface CheckLimits {
   /** Added to every limit, for the time an answer takes to reach the observer. */
-  wayMs: number;
+  observationDelayMs: number;
   /** Whether limits on how long clients wait are checked: not with real processes on a shared machine. */
   timed: boolean;
   /** Time after its acknowledgement within which a configuration is in force on every node. */
-  inForceMs: number;
+  configInForceMs: number;
 }
--- a/packages/trial/src/oracle/record.ts
+++ b/packages/trial/src/oracle/run-record.ts
@@ -2,7 +2,7 @@
 import { familyOf, type FleetConfig } from '@harecross/schema';
 import type { JournalEvent } from '../journal.js';
 import { FleetConditions } from '../fleet-conditions.js';
-import type { Bounds, Rule, Violation } from './rules.js';
+import type { CheckLimits, Rule, Violation } from './rules.js';
 
 /** Time after the last fault and the last publish that suffices for every repair. */
 export const SETTLE_MS = 6_000;
@@ -89,7 +89,7 @@
 
   constructor(
     readonly seen: readonly JournalEvent[],
-    readonly bounds: Bounds,
+    readonly bounds: CheckLimits,
   ) {
     this.fleetConditions = new FleetConditions(seen);
     this.end = seen.find((event) => event.k === 'end')?.t ?? Infinity;
@@ -127,7 +127,7 @@
 
   /** Whether no family surely covered a topic: from `configInForceMs` (3 s in the simulator) after the answer until the next submitted configuration that has it. */
   isRemoved(topic: string, t: number): boolean {
-    const last = this.taken.filter((x) => x.t + this.bounds.inForceMs + this.bounds.wayMs < t).at(-1);
+    const last = this.taken.filter((x) => x.t + this.bounds.configInForceMs + this.bounds.observationDelayMs < t).at(-1);
     if (!last || familyOf(last.config, topic)) return false;
     return ![...this.submits.values()].some((event) => {
       const answer = this.definiteAnswers(event.changeId)[0];
@@ -149,14 +149,14 @@
       const isPresent = familyOf(x.config, topic) !== undefined;
       const current = windows.at(-1);
       if (!isPresent && wasPresent) windows.push({ from: x.submittedAt, to: Infinity });
-      else if (isPresent && current?.to === Infinity) current.to = x.t + this.bounds.inForceMs;
+      else if (isPresent && current?.to === Infinity) current.to = x.t + this.bounds.configInForceMs;
       wasPresent = isPresent;
     }
     for (const event of this.submits.values()) {
       if (!event.valid || familyOf(event.config as FleetConfig, topic)) continue;
       const answer = this.definiteAnswers(event.changeId)[0];
       if (!answer) windows.push({ from: event.t, to: Infinity });
-      else if (answer.out === 'overtaken') windows.push({ from: event.t, to: answer.t + this.bounds.inForceMs });
+      else if (answer.out === 'overtaken') windows.push({ from: event.t, to: answer.t + this.bounds.configInForceMs });
     }
     this.absencesByTopic.set(topic, windows);
     return windows;
--- a/packages/trial/src/oracle/in-force.ts
+++ b/packages/trial/src/oracle/served-config.ts
@@ -1,6 +1,6 @@
 /** Which configuration nodes serve by: what they report themselves, and what marker topics show. */
 import type { FleetConfig } from '@harecross/schema';
-import { appendTo, type RunRecord } from './record.js';
+import { appendTo, type RunRecord } from './run-record.js';
 
 /** A node that became healthy within this time may still be joining. */
 const JOIN_MS = 3_000;
@@ -10,7 +10,7 @@
   const reports = new Map<string, { t: number; version: number }[]>();
   for (const event of record.seen) {
     if (event.k !== 'node.says' && event.k !== 'node.silent') continue;
-    const dueConfig = record.taken.filter((accepted) => event.asked > accepted.t + record.bounds.inForceMs).at(-1);
+    const dueConfig = record.taken.filter((accepted) => event.asked > accepted.t + record.bounds.configInForceMs).at(-1);
     const isWell = record.fleetConditions.wasHealthy(event.node, event.asked - JOIN_MS, event.t);
     if (event.k === 'node.silent') {
       if (dueConfig && isWell)
@@ -65,7 +65,7 @@
           event.t,
           `${event.node}: ${observation} after version ${laterObservation.version} was at work there ${Math.round(event.asked - laterObservation.t)} ms before`,
         );
-      if (nextConfig && event.asked > nextConfig.t + record.bounds.inForceMs)
+      if (nextConfig && event.asked > nextConfig.t + record.bounds.configInForceMs)
         record.report(
           'config_late',
           event.t,
@@ -77,7 +77,7 @@
         observed.set(event.node, observations);
       }
     } else if (
-      event.asked > config.t + record.bounds.inForceMs &&
+      event.asked > config.t + record.bounds.configInForceMs &&
       event.t < Math.min(nextConfig?.submittedAt ?? Infinity, record.firstHigherRevisionAt(config))
     ) {
       record.report(
--- a/packages/trial/src/oracle/subscriptions.ts
+++ b/packages/trial/src/oracle/subscriptions.ts
@@ -6,7 +6,7 @@
   type SubscriptionRecord,
   type EventOfKind,
   type PublishRecord,
-} from './record.js';
+} from './run-record.js';
 
 /** Error tags of Subscribe after which nothing may be delivered. After any other error the subscription may exist all the same. */
 const REFUSED_TAGS = new Set(['unknown_topic', 'cursor_expired', 'cursor_ahead']);
@@ -108,7 +108,7 @@
           event.reason === 'topic_removed' &&
           !record
             .absences(event.topic)
-            .some((absence) => absence.from <= event.t && event.t <= absence.to + record.bounds.wayMs)
+            .some((absence) => absence.from <= event.t && event.t <= absence.to + record.bounds.observationDelayMs)
         ) {
           record.report(
             'lost',
--- a/packages/trial/src/oracle/waits.ts
+++ b/packages/trial/src/oracle/waiting-times.ts
@@ -1,5 +1,5 @@
 /** How long publishers wait, the retry times they are given, and the size limits of queues and history on nodes. */
-import { appendTo, type RunRecord, type EventOfKind } from './record.js';
+import { appendTo, type RunRecord, type EventOfKind } from './run-record.js';
 
 /**
  * Limit on the time until a publish is rejected: long enough to find out that no node serves the shard. `unknown_topic` is exempt:
@@ -39,7 +39,7 @@
       if (event.tag === 'no answer') {
         if (isWell)
           record.report('held', event.t, `${what} got no answer in ${Math.round(elapsedMs)} ms, and the node was well`);
-      } else if (isWell && elapsedMs > family.patienceMs + record.bounds.wayMs)
+      } else if (isWell && elapsedMs > family.patienceMs + record.bounds.observationDelayMs)
         record.report(
           'held',
           event.t,
@@ -49,7 +49,7 @@
         isWell &&
         event.out === 'rejected' &&
         event.tag !== 'unknown_topic' &&
-        elapsedMs > REJECT_MS + record.bounds.wayMs
+        elapsedMs > REJECT_MS + record.bounds.observationDelayMs
       )
         record.report('held', event.t, `${what} was rejected (${event.tag}) only after ${Math.round(elapsedMs)} ms`);
     }
--- a/packages/trial/src/scenario.ts
+++ b/packages/trial/src/scenario.ts
@@ -3,7 +3,7 @@
 import type { FleetConfig } from '@harecross/schema';
 import { audit, Consumer, Operator, PipelinedSender, Sender, type ClientContext } from './simulated-clients.js';
 import { Journal, type JournalEvent } from './journal.js';
-import { judge, SETTLE_MS, type Bounds, type Violation } from './oracle.js';
+import { checkJournal, SETTLE_MS, type CheckLimits, type Violation } from './oracle.js';
 import { seededRandom, Sim, type SimNode, type SimOptions } from './sim.js';
 
 /** Size and traffic of a deployment. */
@@ -231,7 +231,7 @@
   /** Applies the initial configuration; by default the operator submits that of the deployment. */
   first?: (stage: ScenarioContext) => Promise<unknown>;
   /** Limits that the oracle applies; by default those for simulated fleets. */
-  bounds?: Bounds;
+  bounds?: CheckLimits;
 }
 
 /** The nodes of a run by role; `disks` are all nodes with a disk. */
@@ -472,7 +472,7 @@
   observing = false;
   if (!(await runUntilSettled(clients.operator.read(true), 90_000))) notes.push('the last read was never answered');
   journal.add({ k: 'end' });
-  const violations = [...judge(journal.seen, scenario.bounds), ...reported];
+  const violations = [...checkJournal(journal.seen, scenario.bounds), ...reported];
   const counters = new Map<string, number>();
   for (const n of sim.nodes.values())
     for (const [k, v] of n.kernel?.counters ?? []) counters.set(k, (counters.get(k) ?? 0) + v);
--- a/packages/trial/src/soak.ts
+++ b/packages/trial/src/soak.ts
@@ -8,11 +8,11 @@
 import { audit, type ClientTransport, type ClientContext } from './simulated-clients.js';
 import { Fleet } from './process-fleet.js';
 import { Journal } from './journal.js';
-import { judge, SETTLE_MS, TIMELESS_RULES, type Violation } from './oracle.js';
+import { checkJournal, SETTLE_MS, TIMING_INDEPENDENT_RULES, type Violation } from './oracle.js';
 import { fleetConfigOf, createClients, SMALL, type DeploymentSpec } from './scenario.js';
 import { seededRandom } from './sim.js';
 import { drawSoak } from './soak/schedule.js';
-import { SOAK_LOSSES, SoakFaultInjector } from './soak/stage.js';
+import { SOAK_LOSSES, SoakFaultInjector } from './soak/fault-context.js';
 
 const options = yargs(process.argv.slice(2))
   .scriptName('soak')
@@ -96,9 +96,11 @@
   for (const consumer of consumers) consumer.stop();
   await fleet.close();
 
-  const violations = judge(journal.seen, { wayMs: OBSERVATION_DELAY_MS, timed: false, inForceMs: IN_FORCE_MS }).filter(
-    ({ rule }) => TIMELESS_RULES.includes(rule),
-  );
+  const violations = checkJournal(journal.seen, {
+    observationDelayMs: OBSERVATION_DELAY_MS,
+    timed: false,
+    configInForceMs: IN_FORCE_MS,
+  }).filter(({ rule }) => TIMING_INDEPENDENT_RULES.includes(rule));
   report(seed, entries.length, fleet, journal, audited, violations);
   for (const process of ended) consola.error(`ended by itself: ${process}`);
   writeFileSync(join(folder, 'journal.json'), journal.seen.map((seen) => JSON.stringify(seen)).join('\n'));
--- a/packages/trial/src/soak/stage.ts
+++ b/packages/trial/src/soak/fault-injector.ts
@@ -5,7 +5,7 @@
 import type { Fleet, NodeProcess } from '../process-fleet.js';
 import { fleetConfigOf, type DeploymentSpec } from '../scenario.js';
 import { seededRandom } from '../sim.js';
-import { Tolerance, type Claim, type Losable } from '../trouble/tolerance.js';
+import { LossBudget, type LossClaim, type Losable } from '../trouble/loss-budget.js';
 import type { SoakEntry, SoakKind } from './schedule.js';
 
 /** How many machines with a disk may be lost at once. */
@@ -42,7 +42,7 @@
 /** Injects faults into the fleet of a soak test. */
 export class SoakFaultInjector {
   private readonly machines: Machine[];
-  private readonly tolerance = new Tolerance<Machine>(realClock, SOAK_LOSSES, SYNC_MS);
+  private readonly lossBudget = new LossBudget<Machine>(realClock, SOAK_LOSSES, SYNC_MS);
   private readonly actionByKind: Record<SoakKind, Action>;
   private changeCount = 0;
 
@@ -82,7 +82,7 @@
     what: string,
     act: (proc: NodeProcess) => Promise<void>,
   ): Promise<void> {
-    const claim = await this.tolerance.claim(() => this.candidates(), 1, random);
+    const claim = await this.lossBudget.claim(() => this.candidates(), 1, random);
     if (!claim) return;
     await this.applyToClaim(claim, what, act);
     claim.back();
@@ -96,7 +96,7 @@
   }
 
   private async applyToClaim(
-    claim: Claim<Machine>,
+    claim: LossClaim<Machine>,
     what: string,
     act: (proc: NodeProcess) => Promise<void>,
   ): Promise<void> {
@@ -129,7 +129,7 @@
 
   private async wipe(random: RandomSource): Promise<void> {
     const stores = (): Machine[] => this.candidates().filter((machine) => machine.counted);
-    const claim = await this.tolerance.claim(stores, 1, random);
+    const claim = await this.lossBudget.claim(stores, 1, random);
     if (!claim) return;
     await this.applyToClaim(claim, 'disk lost:', async (proc) => {
       await this.fleet.kill(proc);
@@ -171,14 +171,14 @@
   /** Planned replacement of a store: its successor is added first; once that no longer counts as lost, the old one is removed for good. */
   private async replace(random: RandomSource): Promise<void> {
     const stores = (): Machine[] => this.candidates().filter((machine) => machine.proc.role === 'store');
-    const claim = await this.tolerance.claim(stores, 1, random);
+    const claim = await this.lossBudget.claim(stores, 1, random);
     if (!claim) return;
     const [old] = claim.machines as [Machine];
     old.affected = true;
     const successor = await this.addLike(old.proc);
     await waitUntilAnswering(successor.proc);
     successor.affected = false;
-    claim.succeeded(successor);
+    claim.replacedBy(successor);
     await sleep(realClock, SYNC_MS + randomInt(random, SYNC_MS));
     this.say(`${old.proc.name} goes for good`);
     old.removed = true;
--- a/packages/trial/src/sweep.ts
+++ b/packages/trial/src/sweep.ts
@@ -1,7 +1,7 @@
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
-import { SCENARIOS } from './faults.js';
-import { recovery } from './oracle.js';
+import { FAULT_SCENARIOS } from './faults.js';
+import { recoveryTimes } from './oracle.js';
 import {
   DUNARE,
   runScenario,
@@ -74,7 +74,7 @@
     const steps = all.filter((_, i) => !keep || keep.includes(i));
     return { scenario: scheduleScenario(steps, fullSite), steps };
   }
-  const scenario = SCENARIOS.get(name)!;
+  const scenario = FAULT_SCENARIOS.get(name)!;
   return {
     scenario: { ...scenario, ...(fullSite ? { site: fullSite } : {}), opts: { ...scenario.opts, log: options.log } },
   };
@@ -99,7 +99,7 @@
   const latencies = run.seen
     .flatMap((s) => (s.k === 'pub.answer' && s.out === 'accepted' ? [s.t - triedAt.get(s.try)!] : []))
     .sort((x, y) => x - y);
-  const recovered = recovery(run.seen);
+  const recovered = recoveryTimes(run.seen);
   let out = `${label}: ${accepted}/${countOf('pub.try')} accepted, ${countOf('deliver')} delivered, ${countOf('conn.open')} conns, ${run.sim.events} events, accept p50/p99 ${quantile(latencies, 0.5)}/${quantile(latencies, 0.99)} ms, `;
   if (recovered)
     out += `back after ${recovered.accepted.quarterMs}/${recovered.accepted.mostMs} accepted and ${recovered.delivered.quarterMs}/${recovered.delivered.mostMs} delivered ms, `;
@@ -137,12 +137,12 @@
   const [site, name, seed] = options.run.split('/') as [string, string, string];
   process.exit((await runOne(name, site, Number(seed))) ? 0 : 1);
 }
-let names = options.only ? options.only.split(',') : [...SCENARIOS.keys()];
+let names = options.only ? options.only.split(',') : [...FAULT_SCENARIOS.keys()];
 if (options.storm !== undefined) names = ['storm'];
 if (options.pairs) names = ['pair'];
 for (const n of names) {
-  if (!SCENARIOS.has(n) && n !== 'pair' && n !== 'storm') {
-    process.stderr.write(`no scenario ${n}; there are: ${[...SCENARIOS.keys()].join(', ')}\n`);
+  if (!FAULT_SCENARIOS.has(n) && n !== 'pair' && n !== 'storm') {
+    process.stderr.write(`no scenario ${n}; there are: ${[...FAULT_SCENARIOS.keys()].join(', ')}\n`);
     process.exit(2);
   }
 }
--- a/packages/trial/src/test/fault-tests.ts
+++ b/packages/trial/src/test/fault-tests.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { SCENARIOS } from '../faults.js';
+import { FAULT_SCENARIOS } from '../faults.js';
 import { runScenario } from '../scenario.js';
 
 /** Seeds every change must pass; failures found by wider sweeps are added here with their scenario. */
@@ -20,7 +20,7 @@
 
 /** Runs every n-th scenario; each test file is a process of its own. */
 export function faultTests(part: number, parts: number): void {
-  [...SCENARIOS].forEach(([name, sc], i) => {
+  [...FAULT_SCENARIOS].forEach(([name, sc], i) => {
     if (i % parts !== part) return;
     for (const seed of new Set([...SEEDS, ...(FOUND.get(name) ?? [])])) {
       test.serial(`${name}, seed ${seed}`, async (t) => {
--- a/packages/trial/src/test/oracle.test.ts
+++ b/packages/trial/src/test/oracle.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { SCENARIOS } from '../faults.js';
+import { FAULT_SCENARIOS } from '../faults.js';
 import type { JournalEvent } from '../journal.js';
-import { judge, RULES, type Rule } from '../oracle.js';
+import { checkJournal, RULES, type Rule } from '../oracle.js';
 import { fleetConfigOf, runScenario, SMALL } from '../scenario.js';
 
 type Of<K extends JournalEvent['k']> = Extract<JournalEvent, { k: K }>;
@@ -11,8 +11,8 @@
 const run = runScenario(SEED, {
   faultPhaseMs: 60_000,
   faults: async (s) => {
-    await SCENARIOS.get('churn')!.faults(s);
-    await SCENARIOS.get('late-change')!.faults(s);
+    await FAULT_SCENARIOS.get('churn')!.faults(s);
+    await FAULT_SCENARIOS.get('late-change')!.faults(s);
     await s.crowd.operator.submit('broken', { families: 3 }, false);
     s.clientContext.journal.add({ k: 'closing' });
     await new Promise<void>((r) => {
@@ -561,7 +561,7 @@
 for (const [what, rule, lie] of sharper) {
   test(`the oracle sees a lie: ${what}`, async (t) => {
     const l = await clean;
-    const told = judge(lie(l));
+    const told = checkJournal(lie(l));
     if (process.env.OLD_JUDGE) {
       const old = await import(process.env.OLD_JUDGE);
       t.log(
@@ -582,7 +582,7 @@
 
 for (const rule of RULES) {
   test(`the oracle sees a lie about: ${rule}`, async (t) => {
-    const told = judge(lies[rule](await clean));
+    const told = checkJournal(lies[rule](await clean));
     t.true(
       told.some((v) => v.rule === rule),
       `got ${[...new Set(told.map((v) => v.rule))].join(', ') || 'nothing'}`,
--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -16,7 +16,7 @@
 import { SHARD, SyncedDatabase, HarecrossError } from '@harecross/kernel';
 import { senderKey, DurableState } from '@harecross/state';
 import test from 'ava';
-import { SCENARIOS } from '../faults.js';
+import { FAULT_SCENARIOS } from '../faults.js';
 import type { Rule } from '../oracle.js';
 import { runScenario, type Scenario } from '../scenario.js';
 
@@ -45,7 +45,7 @@
   }
   return out;
 }
-const of = (name: string): Scenario => SCENARIOS.get(name)!;
+const of = (name: string): Scenario => FAULT_SCENARIOS.get(name)!;
 
 interface Plant {
   what: string;
--- a/packages/trial/src/trouble/deployment.ts
+++ b/packages/trial/src/trouble/deployment.ts
@@ -13,7 +13,7 @@
   /** How many machines with a disk may be lost at once while all rules must hold. */
   losses: number;
   /** A machine counts as lost for this long after its return: the time that repair may take. */
-  syncMs: number;
+  repairMs: number;
   applyMs: number;
   /** Delay with which changes appear in the operator's list of machines. */
   seedDelayMs: number;
@@ -24,8 +24,8 @@
   consumers: number;
 }
 
-const SMALL = { losses: 1, syncMs: 4_000, applyMs: 3_000, seedDelayMs: 3_000, contactMs: 4_000, consumers: 24 };
-const GROWN = { losses: 2, syncMs: 6_000, applyMs: 4_000, seedDelayMs: 3_000, contactMs: 5_000, consumers: 36 };
+const SMALL = { losses: 1, repairMs: 4_000, applyMs: 3_000, seedDelayMs: 3_000, contactMs: 4_000, consumers: 24 };
+const GROWN = { losses: 2, repairMs: 6_000, applyMs: 4_000, seedDelayMs: 3_000, contactMs: 5_000, consumers: 36 };
 const SINE_SALOUM = ['fatick', 'kaffrine', 'foundiougne'];
 const DANUBE = ['galati', 'braila', 'tulcea', 'calarasi'];
 
@@ -81,7 +81,7 @@
 );
 
 /** The same deployment with few clients and access machines, for runs about faults of core and store machines. */
-export const lightOf = (deployment: Deployment): Deployment => ({ ...deployment, accessCount: 1, consumers: 6 });
+export const withFewClients = (deployment: Deployment): Deployment => ({ ...deployment, accessCount: 1, consumers: 6 });
 
 /** Topics and message rates of a run: enough to show faults in a small fleet. */
 export function deploymentSpecOf(deployment: Deployment): DeploymentSpec {
--- a/packages/trial/src/trouble/stage.ts
+++ b/packages/trial/src/trouble/fault-context.ts
@@ -1,21 +1,21 @@
 /** The context in which the actions of scheduled faults run. */
 import { randomSample, sleep, type RandomSource } from '@harecross/kernel';
 import type { ScenarioContext } from '../scenario.js';
-import type { Machine, Machines } from './machines.js';
-import type { PlatformOperators } from './orders.js';
-import type { MachineClass, Trouble } from './schedule.js';
-import type { Claim, Tolerance } from './tolerance.js';
+import type { Machine, MachineFleet } from './machine-fleet.js';
+import type { PlatformOperators } from './platform-operators.js';
+import type { MachineClass, ScheduledFault } from './schedule.js';
+import type { LossClaim, LossBudget } from './loss-budget.js';
 
 /** The context of a run with scheduled faults. */
 export interface FaultContext {
   scenario: ScenarioContext;
-  machines: Machines;
+  machines: MachineFleet;
   operators: PlatformOperators;
-  tolerance: Tolerance;
+  lossBudget: LossBudget;
 }
 
 /** Injects one fault; resolves when it is over and its victims are back or replaced. */
-export type FaultAction = (context: FaultContext, fault: Trouble, random: RandomSource) => Promise<void>;
+export type FaultAction = (context: FaultContext, fault: ScheduledFault, random: RandomSource) => Promise<void>;
 
 export const pause = (context: FaultContext, ms: number): Promise<void> => sleep(context.machines.sim.clock, ms);
 
@@ -25,9 +25,9 @@
 }
 
 /** The machines that the modifiers of a fault name, or all of its class. */
-export function candidates(context: FaultContext, fault: Trouble): Machine[] {
-  const all = context.machines.of(fault.on);
-  const hasModifier = (name: string): boolean => fault.how.includes(name);
+export function candidates(context: FaultContext, fault: ScheduledFault): Machine[] {
+  const all = context.machines.ofClass(fault.on);
+  const hasModifier = (name: string): boolean => fault.modifiers.includes(name);
   const named: (Machine | undefined)[] = [];
   if (hasModifier('leader')) named.push(context.operators.lastAck?.machine);
   if (hasModifier('reader')) named.push(context.operators.lastRead?.machine);
@@ -39,10 +39,10 @@
 /** Claims the victims of a fault; undefined if no losses were allowed until the timeout. */
 export async function claimVictims(
   context: FaultContext,
-  fault: Trouble,
+  fault: ScheduledFault,
   random: RandomSource,
-): Promise<Claim | undefined> {
-  const claimed = await context.tolerance.claim(() => candidates(context, fault), fault.count, random);
+): Promise<LossClaim | undefined> {
+  const claimed = await context.lossBudget.claim(() => candidates(context, fault), fault.count, random);
   if (!claimed) note(context, `no turn for ${fault.kind}`);
   return claimed;
 }
@@ -63,14 +63,14 @@
   const last = seen.slice(from).find((x) => x.k === 'pub.answer' && x.out === 'accepted');
   if (last?.k !== 'pub.answer') return undefined;
   const owners = context.machines
-    .of(on)
+    .ofClass(on)
     .filter(
       (machine) =>
         machine.isUp() &&
         machine.main.kernel?.has('owner') &&
         machine.main.kernel.use('owner').ownedShards().length > 0,
     );
-  return randomSample(random, owners, 1)[0] ?? randomSample(random, context.machines.of(on), 1)[0];
+  return randomSample(random, owners, 1)[0] ?? randomSample(random, context.machines.ofClass(on), 1)[0];
 }
 const ACCEPT_POLL_MS = 3;
 const ACCEPT_POLLS = 700;
--- a/packages/trial/src/trouble/day.ts
+++ b/packages/trial/src/trouble/fault-run.ts
@@ -4,12 +4,12 @@
 import { seededRandom } from '../sim.js';
 import type { Deployment } from './deployment.js';
 import { deploymentSpecOf } from './deployment.js';
-import { playOf } from './kinds.js';
-import { Machines } from './machines.js';
-import { PlatformOperators } from './orders.js';
-import type { Trouble } from './schedule.js';
-import { note, pause, type FaultContext } from './stage.js';
-import { Tolerance } from './tolerance.js';
+import { actionOf } from './fault-actions.js';
+import { MachineFleet } from './machine-fleet.js';
+import { PlatformOperators } from './platform-operators.js';
+import type { ScheduledFault } from './schedule.js';
+import { note, pause, type FaultContext } from './fault-context.js';
+import { LossBudget } from './loss-budget.js';
 
 /** Clocks of the machines differ by up to this much. */
 const SKEW_MS = 200;
@@ -26,24 +26,24 @@
 const OBSERVATION_DELAY_MS = 250;
 
 interface RunParts {
-  machines?: Machines;
+  machines?: MachineFleet;
   operators?: PlatformOperators;
 }
 
 /** The scenario that creates the machines of the deployment and injects the faults. */
-function scenarioOf(deployment: Deployment, faults: readonly Trouble[], log: boolean): Scenario {
+function scenarioOf(deployment: Deployment, faults: readonly ScheduledFault[], log: boolean): Scenario {
   const parts: RunParts = {};
   const site = deploymentSpecOf(deployment);
   return {
     site,
     faultPhaseMs: FAULT_PHASE_MS,
     opts: { files: true, delayMs: [0.5, 4], log },
-    bounds: { wayMs: OBSERVATION_DELAY_MS, timed: true, inForceMs: deployment.applyMs },
+    bounds: { observationDelayMs: OBSERVATION_DELAY_MS, timed: true, configInForceMs: deployment.applyMs },
     machines: async (sim) => {
-      const machines = new Machines(sim, deployment, SKEW_MS);
+      const machines = new MachineFleet(sim, deployment, SKEW_MS);
       parts.machines = machines;
       machines.startAll();
-      const nodes = (type: 'core' | 'store' | 'access') => machines.of(type).flatMap((machine) => machine.nodes);
+      const nodes = (type: 'core' | 'store' | 'access') => machines.ofClass(type).flatMap((machine) => machine.nodes);
       const relays = [...nodes('core'), ...nodes('access')].filter((node) => node.config.role === 'relay');
       return { stores: nodes('store'), relays, disks: machines.counted().map((machine) => machine.main) };
     },
@@ -59,16 +59,16 @@
 
 async function injectFaults(
   scenario: ScenarioContext,
-  machines: Machines,
+  machines: MachineFleet,
   operators: PlatformOperators,
-  faults: readonly Trouble[],
+  faults: readonly ScheduledFault[],
 ): Promise<void> {
-  const { losses, syncMs } = machines.deployment;
+  const { losses, repairMs: syncMs } = machines.deployment;
   const context: FaultContext = {
     scenario,
     machines,
     operators,
-    tolerance: new Tolerance(machines.sim.clock, losses, syncMs, () => {
+    lossBudget: new LossBudget(machines.sim.clock, losses, syncMs, () => {
       const { broken, thin } = weakReplicaSets(machines.sim, losses);
       if (broken.length) scenario.note(`without a majority already: ${broken.join(', ')}`);
       else if (thin.length) scenario.note(`do not bear the declared losses yet: ${thin.join(', ')}`);
@@ -78,10 +78,10 @@
   await Promise.all(
     faults.map(async (fault) => {
       await pause(context, fault.at);
-      await playOf(fault.kind)(context, fault, seededRandom(fault.pick));
+      await actionOf(fault.kind)(context, fault, seededRandom(fault.victimSeed));
     }),
   );
-  while (context.tolerance.count() > 0) await pause(context, 500);
+  while (context.lossBudget.count() > 0) await pause(context, 500);
   note(context, 'all troubles are over');
   await pause(context, QUIET_MS);
   checkRecovered(context);
@@ -132,10 +132,10 @@
  * @example
  * const run = await runFaultSchedule(7, DEPLOYMENTS.get('sss-control')!, drawSchedule(7, 6));
  */
-export function playDay(
+export function runFaultSchedule(
   seed: number,
   deployment: Deployment,
-  faults: readonly Trouble[],
+  faults: readonly ScheduledFault[],
   log = false,
 ): Promise<ScenarioResult> {
   return runScenario(seed, scenarioOf(deployment, faults, log));
--- a/packages/trial/src/trouble/tolerance.ts
+++ b/packages/trial/src/trouble/loss-budget.ts
@@ -1,6 +1,6 @@
 /** Keeps the number of lost machines within the declared losses: faults claim their victims here and wait until that is allowed. */
 import { sleep, randomSample, type Clock, type RandomSource } from '@harecross/kernel';
-import type { Machine } from './machines.js';
+import type { Machine } from './machine-fleet.js';
 
 /** Interval at which a waiting fault tries again ... */
 const POLL_MS = 100;
@@ -17,12 +17,12 @@
 }
 
 /** Victims that a fault may affect now. */
-export interface Claim<M extends Losable = Machine> {
+export interface LossClaim<M extends Losable = Machine> {
   machines: M[];
   /** The victims are back with their processes started. They count as lost for the time that repair may take. */
   back(): void;
   /** Another machine replaces one that was removed for good; it counts as lost instead for the time that repair may take. */
-  succeeded(by: M): void;
+  replacedBy(by: M): void;
 }
 
 /**
@@ -30,7 +30,7 @@
  * @example
  * const claim = await lossBudget.claim(() => stores, 1, random); ...; claim?.back();
  */
-export class Tolerance<M extends Losable = Machine> {
+export class LossBudget<M extends Losable = Machine> {
   private lost = new Set<M>();
   private repairingUntil = new Map<M, number>();
   /** Whether a fault of all machines is active; meanwhile no other fault may claim victims. */
@@ -58,7 +58,7 @@
   }
 
   /** Claims up to `count` of these machines that may be lost together; undefined if that was not allowed until the timeout. */
-  async claim(machines: () => readonly M[], count: number, random: RandomSource): Promise<Claim<M> | undefined> {
+  async claim(machines: () => readonly M[], count: number, random: RandomSource): Promise<LossClaim<M> | undefined> {
     for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, POLL_MS)) {
       if (this.exclusive) continue;
       const lost = this.count();
@@ -72,7 +72,7 @@
   }
 
   /** Claims all of these machines once none is lost, for faults that keep the disks. Until their return no other fault can claim victims. */
-  async claimAll(machines: () => readonly M[]): Promise<Claim<M> | undefined> {
+  async claimAll(machines: () => readonly M[]): Promise<LossClaim<M> | undefined> {
     for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, POLL_MS)) {
       if (this.exclusive) continue;
       if (this.count() || this.lost.size) continue;
@@ -89,7 +89,7 @@
     return undefined;
   }
 
-  private taken(machines: M[]): Claim<M> {
+  private taken(machines: M[]): LossClaim<M> {
     if (machines.some((machine) => machine.counted)) this.onClaim(machines);
     for (const machine of machines) this.lost.add(machine);
     const release = (): void => {
@@ -102,7 +102,7 @@
         release();
         for (const machine of machines) this.repairingUntil.set(machine, until());
       },
-      succeeded: (by) => {
+      replacedBy: (by) => {
         release();
         this.repairingUntil.set(by, until());
       },
--- a/packages/trial/src/trouble/machines.ts
+++ b/packages/trial/src/trouble/machine-fleet.ts
@@ -43,7 +43,7 @@
 }
 
 /** All machines of a deployment, with the operations and faults that apply to them. */
-export class Machines {
+export class MachineFleet {
   readonly all: Machine[] = [];
   /** The operator's list of core machines, by time. */
   private coreLists: { at: number; core: Machine[] }[] = [];
@@ -65,7 +65,7 @@
     for (let i = 0; i < coreCount; i++) this.add('core');
     for (let i = 0; i < storeCount; i++) this.add('store');
     for (let i = 0; i < accessCount; i++) this.add('access');
-    const seeds = this.of('core')
+    const seeds = this.ofClass('core')
       .slice(0, SEED_COUNT)
       .map((machine) => machine.main.config.peer);
     for (const machine of this.all)
@@ -113,7 +113,7 @@
     return machine;
   }
 
-  of(type: MachineClass): Machine[] {
+  ofClass(type: MachineClass): Machine[] {
     return this.all.filter((machine) => machine.type === type && !machine.removed);
   }
   /** Machines whose loss counts towards the declared losses. */
@@ -131,7 +131,7 @@
   listedCoreMachines(): Machine[] {
     const then = this.sim.now - this.deployment.seedDelayMs;
     const seen = this.coreLists.filter((l) => l.at <= then).at(-1) ?? this.coreLists[0];
-    return seen?.core ?? this.of('core');
+    return seen?.core ?? this.ofClass('core');
   }
 
   /** Replaces the seeds in the settings of all processes: by these machines, then the newest in the operator's list. */
@@ -215,7 +215,7 @@
   private async supervise(): Promise<void> {
     const endedAt = new Map<SimNode, number>();
     while (this.supervising) {
-      const core = this.of('core').filter((machine) => machine.main.up);
+      const core = this.ofClass('core').filter((machine) => machine.main.up);
       this.coreLists.push({ at: this.sim.now, core });
       for (const machine of this.all)
         for (const node of machine.nodes) {
--- a/packages/trial/src/trouble/network-kinds.ts
+++ b/packages/trial/src/trouble/network-faults.ts
@@ -1,7 +1,7 @@
 /** Faults of links and disks that last for some time. */
-import { submitChangesTo } from './machine-kinds.js';
-import type { KindName } from './schedule.js';
-import { claimVictims, note, pause, type FaultAction } from './stage.js';
+import { submitChangesTo } from './machine-faults.js';
+import type { FaultKind } from './schedule.js';
+import { claimVictims, note, pause, type FaultAction } from './fault-context.js';
 
 /** Time from the end of a process to its next start. */
 const RESTART_MS = 300;
@@ -15,7 +15,7 @@
   note(context, 'cut off from all that count:', victims.machines);
   const others = context.machines.all.filter((machine) => machine.counted && !victims.machines.includes(machine));
   const reconnect = context.machines.cut(victims.machines, others);
-  await pause(context, fault.forMs);
+  await pause(context, fault.durationMs);
   reconnect();
   note(context, 'joined again:', victims.machines);
   victims.back();
@@ -25,24 +25,24 @@
 const coreCut: FaultAction = async (context, fault, random) => {
   const victims = await claimVictims(context, fault, random);
   if (!victims) return;
-  const oneWay = fault.how.includes('one_way');
+  const oneWay = fault.modifiers.includes('one_way');
   note(context, `cut off from the core${oneWay ? ', one way' : ''}:`, victims.machines);
   const others = context.machines.all.filter((machine) => machine.counted && !victims.machines.includes(machine));
   const reconnect = context.machines.cut(victims.machines, others, oneWay);
   const cutOff = victims.machines[0]!;
   const submissions: Promise<unknown>[] = submitChangesTo(context, fault, cutOff);
-  if (fault.how.includes('seeds')) {
+  if (fault.modifiers.includes('seeds')) {
     context.machines.replaceSeeds(victims.machines.filter((machine) => machine.type === 'core'));
     await restartAccessMachine(context, random);
   }
-  if (fault.how.includes('both')) {
+  if (fault.modifiers.includes('both')) {
     for (const machine of victims.machines) {
       context.machines.kill(machine);
       await pause(context, RESTART_MS);
       await context.machines.start(machine);
     }
   }
-  await pause(context, fault.forMs);
+  await pause(context, fault.durationMs);
   reconnect();
   note(context, 'joined again:', victims.machines);
   victims.back();
@@ -53,7 +53,7 @@
 const restartAccessMachine: (
   ...args: [Parameters<FaultAction>[0], Parameters<FaultAction>[2]]
 ) => Promise<void> = async (context, random) => {
-  const victims = await context.tolerance.claim(() => context.machines.of('access'), 1, random);
+  const victims = await context.lossBudget.claim(() => context.machines.ofClass('access'), 1, random);
   if (!victims) return;
   note(context, 'restart', victims.machines);
   for (const machine of victims.machines) {
@@ -70,7 +70,7 @@
   note(context, 'slow disks:', victims.machines);
   const nodes = victims.machines.map((machine) => machine.main);
   for (const node of nodes) node.diskMs *= SLOW_DISK_FACTOR;
-  await pause(context, fault.forMs);
+  await pause(context, fault.durationMs);
   for (const node of nodes) node.diskMs /= SLOW_DISK_FACTOR;
   victims.back();
 };
@@ -81,9 +81,9 @@
   if (!victims) return;
   note(context, 'disks stall:', victims.machines);
   const { clock } = context.machines.sim;
-  const until = clock.now() + fault.forMs;
+  const until = clock.now() + fault.durationMs;
   const nodes = victims.machines.map((machine) => machine.main);
-  for (let left = fault.forMs; left > 0; left = until - clock.now()) {
+  for (let left = fault.durationMs; left > 0; left = until - clock.now()) {
     for (const node of nodes) node.syncStallMs = [left, left];
     await pause(context, Math.min(left, 50));
   }
@@ -97,13 +97,13 @@
   note(context, 'disk full:', victims.machines);
   const nodes = victims.machines.map((machine) => machine.main);
   for (const node of nodes) context.machines.sim.fillDisk(node, true);
-  await pause(context, fault.forMs);
+  await pause(context, fault.durationMs);
   for (const node of nodes) context.machines.sim.fillDisk(node, false);
   note(context, 'room again on the disk of', victims.machines);
   victims.back();
 };
 
-export const NETWORK_KINDS: Partial<Record<KindName, FaultAction>> = {
+export const NETWORK_KINDS: Partial<Record<FaultKind, FaultAction>> = {
   node_cut: nodeCut,
   core_cut: coreCut,
   disk_slow: diskSlow,
--- a/packages/trial/src/trouble/orders.ts
+++ b/packages/trial/src/trouble/platform-operators.ts
@@ -2,7 +2,7 @@
 import type { FleetConfig } from '@harecross/schema';
 import { Operator, type ClientTransport, type ClientContext } from '../simulated-clients.js';
 import { fleetConfigOf, type DeploymentSpec } from '../scenario.js';
-import type { Machine, Machines } from './machines.js';
+import type { Machine, MachineFleet } from './machine-fleet.js';
 
 /** Revisions are assigned in steps, so that an unused lower one can be sent later. */
 const REVISION_STEP = 10;
@@ -35,7 +35,7 @@
 
   constructor(
     private readonly world: ClientContext,
-    private readonly machines: Machines,
+    private readonly machines: MachineFleet,
     private readonly site: DeploymentSpec,
   ) {
     this.transport = {
--- a/packages/trial/src/trouble/schedule.ts
+++ b/packages/trial/src/trouble/schedule.ts
@@ -2,11 +2,11 @@
 import { seededRandom } from '../sim.js';
 
 /** Classes of machines that a fault can affect. */
-export const CLASSES = ['core', 'store', 'access'] as const;
-export type MachineClass = (typeof CLASSES)[number];
+export const MACHINE_CLASSES = ['core', 'store', 'access'] as const;
+export type MachineClass = (typeof MACHINE_CLASSES)[number];
 
 /** All kinds of faults. */
-export const KIND_NAMES = [
+export const FAULT_KINDS = [
   'node_kill',
   'node_freeze',
   'node_slow',
@@ -32,19 +32,19 @@
   'retire',
   'closing',
 ] as const;
-export type KindName = (typeof KIND_NAMES)[number];
+export type FaultKind = (typeof FAULT_KINDS)[number];
 
 /** One fault of a schedule. Times are ms from the start of the part with faults. */
-export interface Trouble {
+export interface ScheduledFault {
   at: number;
-  kind: KindName;
+  kind: FaultKind;
   on: MachineClass;
   /** Modifiers of the kind; see `KIND_SPECS`. */
-  how: string[];
+  modifiers: string[];
   count: number;
-  forMs: number;
+  durationMs: number;
   /** Seed by which its victims are drawn. */
-  pick: number;
+  victimSeed: number;
 }
 
 interface KindSpec {
@@ -56,7 +56,7 @@
 }
 
 /** For each kind the modifiers, the machine classes it affects, the largest number of victims or repetitions, and its duration. */
-const KIND_SPECS: Record<KindName, KindSpec> = {
+const KIND_SPECS: Record<FaultKind, KindSpec> = {
   node_kill: {
     on: ['core', 'store', 'access'],
     how: [
@@ -131,17 +131,17 @@
 const randomElement = <T>(random: { next(): number }, xs: readonly T[]): T =>
   xs[Math.floor(random.next() * xs.length)]!;
 
-function drawFault(kind: KindName, at: number, random: { next(): number }): Trouble {
+function drawFault(kind: FaultKind, at: number, random: { next(): number }): ScheduledFault {
   const spec = KIND_SPECS[kind];
   const [least, most] = spec.forMs ?? [0, 0];
   return {
     at: Math.round(at),
     kind,
     on: randomElement(random, spec.on),
-    how: (spec.how ?? []).map((words) => randomElement(random, words)).filter((word) => word !== ''),
+    modifiers: (spec.how ?? []).map((words) => randomElement(random, words)).filter((word) => word !== ''),
     count: 1 + Math.floor(random.next() * (spec.most ?? 1)),
-    forMs: Math.round(least + (most - least) * random.next()),
-    pick: Math.floor(random.next() * 2 ** 31),
+    durationMs: Math.round(least + (most - least) * random.next()),
+    victimSeed: Math.floor(random.next() * 2 ** 31),
   };
 }
 
@@ -150,9 +150,9 @@
  * @example
  * drawSchedule(7, 6)
  */
-export function drawSchedule(seed: number, count: number, only?: readonly KindName[]): Trouble[] {
+export function drawSchedule(seed: number, count: number, only?: readonly FaultKind[]): ScheduledFault[] {
   const random = seededRandom(seed ^ 0x7d0b1e);
-  const kinds = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
+  const kinds = (only ?? FAULT_KINDS).filter((name) => name !== 'closing');
   const faults = Array.from({ length: count }, () =>
     drawFault(randomElement(random, kinds), FAULT_PHASE_MS * random.next(), random),
   );
@@ -165,11 +165,11 @@
  * @example
  * formatSchedule(drawSchedule(7, 2)); // 'node_kill@3000:on=core,how=power+leader,count=1,for=900,pick=7; ...'
  */
-export function showSchedule(faults: readonly Trouble[]): string {
+export function formatSchedule(faults: readonly ScheduledFault[]): string {
   return faults
     .map(
       (fault) =>
-        `${fault.kind}@${fault.at}:on=${fault.on},how=${fault.how.join('+') || '-'},count=${fault.count},for=${fault.forMs},pick=${fault.pick}`,
+        `${fault.kind}@${fault.at}:on=${fault.on},how=${fault.modifiers.join('+') || '-'},count=${fault.count},for=${fault.durationMs},pick=${fault.victimSeed}`,
     )
     .join('; ');
 }
@@ -179,21 +179,21 @@
  * @example
  * parseSchedule('node_freeze@3000:on=store,how=-,count=1,for=900,pick=7')
  */
-export function readSchedule(line: string): Trouble[] {
-  return line.split(';').map((part): Trouble => {
+export function parseSchedule(line: string): ScheduledFault[] {
+  return line.split(';').map((part): ScheduledFault => {
     const match = /^\s*(\w+)@(\d+):on=(\w+),how=([\w+-]+),count=(\d+),for=(\d+),pick=(\d+)\s*$/.exec(part);
-    const kind = KIND_NAMES.find((name) => name === match?.[1]);
-    const on = CLASSES.find((name) => name === match?.[3]);
+    const kind = FAULT_KINDS.find((name) => name === match?.[1]);
+    const on = MACHINE_CLASSES.find((name) => name === match?.[3]);
     if (!match || !kind || !on) throw new Error(`not a trouble: '${part.trim()}'`);
     const how = match[4] === '-' ? [] : match[4]!.split('+');
     return {
       kind,
       on,
-      how,
+      modifiers: how,
       at: Number(match[2]),
       count: Number(match[5]),
-      forMs: Number(match[6]),
-      pick: Number(match[7]),
+      durationMs: Number(match[6]),
+      victimSeed: Number(match[7]),
     };
   });
 }
--- a/packages/trial/src/trouble/shrink.ts
+++ b/packages/trial/src/trouble/shrink.ts
@@ -5,7 +5,7 @@
  * @example
  * await shrink(schedule, async (subset) => (await runFaultSchedule(seed, deployment, subset)).violations.length > 0);
  */
-export async function shrink<T>(items: readonly T[], fails: (subset: T[]) => Promise<boolean>): Promise<T[]> {
+export async function shrinkSchedule<T>(items: readonly T[], fails: (subset: T[]) => Promise<boolean>): Promise<T[]> {
   let remaining = [...items];
   for (let size = Math.ceil(remaining.length / 2); size >= 1; size = size > 1 ? Math.ceil(size / 2) : 0) {
     for (let start = 0; start < remaining.length && remaining.length > 1;) {
