--- a/packages/trial/src/oracle/run-record.ts
+++ b/packages/trial/src/oracle/run-record.ts
@@ -127,7 +127,9 @@
 
   /** Whether no family surely covered a topic: from `configInForceMs` (3 s in the simulator) after the answer until the next submitted configuration that has it. */
   isRemoved(topic: string, t: number): boolean {
-    const last = this.taken.filter((x) => x.t + this.bounds.configInForceMs + this.bounds.observationDelayMs < t).at(-1);
+    const last = this.taken
+      .filter((x) => x.t + this.bounds.configInForceMs + this.bounds.observationDelayMs < t)
+      .at(-1);
     if (!last || familyOf(last.config, topic)) return false;
     return ![...this.submits.values()].some((event) => {
       const answer = this.definiteAnswers(event.changeId)[0];
--- a/packages/trial/src/oracle/served-config.ts
+++ b/packages/trial/src/oracle/served-config.ts
@@ -10,7 +10,9 @@
   const reports = new Map<string, { t: number; version: number }[]>();
   for (const event of record.seen) {
     if (event.k !== 'node.says' && event.k !== 'node.silent') continue;
-    const dueConfig = record.taken.filter((accepted) => event.asked > accepted.t + record.bounds.configInForceMs).at(-1);
+    const dueConfig = record.taken
+      .filter((accepted) => event.asked > accepted.t + record.bounds.configInForceMs)
+      .at(-1);
     const isWell = record.fleetConditions.wasHealthy(event.node, event.asked - JOIN_MS, event.t);
     if (event.k === 'node.silent') {
       if (dueConfig && isWell)
--- a/packages/trial/src/soak.ts
+++ b/packages/trial/src/soak.ts
@@ -12,7 +12,7 @@
 import { fleetConfigOf, createClients, SMALL, type DeploymentSpec } from './scenario.js';
 import { seededRandom } from './sim.js';
 import { drawSoak } from './soak/schedule.js';
-import { SOAK_LOSSES, SoakFaultInjector } from './soak/fault-context.js';
+import { SOAK_LOSSES, SoakFaultInjector } from './soak/fault-injector.js';
 
 const options = yargs(process.argv.slice(2))
   .scriptName('soak')
--- a/packages/trial/src/trouble/loss-faults.ts
+++ b/packages/trial/src/trouble/loss-faults.ts
@@ -3,7 +3,14 @@
 import type { Machine } from './machine-fleet.js';
 import { restartAfter } from './machine-faults.js';
 import type { FaultKind, ScheduledFault } from './schedule.js';
-import { claimVictims, ownerAfterNextAccept, note, pause, type FaultAction, type FaultContext } from './fault-context.js';
+import {
+  claimVictims,
+  ownerAfterNextAccept,
+  note,
+  pause,
+  type FaultAction,
+  type FaultContext,
+} from './fault-context.js';
 import type { LossClaim } from './loss-budget.js';
 
 /** Maximum time from the acknowledgement to the fault. */
--- a/packages/trial/src/trouble/machine-faults.ts
+++ b/packages/trial/src/trouble/machine-faults.ts
@@ -84,7 +84,9 @@
 
 /** Reloads unchanged settings. */
 const hup: FaultAction = async (context, fault, random) => {
-  const machines = randomSample(random, context.machines.ofClass(fault.on), fault.count).filter((machine) => machine.isUp());
+  const machines = randomSample(random, context.machines.ofClass(fault.on), fault.count).filter((machine) =>
+    machine.isUp(),
+  );
   note(context, 'SIGHUP', machines);
   for (const machine of machines) {
     for (const node of machine.nodes) if (node.up && !node.frozen) node.kernel?.use('membership').publishOwnRecord();
@@ -103,7 +105,9 @@
 };
 
 const clockStep: FaultAction = async (context, fault, random) => {
-  const nodes = randomSample(random, context.machines.ofClass(fault.on), fault.count).flatMap((machine) => machine.nodes);
+  const nodes = randomSample(random, context.machines.ofClass(fault.on), fault.count).flatMap(
+    (machine) => machine.nodes,
+  );
   const by = fault.modifiers.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
   context.scenario.note(`the time of day jumps by ${by} ms on ${nodes.map((node) => node.name).join(' ')}`);
   for (const node of nodes) node.wallStepMs += by;
--- a/packages/trial/src/trouble/operator-faults.ts
+++ b/packages/trial/src/trouble/operator-faults.ts
@@ -82,7 +82,11 @@
 /** Emptying a disk may take this much longer while other faults are active. */
 const RETIRE_SLACK_MS = 15_000;
 
-async function wipeOthers(context: FaultContext, fault: ScheduledFault, random: Parameters<FaultAction>[2]): Promise<void> {
+async function wipeOthers(
+  context: FaultContext,
+  fault: ScheduledFault,
+  random: Parameters<FaultAction>[2],
+): Promise<void> {
   const { losses } = context.machines.deployment;
   const victims = await context.lossBudget.claim(() => context.machines.ofClass('store'), losses, random);
   if (!victims) return;
