--- a/packages/harecross/src/fleet-view.ts
+++ b/packages/harecross/src/fleet-view.ts
@@ -37,7 +37,11 @@
  * @example
  * const view = await fetchFleetView(['10.0.0.4:7000'], callNode, Date.now);
  */
-export async function fetchFleetView(addresses: string[], callNode: CallNode, now: () => number): Promise<FleetView | undefined> {
+export async function fetchFleetView(
+  addresses: string[],
+  callNode: CallNode,
+  now: () => number,
+): Promise<FleetView | undefined> {
   const startedAt = now();
   let fleet: Answer<'Fleet'> | undefined;
   for (const address of addresses) {
--- a/packages/harecross/src/main.ts
+++ b/packages/harecross/src/main.ts
@@ -80,13 +80,13 @@
     process.stderr.write(`${parsed.why}\n`);
     return false;
   }
-  if (!(TABLES as readonly string[]).includes(parsed.query.table)) {
-    process.stderr.write(`no table '${parsed.query.table}'; tables: ${TABLES.join(', ')}\n`);
+  if (!(TABLES as readonly string[]).includes(parsed.query.formatTable)) {
+    process.stderr.write(`no table '${parsed.query.formatTable}'; tables: ${TABLES.join(', ')}\n`);
     return false;
   }
   const view: FleetView | undefined = await fetchFleetView(addresses, tryRpc, () => performance.now());
   if (!view) return fail(3, `no answer from ${addresses.join(', ')}`);
-  const result = runQuery(parsed.query, view.tables.get(parsed.query.table)!);
+  const result = runQuery(parsed.query, view.tables.get(parsed.query.formatTable)!);
   if (result.tag === 'wrong') {
     process.stderr.write(`${result.why}\n`);
     return false;
--- a/packages/harecross/src/query.ts
+++ b/packages/harecross/src/query.ts
@@ -4,7 +4,7 @@
 type Op = '=' | '!=' | '<' | '<=' | '>' | '>=' | '~';
 
 export interface Query {
-  table: string;
+  formatTable: string;
   where: { field: string; op: Op; value: string }[];
   sort: { field: string; desc: boolean }[];
   show: string[];
@@ -34,7 +34,7 @@
   const tokens = tokenize(line.replaceAll(',', ' '));
   const table = tokens.shift();
   if (!table) return wrong('name a table');
-  const query: Query = { table, where: [], sort: [], show: [], limit: Infinity };
+  const query: Query = { formatTable: table, where: [], sort: [], show: [], limit: Infinity };
   while (tokens.length) {
     const keyword = tokens.shift()!;
     switch (keyword) {
@@ -115,7 +115,7 @@
     .concat(query.show)
     .find((f) => !fields.includes(f));
   if (unknown !== undefined && rows.length)
-    return { tag: 'wrong', why: `no field '${unknown}' in ${query.table}; there are: ${fields.join(', ')}` };
+    return { tag: 'wrong', why: `no field '${unknown}' in ${query.formatTable}; there are: ${fields.join(', ')}` };
   const result = rows.filter((r) => query.where.every((w) => matches(r.get(w.field), w.op, w.value)));
   result.sort((a, b) => {
     for (const s of query.sort) {
