--- a/packages/trial/src/linearizable.ts
+++ b/packages/trial/src/linearizable.ts
@@ -1,90 +1,90 @@
 /**
- * Judges operators' calls as calls of one register: whether some order of the calls, each at one moment between its sending and its
- * answer, explains every answer.
+ * A linearizability checker for operators' calls on the consensus register: searches for an order of the calls, each taking effect at one
+ * instant between its invocation and its response, that is consistent with every response.
  *
- * The register holds the configuration with the highest revision. An order comes into force if its revision is above the one in force,
- * and raises the version by one. Its answer tells what became of it, and what was in force at a moment no earlier than that and before
- * the answer. An order without a clear answer may have come into force at any moment until it expires, or never.
+ * The register holds the configuration with the highest revision. A submit takes effect if its revision is above the current one, and
+ * increments the version by one. Its response reports its outcome, and the state of the register at an instant that is not before its
+ * effect and before the response. A submit without a definite response may take effect at any instant until it expires, or never.
  */
 
-/** What a node answered to an order. `conflict` and `invalid` are refusals, the others name what is in force. */
+/** A node's response to a submit. `conflict` and `invalid` reject it; the others report the current version and revision. */
 export type OrderAnswer =
   | { outcome: 'accepted' | 'overtaken' | 'forgotten'; returned: number; version: number; revision: number }
   | { outcome: 'conflict' | 'invalid'; returned: number };
 
-/** One call of an operator, as it saw it. Times are ms of one true clock. */
+/** One call as its operator observed it. Times are in ms of one global clock. */
 export type RegisterCall =
   | {
       kind: 'submit';
       invoked: number;
       revision: number;
-      /** Equal for equal configurations alone. */
+      /** Identifies the configuration: equal if and only if the configurations are equal. */
       content: string;
-      /** Missing where there was no clear answer. */
+      /** Missing if there was no definite response. */
       answer?: OrderAnswer;
-      /** Without a clear answer: it does not come into force after this. */
+      /** Without a definite response: the submit doesn't take effect after this time. */
       expires?: number;
     }
   | { kind: 'read'; invoked: number; returned: number; version: number; revision?: number; content?: string };
 
 export type Explanation =
-  /** `visited`: states of the search, what the judgement cost. */
+  /** `visited`: the number of states that the search visited. */
   | { tag: 'explained'; order: string[]; visited: number }
-  /** The longest run of calls that could be explained, and the calls that then had to be and could not. */
+  /** `order`: the longest consistent prefix found. `stuck`: the steps that had to be next after it and were inconsistent with it. */
   | { tag: 'unexplained'; order: string[]; stuck: string[]; visited: number };
 
 interface RegisterState {
   version: number;
   revision: number;
-  /** Content that came into force, by revision. */
+  /** Content that took effect, by revision. */
   accepted: Map<number, string>;
 }
 
-/** A call, or the half of one: what an order does, and what its answer tells, may be two moments. */
+/** A call, or one half of a submit: its effect and the state that its response reports may belong to two instants. */
 interface Step {
-  /** Its place in the list of steps. */
+  /** Index in the list of steps. */
   index: number;
   name: string;
-  /** It happens between these. */
+  /** The interval in which the step happens, both ends included. */
   from: number;
   to: number;
-  /** False for what may never have happened. */
+  /** False if the step may never have happened. */
   required: boolean;
-  /** The step that must come before. */
+  /** Index of the step that has to happen before this one. */
   after?: number;
-  /** Whether only one state can explain it, so that it may be taken as soon as it is explained. */
-  tells: boolean;
-  /** The state after it, the same one if it changes nothing, undefined if the state does not explain it. */
+  /** Whether the step matches only one state of the register, so that the search may take it as soon as it matches. */
+  observes: boolean;
+  /** Returns the state after the step: the same object if nothing changes, undefined if the step is inconsistent with the state. */
   next: (state: RegisterState) => RegisterState | undefined;
 }
 
 type SubmitCall = Extract<RegisterCall, { kind: 'submit' }>;
 
-/** The revision of a register in which none was given yet. */
+/** The revision of a register to which none has been submitted yet. */
 const NO_REVISION = -1;
 
-function cameIntoForce(state: RegisterState, call: SubmitCall): RegisterState {
+function accept(state: RegisterState, call: SubmitCall): RegisterState {
   const accepted = new Map(state.accepted).set(call.revision, call.content);
   return { version: state.version + 1, revision: call.revision, accepted };
 }
 
-/** What an order does to a state, given how it was answered. */
-function applied(state: RegisterState, call: SubmitCall): RegisterState | undefined {
-  const before = state.accepted.get(call.revision);
+/** The state after a submit with the given response; undefined if the response is inconsistent with the state. */
+function applySubmit(state: RegisterState, call: SubmitCall): RegisterState | undefined {
+  const existing = state.accepted.get(call.revision);
   switch (call.answer?.outcome) {
     case undefined:
-      return call.revision > state.revision ? cameIntoForce(state, call) : undefined;
+      return call.revision > state.revision ? accept(state, call) : undefined;
     case 'accepted':
-      if (before === call.content) return state;
-      return call.revision > state.revision ? cameIntoForce(state, call) : undefined;
+      if (existing === call.content) return state;
+      return call.revision > state.revision ? accept(state, call) : undefined;
     case 'overtaken':
-      return before === undefined && call.revision < state.revision ? state : undefined;
+      return existing === undefined && call.revision < state.revision ? state : undefined;
     case 'forgotten':
       return call.revision < state.revision ? state : undefined;
     case 'conflict':
-      return before !== undefined && before !== call.content ? state : undefined;
+      return existing !== undefined && existing !== call.content ? state : undefined;
     case 'invalid':
-      return before !== call.content ? state : undefined;
+      return existing !== call.content ? state : undefined;
   }
 }
 
@@ -100,99 +100,100 @@
         (content === undefined || state.accepted.get(state.revision) === content)
           ? state
           : undefined;
-      add({ name: `${i}: read ${revision ?? 'none'}`, from, to, required: true, tells: true, next });
+      add({ name: `${i}: read ${revision ?? 'none'}`, from, to, required: true, observes: true, next });
       return;
     }
     const { answer, invoked: from } = call;
     const to = answer?.returned ?? call.expires ?? Infinity;
     const name = `${i}: submit ${call.revision} ${call.content} ${answer?.outcome ?? 'unclear'}`;
-    const next = (state: RegisterState): RegisterState | undefined => applied(state, call);
-    const done = add({ name, from, to, required: answer !== undefined, tells: false, next });
+    const next = (state: RegisterState): RegisterState | undefined => applySubmit(state, call);
+    const effect = add({ name, from, to, required: answer !== undefined, observes: false, next });
     if (!answer || !('version' in answer)) return;
-    const told = (state: RegisterState): RegisterState | undefined =>
+    const matchesAnswer = (state: RegisterState): RegisterState | undefined =>
       state.version === answer.version && state.revision === answer.revision ? state : undefined;
     add({
       name: `${i}: told ${answer.revision}`,
       from,
       to,
       required: true,
-      after: done,
-      tells: true,
-      next: told,
+      after: effect,
+      observes: true,
+      next: matchesAnswer,
     });
   });
   return steps;
 }
 
-/** A depth-first search over the orders in which the steps may have happened; what was seen to lead nowhere is not tried again. */
+/** A depth-first search over the possible orders of the steps. States from which the search failed are memoized and not tried again. */
 class Search {
-  private readonly dead = new Set<string>();
+  private readonly failedKeys = new Set<string>();
   longest: string[] = [];
   stuck: string[] = [];
   visited = 0;
 
   constructor(private readonly steps: Step[]) {}
 
-  explain(state: RegisterState, done: boolean[], now: number, order: string[]): string[] | undefined {
+  findOrder(state: RegisterState, done: boolean[], now: number, order: string[]): string[] | undefined {
     this.visited++;
-    const left = this.steps.filter((step) => !done[step.index]);
-    const required = left.filter((step) => step.required);
+    const remaining = this.steps.filter((step) => !done[step.index]);
+    const required = remaining.filter((step) => step.required);
     if (!required.length) return order;
-    const key = this.keyOf(state, done, now);
-    if (this.dead.has(key)) return undefined;
-    // Nothing may happen after the moment by which another call had its answer.
-    const latest = Math.min(...required.map((step) => step.to));
-    const possible = left.filter(
-      (step) => step.from <= latest && now <= step.to && (step.after === undefined || done[step.after] === true),
+    const key = this.stateKey(state, done, now);
+    if (this.failedKeys.has(key)) return undefined;
+    // The next step can't happen after the earliest response among the required steps that remain.
+    const deadline = Math.min(...required.map((step) => step.to));
+    const candidates = remaining.filter(
+      (step) => step.from <= deadline && now <= step.to && (step.after === undefined || done[step.after] === true),
     );
-    const take = (step: Step, next: RegisterState): string[] | undefined => {
-      const doneThen = done.slice();
-      doneThen[step.index] = true;
-      return this.explain(next, doneThen, Math.max(now, step.from), [...order, step.name]);
+    const takeStep = (step: Step, next: RegisterState): string[] | undefined => {
+      const nextDone = done.slice();
+      nextDone[step.index] = true;
+      return this.findOrder(next, nextDone, Math.max(now, step.from), [...order, step.name]);
     };
-    const sure = possible.find((step) => step.next(state) === state && this.harmless(step, left));
-    if (sure) return this.noted(key, take(sure, state));
-    for (const step of possible) {
+    const safe = candidates.find((step) => step.next(state) === state && this.excludesNoOrder(step, remaining));
+    if (safe) return this.memoize(key, takeStep(safe, state));
+    for (const step of candidates) {
       const next = step.next(state);
-      const found = next && take(step, next);
+      const found = next && takeStep(step, next);
       if (found) return found;
     }
     if (order.length >= this.longest.length) {
       this.longest = order;
-      this.stuck = required.filter((step) => step.to === latest).map((step) => step.name);
+      this.stuck = required.filter((step) => step.to === deadline).map((step) => step.name);
     }
-    return this.noted(key, undefined);
+    return this.memoize(key, undefined);
   }
 
   /**
-   * All that the rest of the search depends on. Steps that may never have happened are not in it: those done are in the state, and so
-   * are the others of their revision, which can change nothing any more.
+   * Everything that the rest of the search depends on. Optional steps are left out: the state contains the effect of those taken, and
+   * the other optional steps with the same revision have no effect any more.
    */
-  private keyOf(state: RegisterState, done: boolean[], now: number): string {
+  private stateKey(state: RegisterState, done: boolean[], now: number): string {
     const required = this.steps.filter((step) => step.required).map((step) => (done[step.index] ? '1' : '0'));
     return JSON.stringify([required.join(''), state.version, [...state.accepted], now]);
   }
 
-  /** Whether taking a step that changes nothing now can rule out no other order: nothing left has to come before it. */
-  private harmless(step: Step, left: Step[]): boolean {
-    return step.tells || !left.some((other) => !other.required && other.to < step.from);
+  /** Whether a step that doesn't change the state can be taken now without excluding any order: no remaining step has to precede it. */
+  private excludesNoOrder(step: Step, remaining: Step[]): boolean {
+    return step.observes || !remaining.some((other) => !other.required && other.to < step.from);
   }
 
-  private noted(key: string, found: string[] | undefined): string[] | undefined {
-    if (!found) this.dead.add(key);
+  private memoize(key: string, found: string[] | undefined): string[] | undefined {
+    if (!found) this.failedKeys.add(key);
     return found;
   }
 }
 
 /**
- * Whether some order of the calls explains every answer, beginning with a register of this version and without a revision.
+ * Searches for an order of the calls that is consistent with every response, starting from a register with the given version and no
+ * revision.
  * @example
- * explain([{ kind: 'read', invoked: 0, returned: 9, version: 1 }], 1).tag // 'explained'
+ * findLinearization([{ kind: 'read', invoked: 0, returned: 9, version: 1 }], 1).tag // 'explained'
  */
 export function explain(calls: RegisterCall[], version: number): Explanation {
   const search = new Search(stepsOf(calls));
   const start = { version, revision: NO_REVISION, accepted: new Map<number, string>() };
-  const order = search.explain(start, [], -Infinity, []);
+  const order = search.findOrder(start, [], -Infinity, []);
   const { longest, stuck, visited } = search;
   return order ? { tag: 'explained', order, visited } : { tag: 'unexplained', order: longest, stuck, visited };
 }
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -1,6 +1,7 @@
 /**
- * A model of calls between nodes: the real link and server code over a network in virtual time that splits, delays and silences streams of
- * bytes, resets connections, and ends and restarts the processes at both ends. A seed gives one run; rules are checked during it.
+ * A randomized simulation of calls between nodes: the production client and server code of the transport over a network in virtual time
+ * that splits, delays and stalls byte streams, resets connections, and restarts the processes at both ends. Each seed gives one
+ * reproducible run, during which the invariants are checked.
  */
 import { EventEmitter } from 'node:events';
 import type { Socket } from 'node:net';
@@ -21,7 +22,7 @@
 
 const CALLER = '10.0.0.1:7100';
 const SERVER = '10.0.0.2:7100';
-const BOUNDS: TransportLimits = {
+const LIMITS: TransportLimits = {
   connectMs: 1_000,
   quietMs: 200,
   maxFrameBytes: 64 * 1024,
@@ -33,7 +34,7 @@
 
 export interface CallsPlan {
   calls: number;
-  /** Calls are made, and troubles strike, within this time. */
+  /** The period in which calls are made and faults are injected. */
   forMs: number;
   resets: number;
   silences: number;
@@ -50,30 +51,30 @@
 };
 
 export interface CallsResult {
-  /** Rules that were broken, with what broke them. */
+  /** Descriptions of the violated invariants. */
   bad: string[];
   events: number;
-  /** Calls by what became of them. */
+  /** Number of calls by outcome. */
   ended: Map<string, number>;
 }
 
-interface Event {
+interface ScheduledEvent {
   at: number;
   order: number;
   run: () => void;
   off: boolean;
 }
 
-/** Virtual time: what is due runs in order, and promises settle between two events. */
-class Time {
+/** Virtual time: runs events in order of their due time and lets promises settle between two events. */
+class VirtualTime {
   now = 0;
   events = 0;
-  private due: Event[] = [];
+  private scheduled: ScheduledEvent[] = [];
   private order = 0;
 
   after(ms: number, run: () => void): () => void {
-    const event: Event = { at: this.now + Math.max(0, ms), order: this.order++, run, off: false };
-    this.due.push(event);
+    const event: ScheduledEvent = { at: this.now + Math.max(0, ms), order: this.order++, run, off: false };
+    this.scheduled.push(event);
     return () => {
       event.off = true;
     };
@@ -81,8 +82,8 @@
 
   async run(untilMs: number): Promise<void> {
     for (;;) {
-      this.due = this.due.filter((e) => !e.off);
-      const next = this.due.reduce<Event | undefined>(
+      this.scheduled = this.scheduled.filter((e) => !e.off);
+      const next = this.scheduled.reduce<ScheduledEvent | undefined>(
         (a, b) => (!a || b.at < a.at || (b.at === a.at && b.order < a.order) ? b : a),
         undefined,
       );
@@ -98,18 +99,18 @@
   }
 }
 
-/** One end of a connection, with as much of a socket as the transport uses. */
-class End extends EventEmitter {
+/** One end of a connection, with the part of the socket interface that the transport uses. */
+class SocketEnd extends EventEmitter {
   writable = true;
   destroyed = false;
   closed = false;
-  /** Until then the system takes nothing more than what was written first. */
+  /** Until then writes are not completed, and the socket's buffer counts as full as soon as something was written. */
   stalledUntil = 0;
   private pending = 0;
 
   constructor(
-    private time: Time,
-    private carry: (bytes: Buffer) => void,
+    private time: VirtualTime,
+    private onWrite: (bytes: Buffer) => void,
     private left: () => void,
   ) {
     super();
@@ -117,13 +118,13 @@
   }
 
   write(data: string | Buffer, encoding?: unknown, written?: unknown): boolean {
-    const told = (typeof encoding === 'function' ? encoding : written) as ((e?: Error) => void) | undefined;
-    const gone = this.destroyed;
-    if (!gone) this.carry(Buffer.from(data as string));
+    const onWritten = (typeof encoding === 'function' ? encoding : written) as ((e?: Error) => void) | undefined;
+    const wasDestroyed = this.destroyed;
+    if (!wasDestroyed) this.onWrite(Buffer.from(data as string));
     this.pending++;
     this.time.after(this.stalledUntil - this.time.now, () => {
       this.pending--;
-      told?.(this.destroyed ? new Error('destroyed') : undefined);
+      onWritten?.(this.destroyed ? new Error('destroyed') : undefined);
     });
     return true;
   }
@@ -151,12 +152,12 @@
     this.destroyed = true;
     this.writable = false;
     this.left();
-    this.time.after(0, () => this.over());
+    this.time.after(0, () => this.emitClose());
     return this;
   }
 
-  /** Tells once that the connection is closed. */
-  over(): void {
+  /** Emits `close`, at most once. */
+  emitClose(): void {
     if (this.closed) return;
     this.closed = true;
     this.destroyed = true;
@@ -165,22 +166,22 @@
   }
 }
 
-/** A stream of bytes each way: in order, in pieces of any size, late by any time; what was written may arrive after its writer left. */
+/** A byte stream in each direction: ordered, in chunks of any size, with random delays. Data may arrive after its sender has closed. */
 class Connection {
-  readonly ends: [End, End];
+  readonly ends: [SocketEnd, SocketEnd];
   private lastAt: [number, number] = [0, 0];
   private silentUntil: [number, number] = [0, 0];
   private broken = false;
 
   constructor(
-    private time: Time,
+    private time: VirtualTime,
     private random: RandomSource,
   ) {
-    const end = (side: 0 | 1): End =>
-      new End(
+    const end = (side: 0 | 1): SocketEnd =>
+      new SocketEnd(
         time,
-        (bytes) => this.carry(side, bytes),
-        () => this.leave(side),
+        (bytes) => this.transmit(side, bytes),
+        () => this.announceEnd(side),
       );
     this.ends = [end(0), end(1)];
   }
@@ -189,39 +190,39 @@
     return this.random.next() < 0.1 ? 300 * this.random.next() : 10 * this.random.next();
   }
 
-  /** Runs at the other end, behind all that was sent before. */
-  private arrive(side: 0 | 1, run: (other: End) => void): void {
+  /** Runs `run` on the other end after everything sent earlier has arrived. */
+  private deliver(side: 0 | 1, run: (other: SocketEnd) => void): void {
     const at = Math.max(this.lastAt[side], this.silentUntil[side], this.time.now) + this.delay();
     this.lastAt[side] = at;
     this.time.after(at - this.time.now, () => run(this.ends[side === 0 ? 1 : 0]));
   }
 
-  private carry(side: 0 | 1, bytes: Buffer): void {
+  private transmit(side: 0 | 1, bytes: Buffer): void {
     for (let from = 0; from < bytes.length;) {
       const size = this.random.next() < 0.5 ? bytes.length : 1 + Math.floor(this.random.next() * bytes.length);
       const piece = bytes.subarray(from, from + size);
       from += piece.length;
-      this.arrive(side, (other) => {
+      this.deliver(side, (other) => {
         if (!other.destroyed && !this.broken) other.emit('data', piece);
       });
     }
   }
 
-  private leave(side: 0 | 1): void {
-    this.arrive(side, (other) => {
+  private announceEnd(side: 0 | 1): void {
+    this.deliver(side, (other) => {
       if (other.destroyed) return;
       other.emit('end');
-      other.over();
+      other.emitClose();
     });
   }
 
-  /** Nothing arrives for a while; then all of it does. */
+  /** Holds back everything sent from this side for a while; then all of it arrives. */
   silence(side: 0 | 1, ms: number): void {
     this.silentUntil[side] = this.time.now + ms;
     this.ends[side].stalledUntil = this.time.now + ms;
   }
 
-  /** Both ends learn of it, each in its own time; what is under way is lost from a moment in between. */
+  /** Resets the connection. Each end is notified after its own random delay; data in flight is lost from another random instant on. */
   reset(): void {
     this.time.after(this.delay(), () => {
       this.broken = true;
@@ -230,36 +231,36 @@
       this.time.after(this.delay(), () => {
         if (end.destroyed) return;
         end.emit('error', Object.assign(new Error('reset'), { code: 'ECONNRESET' }));
-        end.over();
+        end.emitClose();
       });
   }
 }
 
-/** What one call was, and what became of it. */
-interface Made {
+/** A call with its executions and its outcome. */
+interface CallRecord {
   id: number;
-  /** The process it was meant for, where the caller knew one. */
-  meantFor: string | undefined;
-  runs: string[];
-  endings: string[];
-  /** Its process ended under it. */
-  orphan: boolean;
+  /** The server instance that the call is for, if the caller knew one. */
+  intendedInstance: string | undefined;
+  executedBy: string[];
+  outcomes: string[];
+  /** The calling process was restarted before the call ended. */
+  callerRestarted: boolean;
 }
 
-class World {
-  readonly time = new Time();
+class CallsModel {
+  readonly time = new VirtualTime();
   readonly bad: string[] = [];
   private random: RandomSource;
-  private made: Made[] = [];
+  private calls: CallRecord[] = [];
   private connections: Connection[] = [];
   private callerInstances = 0;
   private serverInstances = 0;
   private serverUp = false;
   private accepted = new AcceptedConnections();
-  private serverBatch = new FlushScheduler(this.system());
+  private serverFlushScheduler = new FlushScheduler(this.environment());
   private link!: PeerLink;
-  /** The process that the caller last heard an answer of on the connection that it has. */
-  private heardOf: string | undefined;
+  /** The server instance that last answered the caller on its current connection. */
+  private lastAnsweringInstance: string | undefined;
 
   constructor(
     seed: number,
@@ -268,8 +269,8 @@
     this.random = seeded(seed);
   }
 
-  /** The surroundings of a process; once it has ended nothing of it runs any more. */
-  private system(alive: () => boolean = () => true): TransportEnvironment {
+  /** The transport environment of a process. Callbacks of a process that has ended are dropped. */
+  private environment(alive: () => boolean = () => true): TransportEnvironment {
     const { time } = this;
     const whileAlive = (fn: () => void) => (): void => {
       if (alive()) fn();
@@ -292,7 +293,7 @@
       if (near.destroyed) return;
       if (!this.serverUp || far.closed) {
         near.emit('error', Object.assign(new Error('refused'), { code: 'ECONNREFUSED' }));
-        near.over();
+        near.emitClose();
         return;
       }
       this.accept(far);
@@ -301,15 +302,15 @@
     return near as unknown as Socket;
   }
 
-  private accept(end: End): void {
+  private accept(end: SocketEnd): void {
     const instance = `server-${this.serverInstances}`;
     const { accepted } = this;
     const connection: AcceptedConnection = new AcceptedConnection(
       end as unknown as Socket,
-      BOUNDS,
-      this.serverBatch,
+      LIMITS,
+      this.serverFlushScheduler,
       { address: SERVER, instance, connection: 0 },
-      this.system(),
+      this.environment(),
       (c) => accepted.closeSuperseded(c),
       (frame) => this.serve(frame, instance, connection, accepted),
       () => undefined,
@@ -318,21 +319,21 @@
     end.on('close', () => accepted.all.delete(connection));
   }
 
-  /** The server's handler: notes the run, and answers after a while. */
+  /** The server's handler: records the execution, checks the invariants and answers after a random delay. */
   private serve(
     frame: string,
     instance: string,
     on: AcceptedConnection,
     accepted: AcceptedConnections,
   ): Promise<string> {
-    const call = this.made[Number(frame)]!;
-    call.runs.push(instance);
-    if (call.runs.length > 1) this.bad.push(`call ${call.id} was run twice: ${call.runs.join(', ')}`);
-    if (call.meantFor !== undefined && call.meantFor !== instance)
-      this.bad.push(`call ${call.id} was meant for ${call.meantFor} and run by ${instance}`);
-    if (call.endings.includes('unreachable')) this.bad.push(`call ${call.id} was unreachable, and run`);
-    const later = [...accepted.all].find((c) => isLater(c.peer, on.peer));
-    if (later) this.bad.push(`call ${call.id} came on a connection that a later one had replaced`);
+    const call = this.calls[Number(frame)]!;
+    call.executedBy.push(instance);
+    if (call.executedBy.length > 1) this.bad.push(`call ${call.id} was run twice: ${call.executedBy.join(', ')}`);
+    if (call.intendedInstance !== undefined && call.intendedInstance !== instance)
+      this.bad.push(`call ${call.id} was meant for ${call.intendedInstance} and run by ${instance}`);
+    if (call.outcomes.includes('unreachable')) this.bad.push(`call ${call.id} was unreachable, and run`);
+    const newerConnection = [...accepted.all].find((c) => isLater(c.peer, on.peer));
+    if (newerConnection) this.bad.push(`call ${call.id} arrived on a connection that a later one had replaced`);
     const ms = this.random.next() < 0.2 ? 500 * this.random.next() : 5 * this.random.next();
     return new Promise((res) => {
       this.time.after(ms, () => res(`${frame} ${instance}`));
@@ -355,27 +356,27 @@
   private startCaller(): void {
     const identity = { address: CALLER, instance: `caller-${++this.callerInstances}` };
     let opened = 0;
-    this.heardOf = undefined;
-    const mine = this.callerInstances;
-    const system = this.system(() => mine === this.callerInstances);
+    this.lastAnsweringInstance = undefined;
+    const instanceNumber = this.callerInstances;
+    const environment = this.environment(() => instanceNumber === this.callerInstances);
     this.link = new PeerLink(
       SERVER,
-      BOUNDS,
-      new FlushScheduler(system),
+      LIMITS,
+      new FlushScheduler(environment),
       () => ({ ...identity, connection: ++opened }),
-      system,
+      environment,
       () => ({
         count: () => undefined,
         connectionLost: () => {
-          if (mine === this.callerInstances) this.heardOf = undefined;
+          if (instanceNumber === this.callerInstances) this.lastAnsweringInstance = undefined;
         },
       }),
     );
   }
 
   private restartCaller(): void {
-    for (const m of this.made) if (!m.endings.length) m.orphan = true;
-    // Its system closes the connections, behind what was written to them.
+    for (const call of this.calls) if (!call.outcomes.length) call.callerRestarted = true;
+    // The operating system closes the connections after sending what was written to them.
     for (const c of this.connections) {
       c.ends[0].removeAllListeners();
       c.ends[0].destroy();
@@ -384,68 +385,74 @@
   }
 
   private call(): void {
-    const made: Made = { id: this.made.length, meantFor: this.heardOf, runs: [], endings: [], orphan: false };
-    this.made.push(made);
+    const record: CallRecord = {
+      id: this.calls.length,
+      intendedInstance: this.lastAnsweringInstance,
+      executedBy: [],
+      outcomes: [],
+      callerRestarted: false,
+    };
+    this.calls.push(record);
     const caller = this.callerInstances;
     const timeoutMs = this.random.next() < 0.3 ? 60 * this.random.next() : 2_000;
-    this.link.call(String(made.id), timeoutMs).then(
+    this.link.call(String(record.id), timeoutMs).then(
       (answer) => {
         const [id, instance] = answer.split(' ');
-        if (Number(id) !== made.id) this.bad.push(`call ${made.id} got the answer of call ${id}`);
-        made.endings.push('answered');
-        if (caller === this.callerInstances) this.heardOf = instance;
+        if (Number(id) !== record.id) this.bad.push(`call ${record.id} got the answer of call ${id}`);
+        record.outcomes.push('answered');
+        if (caller === this.callerInstances) this.lastAnsweringInstance = instance;
       },
       (e: unknown) => {
-        const fault: ErrorDetails | undefined = e instanceof HarecrossError ? e.details : undefined;
-        made.endings.push(fault?.tag ?? 'thrown');
-        if (fault?.tag === 'unreachable' && made.runs.length)
-          this.bad.push(`call ${made.id} was run, and unreachable to its caller`);
+        const details: ErrorDetails | undefined = e instanceof HarecrossError ? e.details : undefined;
+        record.outcomes.push(details?.tag ?? 'thrown');
+        if (details?.tag === 'unreachable' && record.executedBy.length)
+          this.bad.push(`call ${record.id} was run, and unreachable to its caller`);
       },
     );
   }
 
-  private some(): Connection | undefined {
+  private randomOpenConnection(): Connection | undefined {
     const open = this.connections.filter((c) => !c.ends[0].closed);
     return open[Math.floor(this.random.next() * open.length)];
   }
 
   private schedule(): void {
     const { plan, random, time } = this;
-    const often = (n: number, run: () => void): void => {
+    const atRandomTimes = (n: number, run: () => void): void => {
       for (let i = 0; i < n; i++) time.after(random.next() * plan.forMs, run);
     };
-    // Calls come in bursts, so that some are under way when trouble strikes.
-    often(plan.calls / 4, () => {
+    // Calls are made in bursts, so that some are in flight when a fault is injected.
+    atRandomTimes(plan.calls / 4, () => {
       for (let i = 0; i < 4; i++) time.after(20 * random.next(), () => this.call());
     });
-    often(plan.resets, () => this.some()?.reset());
-    often(plan.silences, () => {
-      const c = this.some();
+    atRandomTimes(plan.resets, () => this.randomOpenConnection()?.reset());
+    atRandomTimes(plan.silences, () => {
+      const c = this.randomOpenConnection();
       const ms = 1_500 * random.next();
-      const ways = random.next();
-      if (ways < 0.7) c?.silence(0, ms);
-      if (ways > 0.4) c?.silence(1, ms);
+      const directionDraw = random.next();
+      if (directionDraw < 0.7) c?.silence(0, ms);
+      if (directionDraw > 0.4) c?.silence(1, ms);
     });
-    often(plan.serverRestarts, () => this.restartServer());
-    often(plan.callerRestarts, () => this.restartCaller());
+    atRandomTimes(plan.serverRestarts, () => this.restartServer());
+    atRandomTimes(plan.callerRestarts, () => this.restartCaller());
   }
 
-  async play(): Promise<CallsResult> {
+  async run(): Promise<CallsResult> {
     this.startServer();
     this.startCaller();
     this.schedule();
     await this.time.run(this.plan.forMs + 10_000);
     const ended = new Map<string, number>();
-    for (const m of this.made) {
-      if (m.endings.length > 1 || (m.endings.length === 0 && !m.orphan))
-        this.bad.push(`call ${m.id} ended ${m.endings.length} times: ${m.endings.join(', ')}`);
-      for (const how of m.endings) ended.set(how, (ended.get(how) ?? 0) + 1);
+    for (const call of this.calls) {
+      if (call.outcomes.length > 1 || (call.outcomes.length === 0 && !call.callerRestarted))
+        this.bad.push(`call ${call.id} ended ${call.outcomes.length} times: ${call.outcomes.join(', ')}`);
+      for (const outcome of call.outcomes) ended.set(outcome, (ended.get(outcome) ?? 0) + 1);
     }
     return { bad: this.bad, events: this.time.events, ended };
   }
 }
 
-/** Whether one introduction is of a later connection from the same address than another. */
+/** Whether `a` identifies a later connection from the same address than `b`. */
 function isLater(a: PeerIdentity | undefined, b: PeerIdentity | undefined): boolean {
   if (!a || !b || a.address !== b.address) return false;
   if (a.instance === b.instance) return a.connection > b.connection;
@@ -453,10 +460,10 @@
 }
 
 /**
- * One run of the model.
+ * Runs the simulation with one seed.
  * @example
- * (await playCalls(7)).bad; // []
+ * (await simulateCalls(7)).violations; // []
  */
 export function playCalls(seed: number, plan: CallsPlan = CALLS_PLAN): Promise<CallsResult> {
-  return new World(seed, plan).play();
+  return new CallsModel(seed, plan).run();
 }
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -14,23 +14,23 @@
 import type { Json } from './json.js';
 
 export interface KeyPlan {
-  /** Times that some node takes the key, in all. */
+  /** The maximum number of takeovers of the shard, over all nodes. */
   takes: number;
-  /** Messages of one sender, and how often any of them is sent, in all. */
+  /** `messages`: distinct messages, all of one sender. `sends`: the maximum number of sends, including repeated ones. */
   messages: number;
   sends: number;
-  /** Visits, or answers to them, that may be lost. */
+  /** The maximum number of requests and responses lost. */
   losses: number;
-  /** Times a node may end and begin anew, with what its disk has. */
+  /** The maximum number of restarts of nodes, all together. A node restarts with the contents of its disk. */
   restarts: number;
-  /** The copy at `a` is replaced by one at `d` in one step: `a` has not heard of it, the others have. Then `a` and `c` take the key. */
+  /** Replaces the replica on `a` by one on `d` in one step. `a` hasn't learned of it, the others have. `a` and `c` take the shard over. */
   replacement?: boolean;
   planted?:
-    | 'takes lower fences'
+    | 'accepts lower fences'
     | 'forgets its promise'
     | 'answers before it has synced'
-    | 'hides its history'
-    | 'heeds no copies before';
+    | 'reports an empty log'
+    | 'ignores the previous replicas';
   mostStates?: number;
 }
 export interface KeyResult {
@@ -40,7 +40,7 @@
   bad?: { what: string; path: string[] };
 }
 
-/** Three with copies; the fourth has one where a copy is replaced. */
+/** The first three have replicas. The fourth has one only in plans with a replacement. */
 const NODES = ['a', 'b', 'c', 'd'];
 const COPIES = NODES.slice(0, 3);
 const TOPIC = 't/1';
@@ -48,7 +48,7 @@
 const CONFIG = {
   families: [{ name: 'f', topics: ['t/*'], urgency: 'routine' as const, patienceMs: 2_000, memoryS: 30 }],
 };
-const VALUE = {
+const INITIAL_VALUE = {
   rev: 1,
   version: 1,
   config: CONFIG,
@@ -56,83 +56,84 @@
   shards: new Map([[SHARD, { gen: 1, copies: COPIES }]]),
   disks: new Map(NODES.map((d) => [d, { id: d, peer: d, domain: d, state: 'active' }])),
 };
-/** The value after the copy at `a` was replaced. */
+/** The register's value after the replica on `a` was replaced. */
 const replacedValue = (previous: string[] | undefined) => ({
-  ...VALUE,
+  ...INITIAL_VALUE,
   rev: 2,
   shards: new Map([[SHARD, { gen: 2, copies: ['b', 'c', 'd'], ...(previous ? { previous } : {}) }]]),
 });
 /** Orders entries of a map by their keys. */
-const byFirst = <K extends string | number>([a]: [K, unknown], [b]: [K, unknown]): number => {
+const byKey = <K extends string | number>([a]: [K, unknown], [b]: [K, unknown]): number => {
   if (a === b) return 0;
   return a < b ? -1 : 1;
 };
-const turn = (): Promise<void> => new Promise((r) => setImmediate(r));
+const nextIteration = (): Promise<void> => new Promise((r) => setImmediate(r));
 
 type Handler = (b: Json, f: Json) => unknown;
-interface Ask {
+interface PendingCall {
   from: number;
   to: number;
   m: string;
   body: Json;
-  res: (x: unknown) => void;
-  rej: (e: unknown) => void;
+  resolve: (x: unknown) => void;
+  reject: (e: unknown) => void;
 }
 interface Step {
   label: string;
-  go: () => void;
+  run: () => void;
 }
 
-/** Three nodes with the real copies and owners of one key; the search chooses what happens next. */
-class World {
-  private asks: Ask[] = [];
-  private sleeps: { of: number; life: number; fn: () => void }[] = [];
+/** Four nodes that run the production code of the replicas and the owner of one shard. The search chooses what happens next. */
+class ShardModel {
+  private pendingCalls: PendingCall[] = [];
+  private pendingRetries: { node: number; instanceNumber: number; fn: () => void }[] = [];
   private disks: Map<number, Replica>[] = NODES.map(() => new Map());
   private handlers: Map<string, Handler>[] = NODES.map(() => new Map());
   private owners: ShardOwner[] = [];
-  private lives = NODES.map(() => 0);
-  /** What a node asked and heard for the take or the owner it is now. */
-  private said: { fence: string; lines: Set<string> }[] = NODES.map(() => ({ fence: '', lines: new Set() }));
-  private took = 0;
+  private instanceNumbers = NODES.map(() => 0);
+  /** The requests and responses of each node in its current takeover or ownership, which `fence` identifies. */
+  private histories: { fence: string; lines: Set<string> }[] = NODES.map(() => ({ fence: '', lines: new Set() }));
+  private takeoverCount = 0;
   private sent: number[] = [];
-  private waiting: string[] = [];
+  private unansweredSends: string[] = [];
   private lost = 0;
   private restarted = 0;
   private accepted = new Map<number, number>();
   private refused = new Set<number>();
-  bad?: string;
+  violation?: string;
 
   constructor(private plan: KeyPlan) {
-    NODES.forEach((_, i) => this.begin(i));
+    NODES.forEach((_, i) => this.startNode(i));
   }
 
-  private valueAt(node: string): unknown {
-    if (!this.plan.replacement || node === 'a') return VALUE;
-    return replacedValue(this.plan.planted === 'heeds no copies before' ? undefined : COPIES);
+  private registerValueAt(node: string): unknown {
+    if (!this.plan.replacement || node === 'a') return INITIAL_VALUE;
+    return replacedValue(this.plan.planted === 'ignores the previous replicas' ? undefined : COPIES);
   }
 
-  /** Whether a node takes the key in this plan. */
-  private takes(node: string): boolean {
+  /** Whether a node may take over the shard in this plan. */
+  private mayTakeShard(node: string): boolean {
     return node === 'a' || node === (this.plan.replacement ? 'c' : 'b');
   }
 
-  private begin(i: number): void {
-    const life = ++this.lives[i]!;
+  private startNode(i: number): void {
+    const instanceNumber = ++this.instanceNumbers[i]!;
     const self = NODES[i]!;
     this.handlers[i]!.clear();
-    // The clock stands; only pauses between tries are awaited, and the search ends them.
+    // The clock is stopped. Of the timers, only delays of at most 1 ms elapse by themselves, and delays before retries (under 100 ms) are
+    // ended by the search; longer ones never elapse.
     const clock: Clock = {
       now: () => 0,
       wall: () => 0,
       after: (ms, fn) => {
         if (ms <= 1) queueMicrotask(fn);
-        else if (ms < 100) this.sleeps.push({ of: i, life, fn });
+        else if (ms < 100) this.pendingRetries.push({ node: i, instanceNumber, fn });
         return () => undefined;
       },
     };
-    const k = {
+    const kernelStub = {
       self,
-      instanceId: String(life),
+      instanceId: String(instanceNumber),
       rev: 1,
       phase: 'running',
       startedAt: 0,
@@ -145,7 +146,7 @@
         log: {
           info: () => undefined,
           warn: (s: string, x: unknown) => {
-            this.bad ??= `${self}: ${s} ${JSON.stringify(x)}`;
+            this.violation ??= `${self}: ${s} ${JSON.stringify(x)}`;
           },
         },
       },
@@ -156,8 +157,8 @@
       on: (m: string, h: Handler) => {
         this.handlers[i]!.set(m, h);
       },
-      call: (peer: string, m: string, body: Json) => this.call(i, life, NODES.indexOf(peer), m, body),
-      callAnyPath: (peer: string, m: string, body: Json) => this.call(i, life, NODES.indexOf(peer), m, body),
+      call: (peer: string, m: string, body: Json) => this.call(i, instanceNumber, NODES.indexOf(peer), m, body),
+      callAnyPath: (peer: string, m: string, body: Json) => this.call(i, instanceNumber, NODES.indexOf(peer), m, body),
     };
     const member = (d: string) => ({ peer: d, disk: d, state: 'live', condition: 'ready', inst: '1', liveSince: 0 });
     const membership = {
@@ -173,22 +174,26 @@
       updateOwnState: () => undefined,
     };
     const register = {
-      value: this.valueAt(self),
+      value: this.registerValueAt(self),
       value$: new Subject(),
       readLeaseStarted$: new Subject(),
       hasReadLease: () => true,
       peerOf: (d: string) => d,
       disk: self,
     };
-    const st = new DurableState({
+    const durableState = new DurableState({
       sql: undefined,
       commit: async (f: () => unknown) => f(),
     } as unknown as SyncedDatabase);
-    // The real store without its file: what it keeps in memory is what the file would have.
-    const none = { run: () => undefined, get: () => undefined, all: () => [] };
-    Object.assign(st, { statement: () => none, get: () => self, loadReplicas: () => this.disks[i]! });
-    const kernel = k as unknown as Kernel;
-    const copies = new ReplicaStore(kernel, st);
+    // The production store without its file: its state in memory stands for the contents of the file.
+    const emptyStatement = { run: () => undefined, get: () => undefined, all: () => [] };
+    Object.assign(durableState, {
+      statement: () => emptyStatement,
+      get: () => self,
+      loadReplicas: () => this.disks[i]!,
+    });
+    const kernel = kernelStub as unknown as Kernel;
+    const copies = new ReplicaStore(kernel, durableState);
     this.owners[i] = new ShardOwner(
       kernel,
       membership as unknown as MembershipTable,
@@ -197,47 +202,54 @@
     );
   }
 
-  private key1(i: number): ShardState {
+  private shardState(i: number): ShardState {
     return (this.owners[i] as unknown as { shards: ShardTable }).shards.get(SHARD);
   }
 
-  private handle(to: number, m: string, body: Json, from: number): Promise<unknown> {
+  private handle(to: number, method: string, body: Json, from: number): Promise<unknown> {
     return Promise.resolve().then(() =>
-      this.handlers[to]!.get(m)!(body, { peer: NODES[from], instanceId: '1', toLocal: (t: number) => t }),
+      this.handlers[to]!.get(method)!(body, { peer: NODES[from], instanceId: '1', toLocal: (t: number) => t }),
     );
   }
 
-  private call(from: number, life: number, to: number, m: string, body: Json): Promise<unknown> {
-    const text = JSON.stringify(body);
-    if (from === to) return this.handle(to, m, JSON.parse(text), from);
-    const fence: string = m === 'Fence' ? body.items[0].fence : (body.fence ?? this.said[from]!.fence);
-    this.notes(from, fence, `> ${m} ${to} ${text}`);
-    return new Promise((res, rej) => {
-      const alive =
+  private call(from: number, instanceNumber: number, to: number, method: string, body: Json): Promise<unknown> {
+    const encoded = JSON.stringify(body);
+    if (from === to) return this.handle(to, method, JSON.parse(encoded), from);
+    const fence: string = method === 'Fence' ? body.items[0].fence : (body.fence ?? this.histories[from]!.fence);
+    this.notes(from, fence, `> ${method} ${to} ${encoded}`);
+    return new Promise((resolve, reject) => {
+      const ifSameInstance =
         (fn: (x: Json) => void) =>
         (x: unknown): void => {
-          if (this.lives[from] === life) fn(x);
+          if (this.instanceNumbers[from] === instanceNumber) fn(x);
         };
-      this.asks.push({ from, to, m, body: JSON.parse(text), res: alive(res), rej: alive(rej) });
+      this.pendingCalls.push({
+        from,
+        to,
+        m: method,
+        body: JSON.parse(encoded),
+        resolve: ifSameInstance(resolve),
+        reject: ifSameInstance(reject),
+      });
     });
   }
 
   private notes(i: number, fence: string, line: string): void {
-    const s = this.said[i]!;
-    if (fence < s.fence) return;
-    if (fence > s.fence) this.said[i] = { fence, lines: new Set([line]) };
-    else s.lines.add(line);
+    const history = this.histories[i]!;
+    if (fence < history.fence) return;
+    if (fence > history.fence) this.histories[i] = { fence, lines: new Set([line]) };
+    else history.lines.add(line);
   }
 
-  private arrives(a: Ask, answer: (x: unknown) => void): void {
+  private deliver(call: PendingCall, answer: (x: unknown) => void): void {
     const { planted } = this.plan;
-    const c = this.disks[a.to]!.get(SHARD);
-    if (planted === 'takes lower fences' && a.m === 'Append' && c && a.body.fence < c.promised)
-      c.promised = a.body.fence;
-    void this.handle(a.to, a.m, a.body, a.from)
-      .catch((e) => (e instanceof HarecrossError ? e : new HarecrossError(toErrorDetails(e, a.m, NODES[a.to]!))))
+    const replica = this.disks[call.to]!.get(SHARD);
+    if (planted === 'accepts lower fences' && call.m === 'Append' && replica && call.body.fence < replica.promised)
+      replica.promised = call.body.fence;
+    void this.handle(call.to, call.m, call.body, call.from)
+      .catch((e) => (e instanceof HarecrossError ? e : new HarecrossError(toErrorDetails(e, call.m, NODES[call.to]!))))
       .then((x) => {
-        if (planted === 'hides its history' && a.m === 'Fence')
+        if (planted === 'reports an empty log' && call.m === 'Fence')
           x = (x as { ok: boolean }[]).map((p) => (p.ok ? { ...p, lastIdx: 0, lastFence: '', baseIdx: 0 } : p));
         answer(x);
       });
@@ -245,201 +257,203 @@
 
   private send(seq: number, i: number): void {
     this.sent.push(seq);
-    const tag = `${seq}@${i}.${this.lives[i]}`;
-    this.waiting.push(tag);
-    const life = this.lives[i];
-    const over = (): boolean => {
-      this.waiting.splice(this.waiting.indexOf(tag), 1);
-      return this.lives[i] === life;
+    const sendKey = `${seq}@${i}.${this.instanceNumbers[i]}`;
+    this.unansweredSends.push(sendKey);
+    const instanceNumber = this.instanceNumbers[i];
+    const finishSend = (): boolean => {
+      this.unansweredSends.splice(this.unansweredSends.indexOf(sendKey), 1);
+      return this.instanceNumbers[i] === instanceNumber;
     };
     this.handle(i, 'Publish', { sender: 's', topic: TOPIC, seq, body: `m${seq}` }, i).then(
       (x) => {
-        if (!over()) return;
+        if (!finishSend()) return;
         const { offset } = x as { offset: number };
-        const had = this.accepted.get(seq);
-        if (had !== undefined && had !== offset) this.bad = `message ${seq} was accepted at ${had} and at ${offset}`;
+        const previousOffset = this.accepted.get(seq);
+        if (previousOffset !== undefined && previousOffset !== offset)
+          this.violation = `message ${seq} was accepted at ${previousOffset} and at ${offset}`;
         for (const [s, o] of this.accepted)
-          if (s !== seq && o === offset) this.bad = `messages ${s} and ${seq} were both accepted at ${offset}`;
-        if (this.refused.has(seq)) this.bad = `message ${seq} was refused for good, and accepted`;
+          if (s !== seq && o === offset) this.violation = `messages ${s} and ${seq} were both accepted at ${offset}`;
+        if (this.refused.has(seq)) this.violation = `message ${seq} was refused for good, and accepted`;
         this.accepted.set(seq, offset);
       },
       (e) => {
-        if (!over()) return;
+        if (!finishSend()) return;
         if (toErrorDetails(e, 'Publish', NODES[i]!).tag !== 'stale_seq') return;
-        if (this.accepted.has(seq)) this.bad = `message ${seq} was accepted, and refused for good`;
+        if (this.accepted.has(seq)) this.violation = `message ${seq} was accepted, and refused for good`;
         this.refused.add(seq);
       },
     );
   }
 
-  /** Whoever owns the key, by the promises of a majority, has what was accepted, and not what was refused for good. */
-  check(): void {
+  /** Checks that an owner with the promises of a majority has every accepted message and none that was permanently refused. */
+  checkOwners(): void {
     NODES.forEach((n, i) => {
-      const key = this.key1(i);
-      if (key.phase !== 'owner') return;
-      const promised = key.replicas.filter((d) => this.disks[NODES.indexOf(d)]!.get(SHARD)?.promised === key.fence);
-      if (promised.length * 2 <= key.replicas.length) return;
+      const shard = this.shardState(i);
+      if (shard.phase !== 'owner') return;
+      const promised = shard.replicas.filter((d) => this.disks[NODES.indexOf(d)]!.get(SHARD)?.promised === shard.fence);
+      if (promised.length * 2 <= shard.replicas.length) return;
       for (const [seq, off] of this.accepted) {
-        const o = key.outcomeOf(TOPIC, 's', seq);
+        const o = shard.outcomeOf(TOPIC, 's', seq);
         if (o.tag !== 'stored' || o.off !== off)
-          this.bad ??= `${n} owns the key, and message ${seq}, accepted at ${off}, is ${o.tag}`;
+          this.violation ??= `${n} owns the key, and message ${seq}, accepted at ${off}, is ${o.tag}`;
       }
       for (const seq of this.refused)
-        if (key.outcomeOf(TOPIC, 's', seq).tag === 'stored')
-          this.bad ??= `${n} owns the key and has message ${seq}, which was refused for good`;
+        if (shard.outcomeOf(TOPIC, 's', seq).tag === 'stored')
+          this.violation ??= `${n} owns the key and has message ${seq}, which was refused for good`;
     });
   }
 
   steps(): Step[] {
     const { plan } = this;
-    const out: Step[] = [];
-    for (const a of this.asks) {
-      const label = `${a.m} ${NODES[a.from]}>${NODES[a.to]} ${JSON.stringify(a.body).replace(/0000+/g, '').slice(0, 90)}`;
-      const off = (): void => {
-        this.asks.splice(this.asks.indexOf(a), 1);
+    const steps: Step[] = [];
+    for (const call of this.pendingCalls) {
+      const label = `${call.m} ${NODES[call.from]}>${NODES[call.to]} ${JSON.stringify(call.body).replace(/0000+/g, '').slice(0, 90)}`;
+      const removePending = (): void => {
+        this.pendingCalls.splice(this.pendingCalls.indexOf(call), 1);
       };
-      const fails = (): void => {
+      const lose = (): void => {
         this.lost++;
-        this.notes(a.from, this.said[a.from]!.fence, `lost ${label}`);
-        a.rej(new HarecrossError({ tag: 'timeout', step: a.m, peer: NODES[a.to]! }));
+        this.notes(call.from, this.histories[call.from]!.fence, `lost ${label}`);
+        call.reject(new HarecrossError({ tag: 'timeout', step: call.m, peer: NODES[call.to]! }));
       };
-      out.push({
+      steps.push({
         label,
-        go: () => {
-          off();
-          this.arrives(a, (x) => {
-            this.notes(a.from, this.said[a.from]!.fence, `< ${a.m} ${a.to} ${JSON.stringify(x)}`);
-            if (x instanceof HarecrossError) a.rej(x);
-            else a.res(x);
+        run: () => {
+          removePending();
+          this.deliver(call, (x) => {
+            this.notes(call.from, this.histories[call.from]!.fence, `< ${call.m} ${call.to} ${JSON.stringify(x)}`);
+            if (x instanceof HarecrossError) call.reject(x);
+            else call.resolve(x);
           });
         },
       });
       if (this.lost < plan.losses) {
-        out.push({
+        steps.push({
           label: `lost: ${label}`,
-          go: () => {
-            off();
-            fails();
+          run: () => {
+            removePending();
+            lose();
           },
         });
-        out.push({
+        steps.push({
           label: `its answer lost: ${label}`,
-          go: () => {
-            off();
-            this.arrives(a, fails);
+          run: () => {
+            removePending();
+            this.deliver(call, lose);
           },
         });
       }
     }
-    for (const s of this.sleeps)
-      out.push({
-        label: `${NODES[s.of]} tries again`,
-        go: () => {
-          this.sleeps.splice(this.sleeps.indexOf(s), 1);
-          if (this.lives[s.of] === s.life) s.fn();
+    for (const timer of this.pendingRetries)
+      steps.push({
+        label: `${NODES[timer.node]} tries again`,
+        run: () => {
+          this.pendingRetries.splice(this.pendingRetries.indexOf(timer), 1);
+          if (this.instanceNumbers[timer.node] === timer.instanceNumber) timer.fn();
         },
       });
     NODES.forEach((n, i) => {
-      const { phase: state } = this.key1(i);
-      if (this.took < plan.takes && state !== 'taking' && state !== 'confirming' && this.takes(n))
-        out.push({
+      const { phase: state } = this.shardState(i);
+      if (this.takeoverCount < plan.takes && state !== 'taking' && state !== 'confirming' && this.mayTakeShard(n))
+        steps.push({
           label: `${n} takes the key`,
-          go: () => {
-            this.took++;
+          run: () => {
+            this.takeoverCount++;
             void this.handle(i, 'TakeKey', { shard: SHARD }, i);
           },
         });
       if (this.sent.length < plan.sends && (state === 'owner' || state === 'confirming')) {
         const next = Math.max(0, ...this.sent) + 1;
         for (let seq = 1; seq <= Math.min(next, plan.messages); seq++) {
-          if (!this.waiting.includes(`${seq}@${i}.${this.lives[i]}`))
-            out.push({ label: `message ${seq} to ${n}`, go: () => this.send(seq, i) });
+          if (!this.unansweredSends.includes(`${seq}@${i}.${this.instanceNumbers[i]}`))
+            steps.push({ label: `message ${seq} to ${n}`, run: () => this.send(seq, i) });
         }
       }
       if (this.restarted < plan.restarts && COPIES.includes(n)) {
-        out.push({
+        steps.push({
           label: `${n} begins anew`,
-          go: () => {
+          run: () => {
             this.restarted++;
-            const c = this.disks[i]!.get(SHARD);
-            if (c && plan.planted === 'forgets its promise') c.promised = '';
-            if (c && plan.planted === 'answers before it has synced') c.entries.pop();
-            this.asks = this.asks.filter((a) => a.from !== i);
-            this.said[i] = { fence: '', lines: new Set() };
+            const replica = this.disks[i]!.get(SHARD);
+            if (replica && plan.planted === 'forgets its promise') replica.promised = '';
+            if (replica && plan.planted === 'answers before it has synced') replica.entries.pop();
+            this.pendingCalls = this.pendingCalls.filter((a) => a.from !== i);
+            this.histories[i] = { fence: '', lines: new Set() };
             this.disks[i] = structuredClone(this.disks[i]!);
-            this.begin(i);
+            this.startNode(i);
           },
         });
       }
     });
-    return out;
+    return steps;
   }
 
   key(): string {
-    const copy = (c: Replica | undefined): unknown =>
+    const replicaKey = (c: Replica | undefined): unknown =>
       c && [c.promised, c.base.idx, c.entries.map((e) => [e.idx, e.fence, e.off, e.seq])];
     return JSON.stringify([
-      this.disks.map((d) => copy(d.get(SHARD))),
+      this.disks.map((d) => replicaKey(d.get(SHARD))),
       NODES.map((_, i) => {
-        const x = this.key1(i);
+        const state = this.shardState(i);
         return [
-          x.phase,
-          x.fence,
-          x.commitIndex,
-          x.entries.map((e) => [e.fence, e.off, e.seq]),
-          [...x.matchIndex].sort(byFirst),
-          [...x.nextIndex].sort(byFirst),
-          [...x.appendsInFlight].sort(),
-          x.commitWaiters.map((waiter) => waiter.index),
+          state.phase,
+          state.fence,
+          state.commitIndex,
+          state.entries.map((e) => [e.fence, e.off, e.seq]),
+          [...state.matchIndex].sort(byKey),
+          [...state.nextIndex].sort(byKey),
+          [...state.appendsInFlight].sort(),
+          state.commitWaiters.map((waiter) => waiter.index),
         ];
       }),
-      this.said.map((s) => [s.fence, ...[...s.lines].sort()]),
-      this.lives,
-      this.asks.map((a) => `${a.from}${a.to}${a.m}${JSON.stringify(a.body)}`).sort(),
-      this.sleeps.map((s) => s.of).sort((a, b) => a - b),
-      this.took,
+      this.histories.map((s) => [s.fence, ...[...s.lines].sort()]),
+      this.instanceNumbers,
+      this.pendingCalls.map((a) => `${a.from}${a.to}${a.m}${JSON.stringify(a.body)}`).sort(),
+      this.pendingRetries.map((s) => s.node).sort((a, b) => a - b),
+      this.takeoverCount,
       this.sent,
-      [...this.waiting].sort(),
+      [...this.unansweredSends].sort(),
       this.lost,
       this.restarted,
-      [...this.accepted].sort(byFirst),
+      [...this.accepted].sort(byKey),
       [...this.refused].sort((a, b) => a - b),
     ]);
   }
 }
 
 /**
- * Searches what can become of one key at three nodes: takes, messages, losses and restarts in every order, by running
- * the real owner and copies anew along each path.
+ * Searches every order of takeovers, messages, losses and restarts of one shard by rerunning the production code of the owner and the
+ * replicas along each path.
  * @example
- * (await exploreKey(KEY_PLANS.get('handover')!)).states
+ * (await exploreShard(SHARD_PLANS.get('handover')!)).states
  */
 export async function exploreKey(plan: KeyPlan): Promise<KeyResult> {
   const seen = new Set<string>();
   let runs = 0;
-  const most = plan.mostStates ?? Infinity;
+  const maxStates = plan.mostStates ?? Infinity;
   const stack: number[][] = [[]];
   while (stack.length) {
-    if (seen.size >= most) return { states: seen.size, runs, whole: false };
+    if (seen.size >= maxStates) return { states: seen.size, runs, whole: false };
     const path = stack.pop()!;
-    const w = new World(plan);
+    const model = new ShardModel(plan);
     runs++;
     const labels: string[] = [];
     const step = async (i: number): Promise<void> => {
-      const s = w.steps()[i]!;
-      labels.push(s.label);
-      s.go();
-      await turn();
-      w.check();
+      const chosen = model.steps()[i]!;
+      labels.push(chosen.label);
+      chosen.run();
+      await nextIteration();
+      model.checkOwners();
     };
     for (const i of path) await step(i);
     for (;;) {
-      if (w.bad) return { states: seen.size, runs, whole: false, bad: { what: w.bad, path: labels } };
-      const key = w.key();
+      if (model.violation)
+        return { states: seen.size, runs, whole: false, bad: { what: model.violation, path: labels } };
+      const key = model.key();
       if (seen.has(key)) break;
       seen.add(key);
-      const n = w.steps().length;
-      if (!n || seen.size >= most) break;
+      const n = model.steps().length;
+      if (!n || seen.size >= maxStates) break;
       for (let i = n - 1; i > 0; i--) stack.push([...path, i]);
       path.push(0);
       await step(0);
@@ -449,11 +463,11 @@
 }
 
 export const KEY_PLANS = new Map<string, KeyPlan>([
-  // The key goes from one owner to another while a message is on its way.
+  // The shard moves from one owner to another while a message is in flight.
   ['handover', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 0 }],
-  // One owner, two messages of a sender, with a visit or an answer lost.
+  // One owner, two messages of one sender, and one request or response lost.
   ['lossy', { takes: 1, messages: 2, sends: 2, losses: 1, restarts: 0 }],
-  // A copy is replaced in one step while an owner of the generation before, which has not heard of it, has the key or takes it.
+  // A replica is replaced in one step while a node of the previous generation, which hasn't learned of it, owns the shard or takes it over.
   ['replacement', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 0, replacement: true }],
   ['replacement-again', { takes: 3, messages: 1, sends: 2, losses: 0, restarts: 0, replacement: true }],
   ['handover-restart', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 1 }],
@@ -461,16 +475,16 @@
 ]);
 
 if (process.argv[1] && import.meta.url === pathToFileURL(process.argv[1]).href) {
-  const [name, most] = process.argv.slice(2);
-  for (const [n, plan] of KEY_PLANS) {
-    if (name !== undefined && n !== name) continue;
-    const from = Date.now();
-    const r = await exploreKey({ ...plan, mostStates: most === undefined ? 1_000_000 : Number(most) });
-    const bad = r.bad ? `\nBAD: ${r.bad.what}\n  ${r.bad.path.join('\n  ')}` : '';
-    const whole = r.whole ? 'all of them' : 'not all';
+  const [name, maxStates] = process.argv.slice(2);
+  for (const [planName, plan] of KEY_PLANS) {
+    if (name !== undefined && planName !== name) continue;
+    const startedAt = Date.now();
+    const result = await exploreKey({ ...plan, mostStates: maxStates === undefined ? 1_000_000 : Number(maxStates) });
+    const violation = result.bad ? `\nBAD: ${result.bad.what}\n  ${result.bad.path.join('\n  ')}` : '';
+    const completeness = result.whole ? 'all of them' : 'not all';
     process.stdout.write(
-      `${n}: ${r.states} states, ${r.runs} runs, ${whole}, ${((Date.now() - from) / 1000).toFixed(1)} s${bad}\n`,
+      `${planName}: ${result.states} states, ${result.runs} runs, ${completeness}, ${((Date.now() - startedAt) / 1000).toFixed(1)} s${violation}\n`,
     );
-    if (r.bad) process.exitCode = 1;
+    if (result.bad) process.exitCode = 1;
   }
 }
--- a/packages/trial/src/model.ts
+++ b/packages/trial/src/model.ts
@@ -5,31 +5,31 @@
 import { NEVER } from 'rxjs';
 import type { Json } from './json.js';
 
-/** A change that a proposer makes: the seats it asks for, if any; each change leaves its name in the value. */
+/** A change that a proposer makes. Each change records its name in the value; `seats` returns the new voters, if it changes them. */
 export interface Change {
   name: string;
   seats?: (s: string[]) => string[];
 }
 
 export interface ModelPlan {
-  /** Seats that are there; the value begins with the first three. */
+  /** The number of acceptors. The first three are the initial voters. */
   seats: number;
-  /** For each proposer its changes, one after another. */
+  /** The changes of each proposer, made in sequence. */
   proposers: Change[][];
-  /** Messages that may be lost in one run. */
+  /** The maximum number of requests and responses lost in one run. */
   losses: number;
-  /** Times a proposer may begin a change again. */
+  /** The maximum number of retries of each proposer. */
   retries: number;
-  /** Times a seat's process may end and begin anew, with what it had saved. */
+  /** The maximum number of restarts of acceptors, all together. An acceptor restarts with its saved state. */
   restarts: number;
-  /** A fault planted into the seats, to see that it is found. */
+  /** A fault that is injected to verify that the search detects it. */
   planted?:
     | 'accepts below its promise'
     | 'forgets its promise'
-    | 'hides what it accepted'
-    | 'comes back older'
-    | 'heeds no voters before';
-  /** The search ends after this many states. */
+    | 'reports its initial value'
+    | 'restarts from its initial state'
+    | 'skips the previous voters';
+  /** The search stops after this many states. */
   mostStates?: number;
 }
 export interface ModelResult {
@@ -40,7 +40,7 @@
 }
 
 type Handler = (b: Json) => unknown;
-type Event =
+type PendingEvent =
   | {
       t: 'ask';
       from: number;
@@ -53,13 +53,13 @@
   | { t: 'wake'; from: number; fn: () => void };
 interface Step {
   label: string;
-  go: () => void;
+  run: () => void;
 }
 
 const diskOf = (i: number): string => `d${i}`;
-const changesOf = (v: FleetValue): string => [...v.changes.keys()].join(',');
-const turn = (): Promise<void> => new Promise((r) => setImmediate(r));
-const idle: Clock = { now: () => 0, wall: () => 0, after: () => () => undefined };
+const changeNames = (v: FleetValue): string => [...v.changes.keys()].join(',');
+const nextIteration = (): Promise<void> => new Promise((r) => setImmediate(r));
+const stoppedClock: Clock = { now: () => 0, wall: () => 0, after: () => () => undefined };
 
 function genesis(): FleetValue {
   return {
@@ -80,45 +80,45 @@
 }
 
 /**
- * A few seats and proposers of the real register. Nothing happens by itself: the search chooses which message arrives
- * next, which is lost, who begins again, and which seat restarts.
+ * A few acceptors and proposers that run the production code of the register. Nothing happens by itself: the search chooses which
+ * message is delivered next, which is lost, which proposer retries, and which acceptor restarts.
  */
-class World {
-  pending: Event[] = [];
-  private saved: AcceptorState[] = [];
+class RegisterModel {
+  pending: PendingEvent[] = [];
+  private acceptorStates: AcceptorState[] = [];
   private handlers: Map<string, Handler>[] = [];
-  private regs: ConsensusRegister[] = [];
+  private proposers: ConsensusRegister[] = [];
   private learned: { by: number; v: FleetValue; text: string }[] = [];
-  /** What a proposer sent and heard under its present ballot. */
-  private history: { ballot: string; said: Set<string> }[] = [];
+  /** The messages that each proposer sent and received with its current ballot. */
+  private history: { ballot: string; entries: Set<string> }[] = [];
   private first: AcceptorState;
   private lost = 0;
   private restarted = 0;
-  private wakes: number[] = [];
+  private retryCounts: number[] = [];
   private done: string[] = [];
-  bad?: string;
+  violation?: string;
 
   constructor(private plan: ModelPlan) {
     this.first = { promised: '000000000000.x', ballot: '000000000000.x', value: pack(genesis()) };
     for (let i = 0; i < plan.seats; i++) {
-      this.saved.push(i < 3 ? { ...this.first } : { promised: '', ballot: '', value: undefined });
+      this.acceptorStates.push(i < 3 ? { ...this.first } : { promised: '', ballot: '', value: undefined });
       this.handlers.push(new Map());
       this.seat(i);
     }
     plan.proposers.forEach((changes, i) => {
-      this.history.push({ ballot: '', said: new Set() });
-      this.wakes.push(0);
+      this.history.push({ ballot: '', entries: new Set() });
+      this.retryCounts.push(0);
       const register = new ConsensusRegister(this.kernel(i, undefined), this.membership());
-      this.regs.push(register);
+      this.proposers.push(register);
       register.value$.subscribe((v) => {
-        if (v) this.learns(i, v);
+        if (v) this.recordLearned(i, v);
       });
       (register as unknown as { learn(v: FleetValue): void }).learn(genesis());
-      void this.work(i, register, changes);
+      void this.runChanges(i, register, changes);
     });
   }
 
-  private async work(i: number, register: ConsensusRegister, changes: Change[]): Promise<void> {
+  private async runChanges(i: number, register: ConsensusRegister, changes: Change[]): Promise<void> {
     for (const c of changes) {
       try {
         await register.change((v) => ({
@@ -135,7 +135,8 @@
         return;
       }
       this.done.push(c.name);
-      if (!register.value!.changes.has(c.name)) this.bad = `${c.name} was said to be done and is not in the value`;
+      if (!register.value!.changes.has(c.name))
+        this.violation = `${c.name} was said to be done and is not in the value`;
     }
   }
 
@@ -156,36 +157,36 @@
     return membership as MembershipTable;
   }
 
-  /** The seat's real handlers over what its disk has. */
+  /** Starts an acceptor with the production handlers and the saved state of its disk. */
   private seat(i: number): void {
     const disk = diskOf(i);
     const { planted } = this.plan;
-    const st = {
+    const acceptorStore = {
       get: (k: string) => (k === 'disk' ? disk : 'model'),
       set: () => undefined,
       acceptorState: (): AcceptorState => {
-        const s = this.saved[i]!;
-        if (planted === 'accepts below its promise') return { ...s, promised: s.ballot };
-        return { ...s };
+        const state = this.acceptorStates[i]!;
+        if (planted === 'accepts below its promise') return { ...state, promised: state.ballot };
+        return { ...state };
       },
       saveAcceptorState: (s: AcceptorState) => {
-        const forgets = planted === 'forgets its promise' && s.ballot === this.saved[i]!.ballot;
-        if (!forgets) this.saved[i] = { ...s };
+        const keepsOldPromise = planted === 'forgets its promise' && s.ballot === this.acceptorStates[i]!.ballot;
+        if (!keepsOldPromise) this.acceptorStates[i] = { ...s };
       },
       db: { commit: async (f: () => unknown) => f() },
     };
     this.handlers[i]!.clear();
-    new ConsensusRegister(this.kernel(-1 - i, st), this.membership());
+    new ConsensusRegister(this.kernel(-1 - i, acceptorStore), this.membership());
   }
 
-  /** What the register needs of a kernel: handlers for a seat (negative), calls for a proposer. */
-  private kernel(i: number, st: object | undefined): Kernel {
+  /** The part of a kernel that the register needs: handlers for acceptor `-1 - i` if `i` is negative, calls for proposer `i` otherwise. */
+  private kernel(i: number, acceptorStore: object | undefined): Kernel {
     const self = i < 0 ? diskOf(-1 - i) : `p${i}`;
     const clock: Clock =
       i < 0
-        ? idle
+        ? stoppedClock
         : {
-            ...idle,
+            ...stoppedClock,
             after: (ms, fn) => {
               if (ms <= 900 && this.ready) this.pending.push({ t: 'wake', from: i, fn });
               return () => undefined;
@@ -200,11 +201,11 @@
       host: {
         clock,
         random: { next: () => 0.5 },
-        db: st ? {} : undefined,
+        db: acceptorStore ? {} : undefined,
         config: { seeds: [], applyMs: 3_000 },
         log: { info: () => undefined, warn: () => undefined },
       },
-      use: () => st,
+      use: () => acceptorStore,
       addSubscription: (s: { unsubscribe(): void }) => {
         s.unsubscribe();
       },
@@ -214,100 +215,100 @@
       },
       call: (_peer: string, m: string, body: Json) =>
         new Promise((res, rej) => {
-          if (this.ignored(m, body)) return res({ disk: body.disk, ok: true, promised: body.ballot });
+          if (this.skipsVoter(m, body)) return res({ disk: body.disk, ok: true, promised: body.ballot });
           this.notes(i, body.ballot, `> ${m} ${body.disk} ${body.value ?? ''}`);
           this.pending.push({ t: 'ask', from: i, disk: body.disk, m, body, res, rej });
         }),
     };
     return kernel as unknown as Kernel;
   }
-  /** Loops that begin with the register are none of ours: only what a change waits for is. */
+  /** Set after construction: timers of the register's background loops are ignored, and only those that a change waits for are modelled. */
   private ready = false;
-  begin(): void {
+  enableTimers(): void {
     this.ready = true;
   }
 
-  /** Planted: a change is taken as accepted by the voters that go with it, without asking them. */
-  private ignored(m: string, body: { disk: string; value?: string }): boolean {
-    if (this.plan.planted !== 'heeds no voters before' || m !== 'RegAccept') return false;
+  /** Injected fault: counts a change as accepted by the voters that it removes, without sending them `RegAccept`. */
+  private skipsVoter(m: string, body: { disk: string; value?: string }): boolean {
+    if (this.plan.planted !== 'skips the previous voters' || m !== 'RegAccept') return false;
     return !deserializeValue(body.value!).voters.includes(body.disk);
   }
 
-  /** What belongs to an earlier ballot can only raise the number of the next one; see `key`. */
+  /** Messages of an earlier ballot are left out: they can only raise the number of the next ballot, which `key` contains. */
   private notes(i: number, ballot: string, text: string): void {
-    const h = this.history[i]!;
-    if (ballot < h.ballot) return;
-    if (ballot > h.ballot) this.history[i] = { ballot, said: new Set([text]) };
-    else h.said.add(text);
+    const history = this.history[i]!;
+    if (ballot < history.ballot) return;
+    if (ballot > history.ballot) this.history[i] = { ballot, entries: new Set([text]) };
+    else history.entries.add(text);
   }
 
-  private learns(by: number, v: FleetValue): void {
+  private recordLearned(by: number, v: FleetValue): void {
     const text = pack(v);
     for (const x of this.learned) {
       const [low, high] = x.v.rev <= v.rev ? [x.v, v] : [v, x.v];
       if (x.v.rev === v.rev && x.text !== text)
-        this.bad = `two values of revision ${v.rev}: [${changesOf(x.v)}] at p${x.by}, [${changesOf(v)}] at p${by}`;
+        this.violation = `two values of revision ${v.rev}: [${changeNames(x.v)}] at p${x.by}, [${changeNames(v)}] at p${by}`;
       else if ([...low.changes.keys()].some((c) => !high.changes.has(c)))
-        this.bad = `revision ${high.rev} [${changesOf(high)}] has not all of revision ${low.rev} [${changesOf(low)}]`;
+        this.violation = `revision ${high.rev} [${changeNames(high)}] has not all of revision ${low.rev} [${changeNames(low)}]`;
     }
     for (const c of this.done)
       if (!v.changes.has(c) && !this.learned.some((x) => x.v.rev > v.rev))
-        this.bad = `${c} was done and is gone at revision ${v.rev}`;
+        this.violation = `${c} was done and is gone at revision ${v.rev}`;
     this.learned.push({ by, v, text });
   }
 
-  /** What may happen next. */
+  /** The steps that may happen next. */
   steps(): Step[] {
-    const out: Step[] = [];
-    const take = (e: Event): void => {
+    const steps: Step[] = [];
+    const removePending = (e: PendingEvent): void => {
       this.pending.splice(this.pending.indexOf(e), 1);
     };
-    for (const e of this.pending) {
-      switch (e.t) {
+    for (const event of this.pending) {
+      switch (event.t) {
         case 'ask': {
-          const label = `${e.m.slice(3)} p${e.from}>${e.disk} ${e.body.ballot.slice(8, 15)}`;
-          const fails = (): void => {
+          const label = `${event.m.slice(3)} p${event.from}>${event.disk} ${event.body.ballot.slice(8, 15)}`;
+          const lose = (): void => {
             this.lost++;
-            this.notes(e.from, e.body.ballot, `lost ${e.m} ${e.disk}`);
-            e.rej(new HarecrossError({ tag: 'timeout', step: e.m, peer: e.disk }));
+            this.notes(event.from, event.body.ballot, `lost ${event.m} ${event.disk}`);
+            event.rej(new HarecrossError({ tag: 'timeout', step: event.m, peer: event.disk }));
           };
-          out.push({
+          steps.push({
             label,
-            go: () => {
-              take(e);
-              this.arrives(e, (x) => {
-                this.notes(e.from, e.body.ballot, `< ${e.m} ${e.disk} ${JSON.stringify(x)}`);
-                if (x instanceof HarecrossError) e.rej(x);
-                else e.res(x);
+            run: () => {
+              removePending(event);
+              this.deliver(event, (x) => {
+                this.notes(event.from, event.body.ballot, `< ${event.m} ${event.disk} ${JSON.stringify(x)}`);
+                if (x instanceof HarecrossError) event.rej(x);
+                else event.res(x);
               });
             },
           });
           if (this.lost < this.plan.losses) {
-            out.push({
+            steps.push({
               label: `lost: ${label}`,
-              go: () => {
-                take(e);
-                fails();
+              run: () => {
+                removePending(event);
+                lose();
               },
             });
-            out.push({
+            steps.push({
               label: `its answer lost: ${label}`,
-              go: () => {
-                take(e);
-                this.arrives(e, fails);
+              run: () => {
+                removePending(event);
+                this.deliver(event, lose);
               },
             });
           }
           break;
         }
         case 'wake':
-          if (this.wakes[e.from]! < this.plan.retries)
-            out.push({
-              label: `p${e.from} again`,
-              go: () => {
-                take(e);
-                this.wakes[e.from]!++;
-                e.fn();
+          if (this.retryCounts[event.from]! < this.plan.retries)
+            steps.push({
+              label: `p${event.from} again`,
+              run: () => {
+                removePending(event);
+                this.retryCounts[event.from]!++;
+                event.fn();
               },
             });
           break;
@@ -315,128 +316,134 @@
     }
     if (this.restarted < this.plan.restarts) {
       for (let i = 0; i < this.plan.seats; i++) {
-        out.push({
+        steps.push({
           label: `${diskOf(i)} restarts`,
-          go: () => {
+          run: () => {
             this.restarted++;
-            if (this.plan.planted === 'comes back older')
-              this.saved[i] = i < 3 ? { ...this.first } : { promised: '', ballot: '', value: undefined };
+            if (this.plan.planted === 'restarts from its initial state')
+              this.acceptorStates[i] = i < 3 ? { ...this.first } : { promised: '', ballot: '', value: undefined };
             this.seat(i);
           },
         });
       }
     }
-    return out;
+    return steps;
   }
 
   /**
-   * The seat does its part, and its answer arrives at once: a proposer that hears late is one whose next messages are
-   * late.
+   * Runs the acceptor's handler. Its response arrives at once: a response that arrives late is equivalent to the proposer's next
+   * messages arriving late.
    */
-  private arrives(e: Extract<Event, { t: 'ask' }>, answer: (x: unknown) => void): void {
-    const h = this.handlers[Number(e.disk.slice(1))]!.get(e.m)!;
-    const hides = this.plan.planted === 'hides what it accepted' && e.m === 'RegPrepare';
-    const told = (x: unknown): void =>
-      answer(hides ? { ...(x as object), ballot: this.first.ballot, value: this.first.value } : x);
+  private deliver(e: Extract<PendingEvent, { t: 'ask' }>, answer: (x: unknown) => void): void {
+    const handler = this.handlers[Number(e.disk.slice(1))]!.get(e.m)!;
+    const hidesAccepted = this.plan.planted === 'reports its initial value' && e.m === 'RegPrepare';
+    const respond = (x: unknown): void =>
+      answer(hidesAccepted ? { ...(x as object), ballot: this.first.ballot, value: this.first.value } : x);
     Promise.resolve()
-      .then(() => h(e.body))
-      .then(told, told);
+      .then(() => handler(e.body))
+      .then(respond, respond);
   }
 
-  /** Two worlds with the same key go on alike: what disks have, what proposers sent and heard, what is on the way. */
+  /** Models with the same key behave alike from here on: it contains the saved states, the proposers' messages and what is pending. */
   key(): string {
-    const way = this.pending
+    const pendingKeys = this.pending
       .map((e) => (e.t === 'wake' ? `w${e.from}` : `${e.from}${e.disk}${e.m}${e.body.ballot}${e.body.value ?? ''}`))
       .sort();
     return JSON.stringify([
-      this.saved,
-      this.history.map((h) => [h.ballot, ...[...h.said].sort()]),
-      this.regs.map((r) => [(r as unknown as { ballots: { last: number } }).ballots.last, r.value!.rev]),
+      this.acceptorStates,
+      this.history.map((h) => [h.ballot, ...[...h.entries].sort()]),
+      this.proposers.map((r) => [(r as unknown as { ballots: { last: number } }).ballots.last, r.value!.rev]),
       this.done,
-      way,
+      pendingKeys,
       this.lost,
       this.restarted,
-      this.wakes,
+      this.retryCounts,
     ]);
   }
 }
 
 /**
- * Searches every order of messages, losses and restarts of a small register, by running the real code anew along each
- * path. Two paths that lead to the same state are followed once.
+ * Searches every order of messages, losses and restarts of a small register by rerunning the production code along each path.
+ * Paths that lead to the same state are followed only once.
  * @example
- * (await explore(PLANS.get('seat-change')!)).states
+ * (await exploreRegister(REGISTER_PLANS.get('seat-change')!)).states
  */
 export async function explore(plan: ModelPlan): Promise<ModelResult> {
   const seen = new Set<string>();
   let runs = 0;
-  const most = plan.mostStates ?? Infinity;
+  const maxStates = plan.mostStates ?? Infinity;
   const stack: number[][] = [[]];
   while (stack.length) {
-    if (seen.size >= most) return { states: seen.size, runs, whole: false };
+    if (seen.size >= maxStates) return { states: seen.size, runs, whole: false };
     const path = stack.pop()!;
-    const w = new World(plan);
-    w.begin();
+    const model = new RegisterModel(plan);
+    model.enableTimers();
     runs++;
     const labels: string[] = [];
-    await turn();
+    await nextIteration();
     for (const i of path) {
-      const s = w.steps()[i]!;
-      labels.push(s.label);
-      s.go();
-      await turn();
+      const step = model.steps()[i]!;
+      labels.push(step.label);
+      step.run();
+      await nextIteration();
     }
-    // On from here as far as it is new: one run of the code for many states.
+    // Continues as long as the states are new, so that one run of the code covers many states.
     for (;;) {
-      if (w.bad) return { states: seen.size, runs, whole: false, bad: { what: w.bad, path: labels } };
-      const key = w.key();
+      if (model.violation)
+        return { states: seen.size, runs, whole: false, bad: { what: model.violation, path: labels } };
+      const key = model.key();
       if (seen.has(key)) break;
       seen.add(key);
-      const steps = w.steps();
-      if (!steps.length || seen.size >= most) break;
+      const steps = model.steps();
+      if (!steps.length || seen.size >= maxStates) break;
       for (let i = steps.length - 1; i > 0; i--) stack.push([...path, i]);
       path.push(0);
       labels.push(steps[0]!.label);
-      steps[0]!.go();
-      await turn();
+      steps[0]!.run();
+      await nextIteration();
     }
   }
   return { states: seen.size, runs, whole: true };
 }
 
-const swap: Change[] = [
+const MOVE_VOTER: Change[] = [
   { name: 'in', seats: (s) => [...s, 'd3'] },
   { name: 'out', seats: (s) => s.filter((d) => d !== 'd0') },
 ];
 
-/** A voter is replaced by another in one step, and nothing settles it before the next change. */
-const replace: Change[] = [{ name: 'swap', seats: (seats) => seats.map((disk) => (disk === 'd0' ? 'd3' : disk)) }];
+/** Replaces a voter in one step, without another step that completes the replacement before the next change. */
+const REPLACE_VOTER: Change[] = [
+  { name: 'swap', seats: (seats) => seats.map((disk) => (disk === 'd0' ? 'd3' : disk)) },
+];
 
-/** What is searched, by name. */
+/** Searches by their name on the command line. */
 export const PLANS = new Map<string, ModelPlan>([
-  // Two operators at once.
+  // Two operators make changes concurrently.
   ['two-changes', { seats: 3, proposers: [[{ name: 'a' }], [{ name: 'b' }]], losses: 0, retries: 1, restarts: 0 }],
-  // One change, with a message lost and a seat restarted.
+  // One proposer makes two changes; a message is lost and an acceptor restarts.
   ['lossy-change', { seats: 3, proposers: [[{ name: 'a' }, { name: 'b' }]], losses: 1, retries: 1, restarts: 1 }],
-  // A seat goes to another disk while an operator makes a change.
-  ['seat-change', { seats: 4, proposers: [swap, [{ name: 'a' }]], losses: 0, retries: 1, restarts: 0 }],
+  // A voter is added and another removed while an operator makes a change.
+  ['seat-change', { seats: 4, proposers: [MOVE_VOTER, [{ name: 'a' }]], losses: 0, retries: 1, restarts: 0 }],
   // A voter is replaced in one step while an operator makes a change.
-  ['voter-replaced', { seats: 4, proposers: [replace, [{ name: 'a' }]], losses: 0, retries: 0, restarts: 0 }],
-  ['voter-replaced-again', { seats: 4, proposers: [replace, [{ name: 'a' }]], losses: 0, retries: 1, restarts: 0 }],
-  ['seat-change-lossy', { seats: 4, proposers: [swap, [{ name: 'a' }]], losses: 1, retries: 2, restarts: 1 }],
+  ['voter-replaced', { seats: 4, proposers: [REPLACE_VOTER, [{ name: 'a' }]], losses: 0, retries: 0, restarts: 0 }],
+  [
+    'voter-replaced-again',
+    { seats: 4, proposers: [REPLACE_VOTER, [{ name: 'a' }]], losses: 0, retries: 1, restarts: 0 },
+  ],
+  ['seat-change-lossy', { seats: 4, proposers: [MOVE_VOTER, [{ name: 'a' }]], losses: 1, retries: 2, restarts: 1 }],
 ]);
 
 if (process.argv[1] && import.meta.url === pathToFileURL(process.argv[1]).href) {
-  const [name, most] = process.argv.slice(2);
-  for (const [n, plan] of PLANS) {
-    if (name !== undefined && n !== name) continue;
-    const from = Date.now();
-    const r = await explore({ ...plan, mostStates: most === undefined ? 1_000_000 : Number(most) });
-    const bad = r.bad ? `\nBAD: ${r.bad.what}\n  ${r.bad.path.join('\n  ')}` : '';
-    const whole = r.whole ? 'all of them' : 'not all';
+  const [name, maxStates] = process.argv.slice(2);
+  for (const [planName, plan] of PLANS) {
+    if (name !== undefined && planName !== name) continue;
+    const startedAt = Date.now();
+    const result = await explore({ ...plan, mostStates: maxStates === undefined ? 1_000_000 : Number(maxStates) });
+    const violation = result.bad ? `\nBAD: ${result.bad.what}\n  ${result.bad.path.join('\n  ')}` : '';
+    const completeness = result.whole ? 'all of them' : 'not all';
     process.stdout.write(
-      `${n}: ${r.states} states, ${r.runs} runs, ${whole}, ${((Date.now() - from) / 1000).toFixed(1)} s${bad}\n`,
+      `${planName}: ${result.states} states, ${result.runs} runs, ${completeness}, ${((Date.now() - startedAt) / 1000).toFixed(1)} s${violation}\n`,
     );
-    if (r.bad) process.exitCode = 1;
+    if (result.bad) process.exitCode = 1;
   }
 }
