--- a/packages/trial/src/hot-probe.ts
+++ b/packages/trial/src/hot-probe.ts
@@ -2,8 +2,8 @@
 import { Session } from 'node:inspector';
 
 /**
- * Loaded into a node's process before its program: over the channel it tells what the process has used, and writes
- * processor profiles.
+ * Loaded into a node's process before the node's program. On request over the IPC channel it reports the process's CPU time and resident
+ * memory, and records CPU profiles.
  */
 let session: Session | undefined;
 process.on('message', (m: { t: 'used' } | { t: 'profile' } | { t: 'write'; file: string }) => {
