--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -18,7 +18,7 @@
   type TransportEnvironment,
   type RandomSource,
 } from '@harecross/kernel';
-import { seeded } from './sim.js';
+import { seededRandom } from './sim.js';
 
 const CALLER = '10.0.0.1:7100';
 const SERVER = '10.0.0.2:7100';
@@ -266,7 +266,7 @@
     seed: number,
     private plan: CallsPlan,
   ) {
-    this.random = seeded(seed);
+    this.random = seededRandom(seed);
   }
 
   /** The transport environment of a process. Callbacks of a process that has ended are dropped. */
--- a/packages/trial/src/test/control-fleet.ts
+++ b/packages/trial/src/test/control-fleet.ts
@@ -79,7 +79,7 @@
       return m;
     },
     ask: async (m, method, body) =>
-      (await settled(sim, sim.outside.visit(m.config.client, method, body, 6_000))) ?? { status: 0, body: undefined },
+      (await settled(sim, sim.clientTransport.visit(m.config.client, method, body, 6_000))) ?? { status: 0, body: undefined },
     pass: async (ms) => {
       const p = sleep(sim.clock, ms);
       await sim.run(sim.now + ms);
--- a/packages/trial/src/test/cut-off.test.ts
+++ b/packages/trial/src/test/cut-off.test.ts
@@ -43,7 +43,7 @@
 /** Asks without letting time pass; the answer comes as time does. */
 async function asks(f: ControlFleet, n: SimNode, method: string, body: unknown, limitMs = 6_000): Promise<Answer> {
   const askedAt = f.sim.now;
-  const r = await f.sim.outside.visit(n.config.client, method, body, limitMs);
+  const r = await f.sim.clientTransport.visit(n.config.client, method, body, limitMs);
   return {
     askedAt,
     tookMs: f.sim.now - askedAt,
@@ -105,12 +105,12 @@
     note(run.answers.cut, asks(f, cut, 'ReadConfig', {}));
     note(run.answers.others, asks(f, other, 'ReadConfig', {}));
     if (sim.now < begun + 5_000) note(run.answers.orders, asks(f, cut, 'EmptyDisk', { disk: f.stores[0]!.name }));
-    if (sim.now > begun + 8_000) cut.stepMs = seed % 2 ? 3_600_000 : -3_600_000;
+    if (sim.now > begun + 8_000) cut.wallStepMs = seed % 2 ? 3_600_000 : -3_600_000;
     await f.pass(700);
     const old = cut.kernel!.use('register').value!.revision !== AGREED;
     if (old && cut.kernel!.use('register').hasReadLease()) run.servedOldMs.push(sim.now - acknowledgedAt);
   }
-  sim.heal();
+  sim.healAll();
   await f.pass(10_000);
   await Promise.all(pending);
   for (const n of [...controls, ...relays]) run.end.push(await revisionInForce(f, n));
@@ -188,7 +188,7 @@
   await f.pass(CUT_MS);
   const before = relays[0]!.kernel!.use('register').value!.revision === STRANDED;
   for (const n of frozen.get(trouble) ?? []) sim.thaw(n);
-  sim.heal();
+  sim.healAll();
   await f.pass(8_000);
   const after = (await revisionInForce(f, relays[0]!)) === STRANDED;
   sim.close();
--- a/packages/trial/src/test/orders.test.ts
+++ b/packages/trial/src/test/orders.test.ts
@@ -183,14 +183,14 @@
     const disk = a.kernel!.use('register').disk!;
     register.callVoters = (disks, method, body) =>
       ask(method === 'RegAccept' ? disks.filter((d) => d === disk) : disks, method, body);
-    void s.sim.outside.visit(r1.config.client, 'SubmitConfig', order, 900);
+    void s.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', order, 900);
     await s.pass(60);
     for (const other of [b, c, r2]) s.sim.cut(a.name, other.name);
     s.sim.kill(r1);
     await s.pass(6_000);
     const again = await s.ask(r2, 'SubmitConfig', order);
     t.deepEqual([again.status, again.body.error.tag], [400, 'invalid_config'], `${by}: its move is in the past`);
-    s.sim.heal();
+    s.sim.healAll();
     await s.pass(10_000);
     t.is((await s.ask(b, 'ReadConfig', {})).body.version, 1, `${by}: and it stays refused`);
     s.sim.close();
@@ -207,10 +207,10 @@
     for (const node of s.sim.nodes.values()) if (node !== r1) s.sim.cut(r1.name, node.name);
     await s.pass(1_000);
     const order = { revision: 50, config: configOf('late') };
-    void s.sim.outside.visit(r1.config.client, 'SubmitConfig', order, 900);
+    void s.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', order, 900);
     await s.pass(waitMs);
     t.is(valueOf(s.stores[0]!).revision, undefined);
-    s.sim.heal();
+    s.sim.healAll();
     await s.pass(30_000);
     for (const node of s.sim.nodes.values())
       t.is(valueOf(node).revision, comes ? 50 : undefined, `${waitMs} ms, at ${node.name}`);
@@ -224,7 +224,7 @@
   for (const node of s.stores) s.sim.kill(node);
   const got = new Map<string, number>();
   const send = (order: object): void => {
-    void s.sim.outside.visit(r1.config.client, 'SubmitConfig', order, 30_000).then((answer) => {
+    void s.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', order, 30_000).then((answer) => {
       const tag = `${answer!.status} ${answer!.body.error?.tag}`;
       got.set(tag, (got.get(tag) ?? 0) + 1);
     });
@@ -264,7 +264,7 @@
     const orders = Array.from({ length: 8 }, async (_, i) => {
       const changed = families.map((f, j) => (j === i ? { ...f, patienceMs: 1_000 + i } : f));
       const order = { revision: 10 + i, config: { families: changed }, document: { routes: changed } };
-      const answer = await s.sim.outside.visit(nodes[i % nodes.length]!.config.client, 'SubmitConfig', order, 9_000);
+      const answer = await s.sim.clientTransport.visit(nodes[i % nodes.length]!.config.client, 'SubmitConfig', order, 9_000);
       took.push(s.sim.now - from);
       return answer;
     });
--- a/packages/trial/src/test/overlapping-losses.test.ts
+++ b/packages/trial/src/test/overlapping-losses.test.ts
@@ -80,7 +80,7 @@
     await fleet.pass(1_500);
     wrong.push(...(await olderReads(fleet, newest)));
   }
-  fleet.sim.heal();
+  fleet.sim.healAll();
   await fleet.pass(8_000);
   wrong.push(...(await olderReads(fleet, newest)));
   for (const { topic, seq, offset } of acknowledged) {
--- a/packages/trial/src/test/small-fleet.ts
+++ b/packages/trial/src/test/small-fleet.ts
@@ -64,13 +64,13 @@
     stores,
     relays,
     ask: async (n, method, body) => {
-      const r = await until(sim.outside.visit(n.config.client, method, body, 20_000));
+      const r = await until(sim.clientTransport.visit(n.config.client, method, body, 20_000));
       return r ?? { status: 0, body: undefined };
     },
     attach: async (n, consumer, pingS = 2) => {
       const frames: Frame[] = [];
       let over = false;
-      const close = sim.outside.attach(
+      const close = sim.clientTransport.attach(
         n.config.client,
         { consumer, pingS },
         (f) => frames.push(f),
