--- a/packages/trial/src/test/model.test.ts
+++ b/packages/trial/src/test/model.test.ts
@@ -43,9 +43,9 @@
 const planted: [NonNullable<ModelPlan['planted']>, ModelPlan][] = [
   ['accepts below its promise', TWO],
   ['forgets its promise', TWO],
-  ['hides what it accepted', TWO],
-  ['comes back older', { ...TWO, restarts: 1 }],
-  ['heeds no voters before', PLANS.get('voter-replaced')!],
+  ['reports its initial value', TWO],
+  ['restarts from its initial state', { ...TWO, restarts: 1 }],
+  ['skips the previous voters', PLANS.get('voter-replaced')!],
 ];
 for (const [fault, plan] of planted) {
   test(`a seat that ${fault} is found out`, async (t) => {
@@ -86,9 +86,9 @@
 });
 
 const plantedKey: [NonNullable<KeyPlan['planted']>, KeyPlan][] = [
-  ['takes lower fences', HANDOVER],
-  ['hides its history', HANDOVER],
-  ['heeds no copies before', KEY_PLANS.get('replacement')!],
+  ['accepts lower fences', HANDOVER],
+  ['reports an empty log', HANDOVER],
+  ['ignores the previous replicas', KEY_PLANS.get('replacement')!],
   ['forgets its promise', { ...HANDOVER, restarts: 1 }],
   ['answers before it has synced', { ...HANDOVER, restarts: 1 }],
 ];
