--- a/packages/trial/src/linearizable.ts
+++ b/packages/trial/src/linearizable.ts
@@ -8,7 +8,7 @@
  */
 
 /** A node's response to a submit. `conflict` and `invalid` reject it; the others report the current version and revision. */
-export type OrderAnswer =
+export type SubmitResponse =
   | { outcome: 'accepted' | 'overtaken' | 'forgotten'; returned: number; version: number; revision: number }
   | { outcome: 'conflict' | 'invalid'; returned: number };
 
@@ -21,13 +21,13 @@
       /** Identifies the configuration: equal if and only if the configurations are equal. */
       content: string;
       /** Missing if there was no definite response. */
-      answer?: OrderAnswer;
+      answer?: SubmitResponse;
       /** Without a definite response: the submit doesn't take effect after this time. */
       expires?: number;
     }
   | { kind: 'read'; invoked: number; returned: number; version: number; revision?: number; content?: string };
 
-export type Explanation =
+export type LinearizationResult =
   /** `visited`: the number of states that the search visited. */
   | { tag: 'explained'; order: string[]; visited: number }
   /** `order`: the longest consistent prefix found. `stuck`: the steps that had to be next after it and were inconsistent with it. */
@@ -190,7 +190,7 @@
  * @example
  * findLinearization([{ kind: 'read', invoked: 0, returned: 9, version: 1 }], 1).tag // 'explained'
  */
-export function explain(calls: RegisterCall[], version: number): Explanation {
+export function findLinearization(calls: RegisterCall[], version: number): LinearizationResult {
   const search = new Search(stepsOf(calls));
   const start = { version, revision: NO_REVISION, accepted: new Map<number, string>() };
   const order = search.findOrder(start, [], -Infinity, []);
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -35,7 +35,7 @@
 export interface CallsPlan {
   calls: number;
   /** The period in which calls are made and faults are injected. */
-  forMs: number;
+  durationMs: number;
   resets: number;
   silences: number;
   serverRestarts: number;
@@ -43,7 +43,7 @@
 }
 export const CALLS_PLAN: CallsPlan = {
   calls: 60,
-  forMs: 4_000,
+  durationMs: 4_000,
   resets: 4,
   silences: 4,
   serverRestarts: 2,
@@ -52,10 +52,10 @@
 
 export interface CallsResult {
   /** Descriptions of the violated invariants. */
-  bad: string[];
+  violations: string[];
   events: number;
   /** Number of calls by outcome. */
-  ended: Map<string, number>;
+  outcomes: Map<string, number>;
 }
 
 interface ScheduledEvent {
@@ -249,7 +249,7 @@
 
 class CallsModel {
   readonly time = new VirtualTime();
-  readonly bad: string[] = [];
+  readonly violations: string[] = [];
   private random: RandomSource;
   private calls: CallRecord[] = [];
   private connections: Connection[] = [];
@@ -328,12 +328,13 @@
   ): Promise<string> {
     const call = this.calls[Number(frame)]!;
     call.executedBy.push(instance);
-    if (call.executedBy.length > 1) this.bad.push(`call ${call.id} was run twice: ${call.executedBy.join(', ')}`);
+    if (call.executedBy.length > 1)
+      this.violations.push(`call ${call.id} was run twice: ${call.executedBy.join(', ')}`);
     if (call.intendedInstance !== undefined && call.intendedInstance !== instance)
-      this.bad.push(`call ${call.id} was meant for ${call.intendedInstance} and run by ${instance}`);
-    if (call.outcomes.includes('unreachable')) this.bad.push(`call ${call.id} was unreachable, and run`);
+      this.violations.push(`call ${call.id} was meant for ${call.intendedInstance} and run by ${instance}`);
+    if (call.outcomes.includes('unreachable')) this.violations.push(`call ${call.id} was unreachable, and run`);
     const newerConnection = [...accepted.all].find((c) => isLater(c.peer, on.peer));
-    if (newerConnection) this.bad.push(`call ${call.id} arrived on a connection that a later one had replaced`);
+    if (newerConnection) this.violations.push(`call ${call.id} arrived on a connection that a later one had replaced`);
     const ms = this.random.next() < 0.2 ? 500 * this.random.next() : 5 * this.random.next();
     return new Promise((res) => {
       this.time.after(ms, () => res(`${frame} ${instance}`));
@@ -398,7 +399,7 @@
     this.link.call(String(record.id), timeoutMs).then(
       (answer) => {
         const [id, instance] = answer.split(' ');
-        if (Number(id) !== record.id) this.bad.push(`call ${record.id} got the answer of call ${id}`);
+        if (Number(id) !== record.id) this.violations.push(`call ${record.id} got the answer of call ${id}`);
         record.outcomes.push('answered');
         if (caller === this.callerInstances) this.lastAnsweringInstance = instance;
       },
@@ -406,7 +407,7 @@
         const details: ErrorDetails | undefined = e instanceof HarecrossError ? e.details : undefined;
         record.outcomes.push(details?.tag ?? 'thrown');
         if (details?.tag === 'unreachable' && record.executedBy.length)
-          this.bad.push(`call ${record.id} was run, and unreachable to its caller`);
+          this.violations.push(`call ${record.id} was run, and unreachable to its caller`);
       },
     );
   }
@@ -419,7 +420,7 @@
   private schedule(): void {
     const { plan, random, time } = this;
     const atRandomTimes = (n: number, run: () => void): void => {
-      for (let i = 0; i < n; i++) time.after(random.next() * plan.forMs, run);
+      for (let i = 0; i < n; i++) time.after(random.next() * plan.durationMs, run);
     };
     // Calls are made in bursts, so that some are in flight when a fault is injected.
     atRandomTimes(plan.calls / 4, () => {
@@ -441,14 +442,14 @@
     this.startServer();
     this.startCaller();
     this.schedule();
-    await this.time.run(this.plan.forMs + 10_000);
-    const ended = new Map<string, number>();
+    await this.time.run(this.plan.durationMs + 10_000);
+    const outcomes = new Map<string, number>();
     for (const call of this.calls) {
       if (call.outcomes.length > 1 || (call.outcomes.length === 0 && !call.callerRestarted))
-        this.bad.push(`call ${call.id} ended ${call.outcomes.length} times: ${call.outcomes.join(', ')}`);
-      for (const outcome of call.outcomes) ended.set(outcome, (ended.get(outcome) ?? 0) + 1);
+        this.violations.push(`call ${call.id} ended ${call.outcomes.length} times: ${call.outcomes.join(', ')}`);
+      for (const outcome of call.outcomes) outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1);
     }
-    return { bad: this.bad, events: this.time.events, ended };
+    return { violations: this.violations, events: this.time.events, outcomes: outcomes };
   }
 }
 
@@ -464,6 +465,6 @@
  * @example
  * (await simulateCalls(7)).violations; // []
  */
-export function playCalls(seed: number, plan: CallsPlan = CALLS_PLAN): Promise<CallsResult> {
+export function simulateCalls(seed: number, plan: CallsPlan = CALLS_PLAN): Promise<CallsResult> {
   return new CallsModel(seed, plan).run();
 }
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -13,9 +13,9 @@
 import { pathToFileURL } from 'node:url';
 import type { Json } from './json.js';
 
-export interface KeyPlan {
+export interface ShardPlan {
   /** The maximum number of takeovers of the shard, over all nodes. */
-  takes: number;
+  takeovers: number;
   /** `messages`: distinct messages, all of one sender. `sends`: the maximum number of sends, including repeated ones. */
   messages: number;
   sends: number;
@@ -25,19 +25,19 @@
   restarts: number;
   /** Replaces the replica on `a` by one on `d` in one step. `a` hasn't learned of it, the others have. `a` and `c` take the shard over. */
   replacement?: boolean;
-  planted?:
+  injectedFault?:
     | 'accepts lower fences'
     | 'forgets its promise'
     | 'answers before it has synced'
     | 'reports an empty log'
     | 'ignores the previous replicas';
-  mostStates?: number;
+  maxStates?: number;
 }
-export interface KeyResult {
+export interface ShardResult {
   states: number;
   runs: number;
-  whole: boolean;
-  bad?: { what: string; path: string[] };
+  complete: boolean;
+  violation?: { what: string; path: string[] };
 }
 
 /** The first three have replicas. The fourth has one only in plans with a replacement. */
@@ -102,13 +102,13 @@
   private refused = new Set<number>();
   violation?: string;
 
-  constructor(private plan: KeyPlan) {
+  constructor(private plan: ShardPlan) {
     NODES.forEach((_, i) => this.startNode(i));
   }
 
   private registerValueAt(node: string): unknown {
     if (!this.plan.replacement || node === 'a') return INITIAL_VALUE;
-    return replacedValue(this.plan.planted === 'ignores the previous replicas' ? undefined : COPIES);
+    return replacedValue(this.plan.injectedFault === 'ignores the previous replicas' ? undefined : COPIES);
   }
 
   /** Whether a node may take over the shard in this plan. */
@@ -242,14 +242,19 @@
   }
 
   private deliver(call: PendingCall, answer: (x: unknown) => void): void {
-    const { planted } = this.plan;
+    const { injectedFault: injectedFault } = this.plan;
     const replica = this.disks[call.to]!.get(SHARD);
-    if (planted === 'accepts lower fences' && call.m === 'Append' && replica && call.body.fence < replica.promised)
+    if (
+      injectedFault === 'accepts lower fences' &&
+      call.m === 'Append' &&
+      replica &&
+      call.body.fence < replica.promised
+    )
       replica.promised = call.body.fence;
     void this.handle(call.to, call.m, call.body, call.from)
       .catch((e) => (e instanceof HarecrossError ? e : new HarecrossError(toErrorDetails(e, call.m, NODES[call.to]!))))
       .then((x) => {
-        if (planted === 'reports an empty log' && call.m === 'Fence')
+        if (injectedFault === 'reports an empty log' && call.m === 'Fence')
           x = (x as { ok: boolean }[]).map((p) => (p.ok ? { ...p, lastIdx: 0, lastFence: '', baseIdx: 0 } : p));
         answer(x);
       });
@@ -354,7 +359,7 @@
       });
     NODES.forEach((n, i) => {
       const { phase: state } = this.shardState(i);
-      if (this.takeoverCount < plan.takes && state !== 'taking' && state !== 'confirming' && this.mayTakeShard(n))
+      if (this.takeoverCount < plan.takeovers && state !== 'taking' && state !== 'confirming' && this.mayTakeShard(n))
         steps.push({
           label: `${n} takes the key`,
           run: () => {
@@ -375,8 +380,8 @@
           run: () => {
             this.restarted++;
             const replica = this.disks[i]!.get(SHARD);
-            if (replica && plan.planted === 'forgets its promise') replica.promised = '';
-            if (replica && plan.planted === 'answers before it has synced') replica.entries.pop();
+            if (replica && plan.injectedFault === 'forgets its promise') replica.promised = '';
+            if (replica && plan.injectedFault === 'answers before it has synced') replica.entries.pop();
             this.pendingCalls = this.pendingCalls.filter((a) => a.from !== i);
             this.histories[i] = { fence: '', lines: new Set() };
             this.disks[i] = structuredClone(this.disks[i]!);
@@ -427,13 +432,13 @@
  * @example
  * (await exploreShard(SHARD_PLANS.get('handover')!)).states
  */
-export async function exploreKey(plan: KeyPlan): Promise<KeyResult> {
+export async function exploreShard(plan: ShardPlan): Promise<ShardResult> {
   const seen = new Set<string>();
   let runs = 0;
-  const maxStates = plan.mostStates ?? Infinity;
+  const maxStates = plan.maxStates ?? Infinity;
   const stack: number[][] = [[]];
   while (stack.length) {
-    if (seen.size >= maxStates) return { states: seen.size, runs, whole: false };
+    if (seen.size >= maxStates) return { states: seen.size, runs, complete: false };
     const path = stack.pop()!;
     const model = new ShardModel(plan);
     runs++;
@@ -448,7 +453,7 @@
     for (const i of path) await step(i);
     for (;;) {
       if (model.violation)
-        return { states: seen.size, runs, whole: false, bad: { what: model.violation, path: labels } };
+        return { states: seen.size, runs, complete: false, violation: { what: model.violation, path: labels } };
       const key = model.key();
       if (seen.has(key)) break;
       seen.add(key);
@@ -459,32 +464,34 @@
       await step(0);
     }
   }
-  return { states: seen.size, runs, whole: true };
+  return { states: seen.size, runs, complete: true };
 }
 
-export const KEY_PLANS = new Map<string, KeyPlan>([
+export const SHARD_PLANS = new Map<string, ShardPlan>([
   // The shard moves from one owner to another while a message is in flight.
-  ['handover', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 0 }],
+  ['handover', { takeovers: 2, messages: 1, sends: 1, losses: 0, restarts: 0 }],
   // One owner, two messages of one sender, and one request or response lost.
-  ['lossy', { takes: 1, messages: 2, sends: 2, losses: 1, restarts: 0 }],
+  ['lossy', { takeovers: 1, messages: 2, sends: 2, losses: 1, restarts: 0 }],
   // A replica is replaced in one step while a node of the previous generation, which hasn't learned of it, owns the shard or takes it over.
-  ['replacement', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 0, replacement: true }],
-  ['replacement-again', { takes: 3, messages: 1, sends: 2, losses: 0, restarts: 0, replacement: true }],
-  ['handover-restart', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 1 }],
-  ['handover-resend', { takes: 2, messages: 2, sends: 3, losses: 1, restarts: 0 }],
+  ['replacement', { takeovers: 2, messages: 1, sends: 1, losses: 0, restarts: 0, replacement: true }],
+  ['replacement-again', { takeovers: 3, messages: 1, sends: 2, losses: 0, restarts: 0, replacement: true }],
+  ['handover-restart', { takeovers: 2, messages: 1, sends: 1, losses: 0, restarts: 1 }],
+  ['handover-resend', { takeovers: 2, messages: 2, sends: 3, losses: 1, restarts: 0 }],
 ]);
 
 if (process.argv[1] && import.meta.url === pathToFileURL(process.argv[1]).href) {
   const [name, maxStates] = process.argv.slice(2);
-  for (const [planName, plan] of KEY_PLANS) {
+  for (const [planName, plan] of SHARD_PLANS) {
     if (name !== undefined && planName !== name) continue;
     const startedAt = Date.now();
-    const result = await exploreKey({ ...plan, mostStates: maxStates === undefined ? 1_000_000 : Number(maxStates) });
-    const violation = result.bad ? `\nBAD: ${result.bad.what}\n  ${result.bad.path.join('\n  ')}` : '';
-    const completeness = result.whole ? 'all of them' : 'not all';
+    const result = await exploreShard({ ...plan, maxStates: maxStates === undefined ? 1_000_000 : Number(maxStates) });
+    const violation = result.violation
+      ? `\nBAD: ${result.violation.what}\n  ${result.violation.path.join('\n  ')}`
+      : '';
+    const completeness = result.complete ? 'all of them' : 'not all';
     process.stdout.write(
       `${planName}: ${result.states} states, ${result.runs} runs, ${completeness}, ${((Date.now() - startedAt) / 1000).toFixed(1)} s${violation}\n`,
     );
-    if (result.bad) process.exitCode = 1;
+    if (result.violation) process.exitCode = 1;
   }
 }
--- a/packages/trial/src/model.ts
+++ b/packages/trial/src/model.ts
@@ -6,7 +6,7 @@
 import type { Json } from './json.js';
 
 /** A change that a proposer makes. Each change records its name in the value; `seats` returns the new voters, if it changes them. */
-export interface Change {
+export interface ModelChange {
   name: string;
   seats?: (s: string[]) => string[];
 }
@@ -15,7 +15,7 @@
   /** The number of acceptors. The first three are the initial voters. */
   seats: number;
   /** The changes of each proposer, made in sequence. */
-  proposers: Change[][];
+  proposers: ModelChange[][];
   /** The maximum number of requests and responses lost in one run. */
   losses: number;
   /** The maximum number of retries of each proposer. */
@@ -23,20 +23,20 @@
   /** The maximum number of restarts of acceptors, all together. An acceptor restarts with its saved state. */
   restarts: number;
   /** A fault that is injected to verify that the search detects it. */
-  planted?:
+  injectedFault?:
     | 'accepts below its promise'
     | 'forgets its promise'
     | 'reports its initial value'
     | 'restarts from its initial state'
     | 'skips the previous voters';
   /** The search stops after this many states. */
-  mostStates?: number;
+  maxStates?: number;
 }
 export interface ModelResult {
   states: number;
   runs: number;
-  whole: boolean;
-  bad?: { what: string; path: string[] };
+  complete: boolean;
+  violation?: { what: string; path: string[] };
 }
 
 type Handler = (b: Json) => unknown;
@@ -118,7 +118,7 @@
     });
   }
 
-  private async runChanges(i: number, register: ConsensusRegister, changes: Change[]): Promise<void> {
+  private async runChanges(i: number, register: ConsensusRegister, changes: ModelChange[]): Promise<void> {
     for (const c of changes) {
       try {
         await register.change((v) => ({
@@ -160,17 +160,17 @@
   /** Starts an acceptor with the production handlers and the saved state of its disk. */
   private seat(i: number): void {
     const disk = diskOf(i);
-    const { planted } = this.plan;
+    const { injectedFault: injectedFault } = this.plan;
     const acceptorStore = {
       get: (k: string) => (k === 'disk' ? disk : 'model'),
       set: () => undefined,
       acceptorState: (): AcceptorState => {
         const state = this.acceptorStates[i]!;
-        if (planted === 'accepts below its promise') return { ...state, promised: state.ballot };
+        if (injectedFault === 'accepts below its promise') return { ...state, promised: state.ballot };
         return { ...state };
       },
       saveAcceptorState: (s: AcceptorState) => {
-        const keepsOldPromise = planted === 'forgets its promise' && s.ballot === this.acceptorStates[i]!.ballot;
+        const keepsOldPromise = injectedFault === 'forgets its promise' && s.ballot === this.acceptorStates[i]!.ballot;
         if (!keepsOldPromise) this.acceptorStates[i] = { ...s };
       },
       db: { commit: async (f: () => unknown) => f() },
@@ -230,7 +230,7 @@
 
   /** Injected fault: counts a change as accepted by the voters that it removes, without sending them `RegAccept`. */
   private skipsVoter(m: string, body: { disk: string; value?: string }): boolean {
-    if (this.plan.planted !== 'skips the previous voters' || m !== 'RegAccept') return false;
+    if (this.plan.injectedFault !== 'skips the previous voters' || m !== 'RegAccept') return false;
     return !deserializeValue(body.value!).voters.includes(body.disk);
   }
 
@@ -320,7 +320,7 @@
           label: `${diskOf(i)} restarts`,
           run: () => {
             this.restarted++;
-            if (this.plan.planted === 'restarts from its initial state')
+            if (this.plan.injectedFault === 'restarts from its initial state')
               this.acceptorStates[i] = i < 3 ? { ...this.first } : { promised: '', ballot: '', value: undefined };
             this.seat(i);
           },
@@ -336,7 +336,7 @@
    */
   private deliver(e: Extract<PendingEvent, { t: 'ask' }>, answer: (x: unknown) => void): void {
     const handler = this.handlers[Number(e.disk.slice(1))]!.get(e.m)!;
-    const hidesAccepted = this.plan.planted === 'reports its initial value' && e.m === 'RegPrepare';
+    const hidesAccepted = this.plan.injectedFault === 'reports its initial value' && e.m === 'RegPrepare';
     const respond = (x: unknown): void =>
       answer(hidesAccepted ? { ...(x as object), ballot: this.first.ballot, value: this.first.value } : x);
     Promise.resolve()
@@ -368,13 +368,13 @@
  * @example
  * (await exploreRegister(REGISTER_PLANS.get('seat-change')!)).states
  */
-export async function explore(plan: ModelPlan): Promise<ModelResult> {
+export async function exploreRegister(plan: ModelPlan): Promise<ModelResult> {
   const seen = new Set<string>();
   let runs = 0;
-  const maxStates = plan.mostStates ?? Infinity;
+  const maxStates = plan.maxStates ?? Infinity;
   const stack: number[][] = [[]];
   while (stack.length) {
-    if (seen.size >= maxStates) return { states: seen.size, runs, whole: false };
+    if (seen.size >= maxStates) return { states: seen.size, runs, complete: false };
     const path = stack.pop()!;
     const model = new RegisterModel(plan);
     model.enableTimers();
@@ -390,7 +390,7 @@
     // Continues as long as the states are new, so that one run of the code covers many states.
     for (;;) {
       if (model.violation)
-        return { states: seen.size, runs, whole: false, bad: { what: model.violation, path: labels } };
+        return { states: seen.size, runs, complete: false, violation: { what: model.violation, path: labels } };
       const key = model.key();
       if (seen.has(key)) break;
       seen.add(key);
@@ -403,21 +403,21 @@
       await nextIteration();
     }
   }
-  return { states: seen.size, runs, whole: true };
+  return { states: seen.size, runs, complete: true };
 }
 
-const MOVE_VOTER: Change[] = [
+const MOVE_VOTER: ModelChange[] = [
   { name: 'in', seats: (s) => [...s, 'd3'] },
   { name: 'out', seats: (s) => s.filter((d) => d !== 'd0') },
 ];
 
 /** Replaces a voter in one step, without another step that completes the replacement before the next change. */
-const REPLACE_VOTER: Change[] = [
+const REPLACE_VOTER: ModelChange[] = [
   { name: 'swap', seats: (seats) => seats.map((disk) => (disk === 'd0' ? 'd3' : disk)) },
 ];
 
 /** Searches by their name on the command line. */
-export const PLANS = new Map<string, ModelPlan>([
+export const REGISTER_PLANS = new Map<string, ModelPlan>([
   // Two operators make changes concurrently.
   ['two-changes', { seats: 3, proposers: [[{ name: 'a' }], [{ name: 'b' }]], losses: 0, retries: 1, restarts: 0 }],
   // One proposer makes two changes; a message is lost and an acceptor restarts.
@@ -435,15 +435,20 @@
 
 if (process.argv[1] && import.meta.url === pathToFileURL(process.argv[1]).href) {
   const [name, maxStates] = process.argv.slice(2);
-  for (const [planName, plan] of PLANS) {
+  for (const [planName, plan] of REGISTER_PLANS) {
     if (name !== undefined && planName !== name) continue;
     const startedAt = Date.now();
-    const result = await explore({ ...plan, mostStates: maxStates === undefined ? 1_000_000 : Number(maxStates) });
-    const violation = result.bad ? `\nBAD: ${result.bad.what}\n  ${result.bad.path.join('\n  ')}` : '';
-    const completeness = result.whole ? 'all of them' : 'not all';
+    const result = await exploreRegister({
+      ...plan,
+      maxStates: maxStates === undefined ? 1_000_000 : Number(maxStates),
+    });
+    const violation = result.violation
+      ? `\nBAD: ${result.violation.what}\n  ${result.violation.path.join('\n  ')}`
+      : '';
+    const completeness = result.complete ? 'all of them' : 'not all';
     process.stdout.write(
       `${planName}: ${result.states} states, ${result.runs} runs, ${completeness}, ${((Date.now() - startedAt) / 1000).toFixed(1)} s${violation}\n`,
     );
-    if (result.bad) process.exitCode = 1;
+    if (result.violation) process.exitCode = 1;
   }
 }
--- a/packages/trial/src/test/linearizable.test.ts
+++ b/packages/trial/src/test/linearizable.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { explain, type OrderAnswer, type RegisterCall } from '../linearizable.js';
+import { findLinearization, type SubmitResponse, type RegisterCall } from '../linearizable.js';
 
-type Outcome = OrderAnswer['outcome'];
+type Outcome = SubmitResponse['outcome'];
 
 /** A submit from `invoked` to `returned`; `told` is the version and the revision in its answer. */
 function submit(
@@ -129,15 +129,15 @@
 ];
 
 test('histories that a register gives are explained', (t) => {
-  for (const [name, calls] of TRUE_HISTORIES) t.is(explain(calls, 1).tag, 'explained', name);
+  for (const [name, calls] of TRUE_HISTORIES) t.is(findLinearization(calls, 1).tag, 'explained', name);
 });
 
 test('histories with a planted lie are not', (t) => {
-  for (const [name, calls] of LIES) t.is(explain(calls, 1).tag, 'unexplained', name);
+  for (const [name, calls] of LIES) t.is(findLinearization(calls, 1).tag, 'unexplained', name);
 });
 
 test('an unexplained history names the calls that cannot be explained', (t) => {
-  const found = explain([submit([0, 2], 5, 'a', 'accepted', [2, 5]), read([3, 4], 1)], 1);
+  const found = findLinearization([submit([0, 2], 5, 'a', 'accepted', [2, 5]), read([3, 4], 1)], 1);
   t.is(found.tag, 'unexplained');
   t.deepEqual(found.order, ['0: submit 5 a accepted', '0: told 5']);
   t.deepEqual(found.tag === 'unexplained' && found.stuck, ['1: read none']);
@@ -154,9 +154,9 @@
     calls.push(submit([at, at + 60], revision, 'other', 'conflict'));
     calls.push(read([at + 70, at + 80], version, revision, 'won'));
   }
-  const found = explain(calls, 1);
+  const found = findLinearization(calls, 1);
   t.is(found.tag, 'explained');
   t.true(found.visited < 100 * calls.length, `${found.visited} states`);
   calls.push(read([9_000, 9_001], 2, 1, 'won'));
-  t.is(explain(calls, 1).tag, 'unexplained');
+  t.is(findLinearization(calls, 1).tag, 'unexplained');
 });
--- a/packages/trial/src/test/order-race.test.ts
+++ b/packages/trial/src/test/order-race.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { explain } from '../linearizable.js';
+import { findLinearization } from '../linearizable.js';
 import { race } from './order-race.js';
 
 for (const [operators, seeds] of [
@@ -10,7 +10,7 @@
     for (const seed of seeds) {
       const seen = await race(seed, operators);
       t.deepEqual(seen.wrong, [], `seed ${seed}`);
-      const found = explain(seen.calls, 1);
+      const found = findLinearization(seen.calls, 1);
       t.is(found.tag, 'explained', `seed ${seed}: ${JSON.stringify(found, null, 1)}`);
       t.log(`seed ${seed}: ${seen.calls.length} calls, ${seen.lost} answers lost, ${seen.conflicts} conflicts`);
       t.true(seen.calls.length >= operators * 20);
