--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -449,7 +449,7 @@
         this.violations.push(`call ${call.id} ended ${call.outcomes.length} times: ${call.outcomes.join(', ')}`);
       for (const outcome of call.outcomes) outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1);
     }
-    return { violations: this.violations, events: this.time.events, outcomes: outcomes };
+    return { violations: this.violations, events: this.time.events, outcomes };
   }
 }
 
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -242,7 +242,7 @@
   }
 
   private deliver(call: PendingCall, answer: (x: unknown) => void): void {
-    const { injectedFault: injectedFault } = this.plan;
+    const { injectedFault } = this.plan;
     const replica = this.disks[call.to]!.get(SHARD);
     if (
       injectedFault === 'accepts lower fences' &&
--- a/packages/trial/src/model.ts
+++ b/packages/trial/src/model.ts
@@ -160,7 +160,7 @@
   /** Starts an acceptor with the production handlers and the saved state of its disk. */
   private seat(i: number): void {
     const disk = diskOf(i);
-    const { injectedFault: injectedFault } = this.plan;
+    const { injectedFault } = this.plan;
     const acceptorStore = {
       get: (k: string) => (k === 'disk' ? disk : 'model'),
       set: () => undefined,
