--- a/packages/trial/src/test/control-fleet.ts
+++ b/packages/trial/src/test/control-fleet.ts
@@ -4,8 +4,8 @@
 import { FAMILIES, settled } from './small-fleet.js';
 
 /**
- * Control nodes with the seats, stores with the copies (and seats where those are too few), relays without a disk, in
- * virtual time.
+ * A fleet in virtual time: control nodes, whose disks are used for votes; stores, whose disks are used for replicas and,
+ * where there are too few control nodes, for votes; and relays without a disk.
  */
 export interface ControlFleet {
   sim: Sim;
@@ -13,85 +13,89 @@
   stores: SimNode[];
   relays: SimNode[];
   /**
-   * A machine with an empty disk at an address that was never used; not started. Its seeds are the controls as listed
-   * now.
+   * Adds a machine at an unused address, with an empty disk unless it is a relay, and does not start it. Its seeds are
+   * the first three of `controls` at the time of the call.
    */
   spare(role: 'control' | 'store' | 'relay', domain: string): SimNode;
-  /** A visit at a node; virtual time passes until it is answered. Status 0: no answer. */
-  ask(n: SimNode, method: string, body: unknown): Promise<{ status: number; body: Json }>;
+  /** Sends a client request to a node and advances virtual time until it is answered. Status 0: no answer. */
+  ask(node: SimNode, method: string, body: unknown): Promise<{ status: number; body: Json }>;
+  /** Advances virtual time. */
   pass(ms: number): Promise<void>;
 }
 
-export const seatsOf = (n: SimNode): string[] => n.kernel!.use('register').value!.voters;
-export const diskOf = (n: SimNode): string => n.kernel!.use('register').disk!;
-export const copiesAt = (n: SimNode): string[][] =>
-  [...n.kernel!.use('register').value!.shards.values()].map((p) => p.copies);
+export const seatsOf = (node: SimNode): string[] => node.kernel!.use('register').value!.voters;
+export const diskOf = (node: SimNode): string => node.kernel!.use('register').disk!;
+export const copiesAt = (node: SimNode): string[][] =>
+  [...node.kernel!.use('register').value!.shards.values()].map((placement) => placement.copies);
 
 export async function controlFleet(
   seed: number,
-  x: {
+  options: {
     controls?: number;
     stores?: number;
     relays?: number;
     losses?: number;
-    /** What else is borne at once, and the region of each failure domain; the machines are in these in turn. */
+    /** Tolerated losses of domains and regions, and the region of each failure domain. Machines are assigned to the domains in turn. */
     spread?: Required<Pick<NodeConfig, 'domainLosses' | 'regionLosses' | 'domains'>>;
-    /** Disks are files; see `SimOpts.files`. */
+    /** Whether disks are files; see `SimOpts.files`. */
     files?: boolean;
     log?: boolean;
   } = {},
 ): Promise<ControlFleet> {
-  const sim = new Sim(seed, { log: x.log, files: x.files, delayMs: [0.5, 2] });
-  let n = 0;
+  const sim = new Sim(seed, { log: options.log, files: options.files, delayMs: [0.5, 2] });
+  let machineCount = 0;
   const add = (role: 'control' | 'store' | 'relay', domain: string): SimNode => {
-    const m = sim.add(`${role}${++n}`, { role, domain, disk: role !== 'relay' });
-    Object.assign(m.config, {
-      losses: x.losses ?? 1,
-      ...x.spread,
-      name: m.name,
+    const machine = sim.add(`${role}${++machineCount}`, { role, domain, disk: role !== 'relay' });
+    Object.assign(machine.config, {
+      losses: options.losses ?? 1,
+      ...options.spread,
+      name: machine.name,
       ...(role === 'relay' ? {} : { diskUses: role === 'store' ? ['copies', 'seat'] : ['seat'] }),
     });
-    return m;
+    return machine;
   };
-  const domains = x.spread ? Object.keys(x.spread.domains) : ['a', 'b', 'c', 'd'];
-  const several = (role: 'control' | 'store' | 'relay', count: number): SimNode[] =>
+  const domains = options.spread ? Object.keys(options.spread.domains) : ['a', 'b', 'c', 'd'];
+  const addMachines = (role: 'control' | 'store' | 'relay', count: number): SimNode[] =>
     Array.from({ length: count }, (_, i) => add(role, domains[i % domains.length]!));
-  const controls = several('control', x.controls ?? 3);
-  const stores = several('store', x.stores ?? 3);
-  const relays = several('relay', x.relays ?? 3);
-  const seeds = controls.slice(0, 3).map((c) => c.config.peer);
-  for (const m of sim.nodes.values()) {
-    m.config.seeds = seeds;
-    m.config.firstStart = true;
-    void sim.start(m);
+  const controls = addMachines('control', options.controls ?? 3);
+  const stores = addMachines('store', options.stores ?? 3);
+  const relays = addMachines('relay', options.relays ?? 3);
+  const seeds = controls.slice(0, 3).map((control) => control.config.peer);
+  for (const machine of sim.nodes.values()) {
+    machine.config.seeds = seeds;
+    machine.config.firstStart = true;
+    void sim.start(machine);
   }
   await sim.run(8_000);
-  for (const m of sim.nodes.values()) m.config.firstStart = false;
-  const f: ControlFleet = {
+  for (const machine of sim.nodes.values()) machine.config.firstStart = false;
+  const fleet: ControlFleet = {
     sim,
     controls,
     stores,
     relays,
     spare: (role, domain) => {
-      const m = add(role, domain);
-      m.config.seeds = controls.slice(0, 3).map((c) => c.config.peer);
-      m.config.firstStart = false;
-      return m;
+      const machine = add(role, domain);
+      machine.config.seeds = controls.slice(0, 3).map((control) => control.config.peer);
+      machine.config.firstStart = false;
+      return machine;
     },
-    ask: async (m, method, body) =>
-      (await settled(sim, sim.outside.visit(m.config.client, method, body, 6_000))) ?? { status: 0, body: undefined },
+    ask: async (machine, method, body) =>
+      (await settled(sim, sim.outside.visit(machine.config.client, method, body, 6_000))) ?? {
+        status: 0,
+        body: undefined,
+      },
     pass: async (ms) => {
-      const p = sleep(sim.clock, ms);
+      const elapsed = sleep(sim.clock, ms);
       await sim.run(sim.now + ms);
-      await p;
+      await elapsed;
     },
   };
-  const r = await f.ask(controls[0]!, 'SubmitConfig', {
+  const answer = await fleet.ask(controls[0]!, 'SubmitConfig', {
     revision: 1,
     document: { n: 1 },
     config: { families: FAMILIES },
   });
-  if (r.status !== 200) throw new Error(JSON.stringify(r.body));
-  await f.pass(1_000);
-  return f;
+  if (answer.status !== 200) throw new Error(JSON.stringify(answer.body));
+  await fleet.pass(1_000);
+  return fleet;
 }
--- a/packages/trial/src/test/cut-off.test.ts
+++ b/packages/trial/src/test/cut-off.test.ts
@@ -4,25 +4,25 @@
 import { controlFleet, type ControlFleet } from './control-fleet.js';
 import { FAMILIES, settled } from './small-fleet.js';
 
-/** A caller goes elsewhere after this long without an answer. */
-const SILENCE_MS = 1_000;
-const CUT_MS = 20_000;
+/** A client tries another node after this long without an answer. */
+const CLIENT_TIMEOUT_MS = 1_000;
+const OUTAGE_MS = 20_000;
 const APPLY_MS = 3_000;
-/** The revision that is acknowledged during the trouble, and the one that only the machine in trouble is given. */
-const AGREED = 20;
-const STRANDED = 50;
+/** The revision acknowledged during the outage, and the one submitted only to the affected machine. */
+const ACKNOWLEDGED_REVISION = 20;
+const INTERRUPTED_REVISION = 50;
 
 type Method = (this: unknown, ...args: unknown[]) => unknown;
 type Direction = 'both' | 'in' | 'out';
 const DIRECTIONS: Direction[] = ['both', 'in', 'out'];
 const seedsFrom = (first: number, count: number): number[] => Array.from({ length: count }, (_, i) => first + i);
 
-const order = (revision: number, families: unknown = FAMILIES): object => ({
+const submission = (revision: number, families: unknown = FAMILIES): object => ({
   revision,
   document: { revision },
   config: { families },
 });
-const withoutAlarms = FAMILIES.filter((f) => f.name !== 'alarms');
+const withoutAlarms = FAMILIES.filter((family) => family.name !== 'alarms');
 
 function cutFrom(sim: Sim, machine: SimNode, others: SimNode[], direction: Direction): void {
   for (const other of others) {
@@ -40,246 +40,269 @@
   retryAfterMs?: number;
 }
 
-/** Asks without letting time pass; the answer comes as time does. */
-async function asks(f: ControlFleet, n: SimNode, method: string, body: unknown, limitMs = 6_000): Promise<Answer> {
-  const askedAt = f.sim.now;
-  const r = await f.sim.outside.visit(n.config.client, method, body, limitMs);
+/** Sends a request without advancing virtual time; the answer arrives as time advances. */
+async function send(
+  fleet: ControlFleet,
+  node: SimNode,
+  method: string,
+  body: unknown,
+  limitMs = 6_000,
+): Promise<Answer> {
+  const askedAt = fleet.sim.now;
+  const result = await fleet.sim.outside.visit(node.config.client, method, body, limitMs);
   return {
     askedAt,
-    tookMs: f.sim.now - askedAt,
-    status: r?.status ?? 0,
-    revision: r?.status === 200 ? r.body.revision : undefined,
-    retryAfterMs: r?.body?.error?.retryAfterMs,
+    tookMs: fleet.sim.now - askedAt,
+    status: result?.status ?? 0,
+    revision: result?.status === 200 ? result.body.revision : undefined,
+    retryAfterMs: result?.body?.error?.retryAfterMs,
   };
 }
 
-async function revisionInForce(f: ControlFleet, n: SimNode): Promise<number> {
+async function readRevision(fleet: ControlFleet, node: SimNode): Promise<number> {
   for (let tries = 0; tries < 20; tries++) {
-    const r = await settled(f.sim, asks(f, n, 'ReadConfig', {}));
-    if (r.status === 200) return r.revision!;
-    await f.pass(400);
+    const result = await settled(fleet.sim, send(fleet, node, 'ReadConfig', {}));
+    if (result.status === 200) return result.revision!;
+    await fleet.pass(400);
   }
-  throw new Error('no majority for a read');
+  throw new Error('no read answered with 200 in 20 attempts');
 }
 
-/** What an order or a read of a machine without a majority may be answered: never a refusal, and in time. */
-function checkUndecided(t: ExecutionContext, a: Answer, what: string): void {
-  t.is(a.status, 503, `${what}: neither confirmed nor refused`);
-  t.true(a.tookMs < SILENCE_MS, `${what}: answered after ${Math.round(a.tookMs)} ms`);
-  t.true(a.retryAfterMs !== undefined && a.retryAfterMs < SILENCE_MS, `${what}: a time to come back`);
+/** Checks the answer of a machine without a majority: neither a confirmation nor a rejection, and in time. */
+function checkUndecided(t: ExecutionContext, answer: Answer, what: string): void {
+  t.is(answer.status, 503, `${what}: neither confirmed nor rejected`);
+  t.true(answer.tookMs < CLIENT_TIMEOUT_MS, `${what}: answered after ${Math.round(answer.tookMs)} ms`);
+  t.true(answer.retryAfterMs !== undefined && answer.retryAfterMs < CLIENT_TIMEOUT_MS, `${what}: has a retry time`);
 }
 
-interface CutRun {
+interface IsolationRun {
   answers: { cut: Answer[]; orders: Answer[]; others: Answer[] };
-  /** Revisions in force at each node at the end. */
+  /** The revision read at each node at the end. */
   end: number[];
-  /** Moments, in ms after the acknowledgement, at which the cut machine served by an older configuration. */
+  /** Times (ms) after the acknowledgement at which the isolated machine had a read lease on another revision. */
   servedOldMs: number[];
 }
 
-/** A control machine is cut off for twenty seconds; orders and reads go to it and to the others; then it is joined again. */
-async function cutRun(seed: number, direction: Direction, from: 'voters' | 'all'): Promise<CutRun> {
-  const f = await controlFleet(seed, { stores: 3, relays: 2 });
-  const { sim, controls, relays } = f;
-  const cut = controls[seed % controls.length]!;
+/** Isolates a control machine for twenty seconds, sends submissions and reads to it and to the others, and reconnects it. */
+async function runIsolation(seed: number, direction: Direction, from: 'voters' | 'all'): Promise<IsolationRun> {
+  const fleet = await controlFleet(seed, { stores: 3, relays: 2 });
+  const { sim, controls, relays } = fleet;
+  const isolated = controls[seed % controls.length]!;
   const other = controls[(seed + 1) % controls.length]!;
-  // A clock that runs wrong by a hundredth, and a time of day that jumps during the cut.
-  sim.setRate(cut, [1, 0.99, 1.01][seed % 3]!);
-  cutFrom(sim, cut, from === 'voters' ? controls : [...sim.nodes.values()], direction);
-  const begun = sim.now;
-  const run: CutRun = { answers: { cut: [], orders: [], others: [] }, end: [], servedOldMs: [] };
+  // The clock may run 1 % fast or slow, and the wall clock jumps by an hour during the partition.
+  sim.setRate(isolated, [1, 0.99, 1.01][seed % 3]!);
+  cutFrom(sim, isolated, from === 'voters' ? controls : [...sim.nodes.values()], direction);
+  const startedAt = sim.now;
+  const run: IsolationRun = { answers: { cut: [], orders: [], others: [] }, end: [], servedOldMs: [] };
   const pending: Promise<void>[] = [];
-  const note = (to: Answer[], p: Promise<Answer>): void => {
+  const record = (to: Answer[], p: Promise<Answer>): void => {
     pending.push(
-      p.then((a) => {
-        to.push(a);
+      p.then((answer) => {
+        to.push(answer);
       }),
     );
   };
-  note(run.answers.orders, asks(f, cut, 'SubmitConfig', order(STRANDED)));
-  await f.pass(500);
-  const first = await settled(sim, asks(f, other, 'SubmitConfig', order(AGREED, withoutAlarms)));
+  record(run.answers.orders, send(fleet, isolated, 'SubmitConfig', submission(INTERRUPTED_REVISION)));
+  await fleet.pass(500);
+  const first = await settled(
+    sim,
+    send(fleet, other, 'SubmitConfig', submission(ACKNOWLEDGED_REVISION, withoutAlarms)),
+  );
   run.answers.others.push(first);
   const acknowledgedAt = sim.now;
-  while (sim.now < begun + CUT_MS) {
-    note(run.answers.cut, asks(f, cut, 'ReadConfig', {}));
-    note(run.answers.others, asks(f, other, 'ReadConfig', {}));
-    if (sim.now < begun + 5_000) note(run.answers.orders, asks(f, cut, 'EmptyDisk', { disk: f.stores[0]!.name }));
-    if (sim.now > begun + 8_000) cut.stepMs = seed % 2 ? 3_600_000 : -3_600_000;
-    await f.pass(700);
-    const old = cut.kernel!.use('register').value!.revision !== AGREED;
-    if (old && cut.kernel!.use('register').hasReadLease()) run.servedOldMs.push(sim.now - acknowledgedAt);
+  while (sim.now < startedAt + OUTAGE_MS) {
+    record(run.answers.cut, send(fleet, isolated, 'ReadConfig', {}));
+    record(run.answers.others, send(fleet, other, 'ReadConfig', {}));
+    if (sim.now < startedAt + 5_000)
+      record(run.answers.orders, send(fleet, isolated, 'EmptyDisk', { disk: fleet.stores[0]!.name }));
+    if (sim.now > startedAt + 8_000) isolated.stepMs = seed % 2 ? 3_600_000 : -3_600_000;
+    await fleet.pass(700);
+    const isStale = isolated.kernel!.use('register').value!.revision !== ACKNOWLEDGED_REVISION;
+    if (isStale && isolated.kernel!.use('register').hasReadLease()) run.servedOldMs.push(sim.now - acknowledgedAt);
   }
   sim.heal();
-  await f.pass(10_000);
+  await fleet.pass(10_000);
   await Promise.all(pending);
-  for (const n of [...controls, ...relays]) run.end.push(await revisionInForce(f, n));
+  for (const node of [...controls, ...relays]) run.end.push(await readRevision(fleet, node));
   sim.close();
   return run;
 }
 
-function judge(t: ExecutionContext, run: CutRun, what: string): void {
-  t.is(run.answers.others[0]!.status, 200, `${what}: the majority goes on`);
-  for (const a of run.answers.orders) checkUndecided(t, a, `${what}, order`);
-  for (const a of run.answers.cut) {
-    if (a.status === 200) t.is(a.revision, AGREED, `${what}, read: what was acknowledged before the question`);
-    else checkUndecided(t, a, `${what}, read`);
+function checkRun(t: ExecutionContext, run: IsolationRun, what: string): void {
+  t.is(run.answers.others[0]!.status, 200, `${what}: the majority continues`);
+  for (const answer of run.answers.orders) checkUndecided(t, answer, `${what}, submission`);
+  for (const answer of run.answers.cut) {
+    if (answer.status === 200)
+      t.is(answer.revision, ACKNOWLEDGED_REVISION, `${what}, read: returns what was acknowledged before the request`);
+    else checkUndecided(t, answer, `${what}, read`);
   }
-  for (const a of run.answers.others.slice(1)) t.is(a.revision, AGREED, `${what}: the others read what is in force`);
+  for (const answer of run.answers.others.slice(1))
+    t.is(answer.revision, ACKNOWLEDGED_REVISION, `${what}: the others read the current revision`);
   t.deepEqual(
     run.servedOldMs.filter((ms) => ms >= APPLY_MS),
     [],
-    `${what}: nothing old is served`,
+    `${what}: no older configuration is served`,
+  );
+  t.deepEqual(
+    new Set(run.end),
+    new Set([ACKNOWLEDGED_REVISION]),
+    `${what}: a submission made during the isolation does not take effect long afterwards`,
   );
-  t.deepEqual(new Set(run.end), new Set([AGREED]), `${what}: what was given while cut off is not in force long after`);
 }
 
 for (const direction of DIRECTIONS) {
   for (const from of ['voters', 'all'] as const) {
-    test(`a control machine is cut off for twenty seconds (${direction}, from ${from}): it tells nothing old, and decides nothing`, async (t) => {
-      for (const seed of seedsFrom(700, 3)) judge(t, await cutRun(seed, direction, from), `seed ${seed}`);
+    test(`a control machine is isolated for twenty seconds (${direction}, from ${from}): it serves nothing stale and decides nothing`, async (t) => {
+      for (const seed of seedsFrom(700, 3)) checkRun(t, await runIsolation(seed, direction, from), `seed ${seed}`);
     });
   }
 }
 
-test.serial('planted: a lease that never ends is found out', async (t) => {
+test.serial('planted: a read lease that never expires is detected', async (t) => {
   const lease = ReadLease.prototype as unknown as Record<string, Method>;
   const valid = lease['valid']!;
   lease['valid'] = () => true;
   try {
-    const run = await cutRun(700, 'both', 'all');
+    const run = await runIsolation(700, 'both', 'all');
     t.true(run.servedOldMs.some((ms) => ms >= APPLY_MS));
   } finally {
     lease['valid'] = valid;
   }
 });
 
-/** Whether a voter's disk holds the stranded order as accepted. */
-const acceptedBy = (n: SimNode): boolean => {
-  const { value } = n.kernel!.use('state').acceptorState();
-  return value !== undefined && deserializeValue(value).revision === STRANDED;
+/** Whether a voter's disk has accepted the submitted revision. */
+const hasAccepted = (node: SimNode): boolean => {
+  const { value } = node.kernel!.use('state').acceptorState();
+  return value !== undefined && deserializeValue(value).revision === INTERRUPTED_REVISION;
 };
 
-/** What befalls the machine that is given an order, or the other two, while the order is on its way to the voters' disks. */
-type Trouble = 'proposer frozen' | 'others frozen' | 'proposer cut';
+/** An outage of the machine that received a submission, or of the other two, while it is written to the voters' disks. */
+type Outage = 'proposer frozen' | 'others frozen' | 'proposer cut';
 
-interface StrandedRun {
-  /** Whether some voter had accepted the order when the trouble came. */
+interface InterruptedRun {
+  /** Whether some voter had accepted the value when the outage began. */
   accepted: boolean;
-  /** Whether the order was in force before the trouble ended, and at the end. */
+  /** Whether the revision was in force before the outage ended. */
   before: boolean;
+  /** Whether it is in force at the end. */
   after: boolean;
 }
 
-/** An order is given to one control machine, the trouble comes a moment later and lasts for twenty seconds; nobody sends it again. */
-async function strandedRun(seed: number, afterMs: number, trouble: Trouble): Promise<StrandedRun> {
-  const f = await controlFleet(seed, { stores: 3, relays: 1 });
-  const { sim, controls, relays } = f;
+/** Submits a revision to one control machine, once, and starts an outage of twenty seconds `afterMs` later. */
+async function runInterruptedSubmission(seed: number, afterMs: number, outage: Outage): Promise<InterruptedRun> {
+  const fleet = await controlFleet(seed, { stores: 3, relays: 1 });
+  const { sim, controls, relays } = fleet;
   const [proposer, ...others] = controls as [SimNode, ...SimNode[]];
-  void asks(f, proposer, 'SubmitConfig', order(STRANDED), 60_000);
-  await f.pass(afterMs);
-  const accepted = controls.some(acceptedBy);
-  const frozen = new Map<Trouble, SimNode[]>([
+  void send(fleet, proposer, 'SubmitConfig', submission(INTERRUPTED_REVISION), 60_000);
+  await fleet.pass(afterMs);
+  const accepted = controls.some(hasAccepted);
+  const frozen = new Map<Outage, SimNode[]>([
     ['proposer frozen', [proposer]],
     ['others frozen', others],
   ]);
-  for (const n of frozen.get(trouble) ?? []) sim.freeze(n);
-  if (trouble === 'proposer cut') cutFrom(sim, proposer, [...sim.nodes.values()], 'both');
-  await f.pass(CUT_MS);
-  const before = relays[0]!.kernel!.use('register').value!.revision === STRANDED;
-  for (const n of frozen.get(trouble) ?? []) sim.thaw(n);
+  for (const node of frozen.get(outage) ?? []) sim.freeze(node);
+  if (outage === 'proposer cut') cutFrom(sim, proposer, [...sim.nodes.values()], 'both');
+  await fleet.pass(OUTAGE_MS);
+  const before = relays[0]!.kernel!.use('register').value!.revision === INTERRUPTED_REVISION;
+  for (const node of frozen.get(outage) ?? []) sim.thaw(node);
   sim.heal();
-  await f.pass(8_000);
-  const after = (await revisionInForce(f, relays[0]!)) === STRANDED;
+  await fleet.pass(8_000);
+  const after = (await readRevision(fleet, relays[0]!)) === INTERRUPTED_REVISION;
   sim.close();
   return { accepted, before, after };
 }
 
-/** Moments of a change, by the time that two calls and two syncs take. */
-const MOMENTS_MS = [1, 3, 5, 6, 7, 8, 9, 10, 11, 13, 15, 18, 22];
+/** Start times of the outage, spread over the duration of a change: two calls and two disk syncs. */
+const OUTAGE_TIMES_MS = [1, 3, 5, 6, 7, 8, 9, 10, 11, 13, 15, 18, 22];
 
-/** The first seeds of the rounds over all moments: which messages are on their way at a moment depends on the delays that a seed draws. */
-const STRANDED_SEEDS = [800, 802, 900];
+/** The first seeds of the runs over all times: which messages are in transit at a time depends on the delays of the seed. */
+const INTERRUPTED_SEEDS = [800, 802, 900];
 
-/** How many orders came into force only when the trouble was over, and how many never did. */
-async function stranded(
+/** Counts the submissions that took effect only after the outage, and those that never did. */
+async function countLateSubmissions(
   t: ExecutionContext,
-  trouble: Trouble,
-  untilFirst = false,
+  outage: Outage,
+  stopAtFirst = false,
 ): Promise<{ late: number; never: number }> {
   let late = 0;
   let never = 0;
-  const runs = STRANDED_SEEDS.flatMap((seed) => MOMENTS_MS.map((afterMs, i) => ({ seed: seed + i, afterMs })));
+  const runs = INTERRUPTED_SEEDS.flatMap((seed) => OUTAGE_TIMES_MS.map((afterMs, i) => ({ seed: seed + i, afterMs })));
   for (const { seed, afterMs } of runs) {
-    const r = await strandedRun(seed, afterMs, trouble);
-    if (!r.after) never++;
-    // With most voters gone, nobody can tell what one of them accepted from what all of them did: it must not be dropped.
-    const mayBeChosen = trouble === 'others frozen' && r.accepted;
-    if (!r.after || r.before || mayBeChosen) continue;
+    const result = await runInterruptedSubmission(seed, afterMs, outage);
+    if (!result.after) never++;
+    // Without a majority, a value that one voter accepted can't be told from a chosen one, so it must not be dropped.
+    const mayBeChosen = outage === 'others frozen' && result.accepted;
+    if (!result.after || result.before || mayBeChosen) continue;
     late++;
-    t.log(`seed ${seed}, after ${afterMs} ms: in force only when the trouble was over`);
-    if (untilFirst) break;
+    t.log(`seed ${seed}, after ${afterMs} ms: took effect only after the outage`);
+    if (stopAtFirst) break;
   }
   return { late, never };
 }
 
-for (const trouble of ['proposer frozen', 'others frozen', 'proposer cut'] as const) {
-  test(`${trouble} in the middle of a ballot for twenty seconds: the order is in force at once, or not long after`, async (t) => {
-    const { late, never } = await stranded(t, trouble);
+for (const outage of ['proposer frozen', 'others frozen', 'proposer cut'] as const) {
+  test(`${outage} in the middle of a ballot for twenty seconds: a submission does not first take effect afterwards, unless it may have been chosen already`, async (t) => {
+    const { late, never } = await countLateSubmissions(t, outage);
     t.is(late, 0);
-    t.true(never > 0, 'some orders were cut short');
+    t.true(never > 0, 'some submissions were interrupted');
   });
 }
 
-const planted: { what: string; trouble: Trouble; proto: object; method: string; fault: (old: Method) => Method }[] = [
+const plantedFaults: {
+  what: string;
+  outage: Outage;
+  prototype: object;
+  method: string;
+  fault: (original: Method) => Method;
+}[] = [
   {
-    what: 'voters accept a value however long ago they promised its ballot',
-    trouble: 'others frozen',
-    proto: Acceptor.prototype,
+    what: 'voters accept a value regardless of the age of their promise',
+    outage: 'others frozen',
+    prototype: Acceptor.prototype,
     method: 'isLate',
     fault: () => () => false,
   },
   {
-    what: 'a proposer that wakes goes on with its ballot, and voters let it',
-    trouble: 'proposer frozen',
-    proto: Acceptor.prototype,
+    what: 'a proposer that wakes up after a pause continues its ballot, and voters accept it',
+    outage: 'proposer frozen',
+    prototype: Acceptor.prototype,
     method: 'isLate',
     fault: () => () => false,
   },
   {
-    what: 'orders that lay in the buffer of a machine that stood still are taken as new',
-    trouble: 'proposer frozen',
-    proto: OperatorAnswers.prototype,
+    what: 'requests that were buffered while the process was paused are executed',
+    outage: 'proposer frozen',
+    prototype: OperatorAnswers.prototype,
     method: 'rejectIfStale',
     fault: () => () => undefined,
   },
   {
-    what: 'the own voter accepts before any other',
-    trouble: 'proposer cut',
-    proto: Proposer.prototype,
+    what: 'the local voter accepts before any other',
+    outage: 'proposer cut',
+    prototype: Proposer.prototype,
     method: 'accept',
-    fault: (old) =>
+    fault: (original) =>
       function (this: unknown, ...args) {
         (this as { context: { ownDisk?: string } }).context.ownDisk = undefined;
-        return old.call(this, ...args);
+        return original.call(this, ...args);
       },
   },
 ];
-for (const { what, trouble, proto, method, fault } of planted) {
-  test.serial(`planted: ${what}: found out (${trouble})`, async (t) => {
-    const methods = proto as Record<string, Method>;
-    const old = methods[method]!;
-    const oldAccept = (Proposer.prototype as unknown as Record<string, Method>)['accept']!;
-    methods[method] = fault(old);
+for (const { what, outage, prototype, method, fault } of plantedFaults) {
+  test.serial(`planted: ${what}: detected (${outage})`, async (t) => {
+    const methods = prototype as Record<string, Method>;
+    const original = methods[method]!;
+    const originalAccept = (Proposer.prototype as unknown as Record<string, Method>)['accept']!;
+    methods[method] = fault(original);
     if (what.startsWith('a proposer that wakes'))
       (Proposer.prototype as unknown as Record<string, Method>)['accept'] = function (this: unknown, ...args) {
-        return oldAccept.call(this, args[0], args[1], args[2], () => true);
+        return originalAccept.call(this, args[0], args[1], args[2], () => true);
       };
     try {
-      t.true((await stranded(t, trouble, true)).late > 0);
+      t.true((await countLateSubmissions(t, outage, true)).late > 0);
     } finally {
-      methods[method] = old;
-      (Proposer.prototype as unknown as Record<string, Method>)['accept'] = oldAccept;
+      methods[method] = original;
+      (Proposer.prototype as unknown as Record<string, Method>)['accept'] = originalAccept;
     }
   });
 }
--- a/packages/trial/src/test/fault-tolerance.test.ts
+++ b/packages/trial/src/test/fault-tolerance.test.ts
@@ -1,4 +1,4 @@
-/** Failure domains and regions that may be lost at once: how many replicas and voters that takes, where they are, and what is refused. */
+/** Tolerance of lost failure domains and regions: the number of replicas and voters, their placement, and what is refused. */
 import {
   findToleranceError,
   maxMembersWithin,
@@ -14,19 +14,19 @@
 import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
-/** The sites' `sync_s`: a machine that is back counts as lost until this long after. */
+/** The deployments' `sync_s`: a machine counts as lost until this long after its restart. */
 const SYNC_MS = 4_000;
-/** The sites' `recovery_s`: what was accepted is served this long after a loss. */
+/** The deployments' `recovery_s`: what was accepted is served this long after a loss. */
 const RECOVERY_MS = 12_000;
-/** Longer than a silent disk keeps its place. */
-const LONG_AWAY_MS = 50_000;
+/** Longer than an unreachable disk keeps its replicas and votes. */
+const LONG_OUTAGE_MS = 50_000;
 
 const SEED = 20261204;
 const topics = Array.from({ length: 40 }, (_, i) => `feed/${i}`);
 const THREE_ZONES = { a: 'r', b: 'r', c: 'r' };
 const THREE_REGIONS = { a1: 'a', a2: 'a', b1: 'b', b2: 'b', c1: 'c', c2: 'c' };
 
-/** Publishes to every topic; the offset tells whether everything accepted before is there. */
+/** Publishes to every topic; the offset shows whether everything accepted before is still there. */
 async function publishAll(fleet: ControlFleet, relay: SimNode, seq: number): Promise<string[]> {
   const faults: string[] = [];
   for (const topic of topics) {
@@ -42,38 +42,38 @@
 const machinesIn = (fleet: ControlFleet, domains: string[]): SimNode[] =>
   [...fleet.sim.nodes.values()].filter((node) => domains.includes(node.config.domain));
 
-const outside = (nodes: SimNode[], domains: string[]): SimNode =>
+const firstOutside = (nodes: SimNode[], domains: string[]): SimNode =>
   nodes.find((node) => !domains.includes(node.config.domain))!;
 
-/** What callers miss while these failure domains are lost. */
-async function missedWithout(fleet: ControlFleet, domains: string[], seq: number, revision: number): Promise<string[]> {
-  const control = outside(fleet.controls, domains);
-  const relay = outside(fleet.relays, domains);
+/** What clients find missing or refused while these failure domains are lost. */
+async function findFaults(fleet: ControlFleet, domains: string[], seq: number, revision: number): Promise<string[]> {
+  const control = firstOutside(fleet.controls, domains);
+  const relay = firstOutside(fleet.relays, domains);
   const faults = await publishAll(fleet, relay, seq);
   const read = await fleet.ask(control, 'ReadConfig', {});
   if (read.body?.revision !== revision) faults.push(`read back: ${JSON.stringify(read.body)}`);
-  const order = await submit(fleet, control, revision + 1);
-  if (order.status !== 200) faults.push(`order: ${order.status}`);
+  const submission = await submit(fleet, control, revision + 1);
+  if (submission.status !== 200) faults.push(`submission: ${submission.status}`);
   return faults;
 }
 
-// Guards against a deployment that tolerates the loss of a zone acknowledging messages with their only copy in that zone.
+// Guards against messages acknowledged with their only copy in one zone although the settings tolerate the loss of a zone.
 for (const lost of ['a', 'b', 'c'])
   for (const losses of [0, 1])
-    test(`zone ${lost} of three is lost, as the settings allow, beside ${losses} machines: nothing acknowledged is gone`, async (t) => {
+    test(`zone ${lost} of three is lost, which the settings tolerate along with ${losses} machines: nothing acknowledged is lost`, async (t) => {
       const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
       const fleet = await controlFleet(81 + losses, { losses, spread });
       t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 1), []);
       t.is((await submit(fleet, fleet.controls[0]!, 2)).status, 200);
       for (const node of machinesIn(fleet, [lost])) fleet.sim.loseDisk(node);
       await fleet.pass(RECOVERY_MS);
-      t.deepEqual(await missedWithout(fleet, [lost], 2, 2), []);
+      t.deepEqual(await findFaults(fleet, [lost], 2, 2), []);
       fleet.sim.close();
     });
 
-// Guards against votes and replicas that are spread over zones which lie in one region.
+// Guards against votes and replicas that are spread over several zones of one region only.
 for (const lost of ['a', 'b', 'c'])
-  test(`region ${lost} of three is lost, as the settings allow: nothing acknowledged is gone`, async (t) => {
+  test(`region ${lost} of three is lost, which the settings tolerate: nothing acknowledged is lost`, async (t) => {
     const spread = { domainLosses: 0, regionLosses: 1, domains: THREE_REGIONS };
     // The seeds, which are the first voters, are in a1, a2 and b1.
     const fleet = await controlFleet(83, { losses: 0, controls: 6, stores: 6, relays: 6, spread });
@@ -82,30 +82,30 @@
     const domains = [`${lost}1`, `${lost}2`];
     for (const node of machinesIn(fleet, domains)) fleet.sim.loseDisk(node);
     await fleet.pass(RECOVERY_MS);
-    t.deepEqual(await missedWithout(fleet, domains, 2, 2), []);
+    t.deepEqual(await findFaults(fleet, domains, 2, 2), []);
     fleet.sim.close();
   });
 
-// Guards against sets that stay crowded in the zones that were left after a long loss, so that the next lost zone takes a majority.
-test('a zone is away for long and comes back: after sync_s another zone may be lost', async (t) => {
+// Guards against sets that stay in the remaining zones after a long outage of one, so that the next zone takes a majority.
+test('a zone returns after a long outage: after sync_s another zone may be lost', async (t) => {
   const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
   for (const seed of [84, 85]) {
     const fleet = await controlFleet(seed, { losses: 0, controls: 6, stores: 6, spread });
     t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 1), []);
     const away = machinesIn(fleet, ['c']);
     for (const node of away) fleet.sim.kill(node);
-    await fleet.pass(LONG_AWAY_MS);
+    await fleet.pass(LONG_OUTAGE_MS);
     t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 2), [], `seed ${seed}`);
     for (const node of away) void fleet.sim.start(node);
     await fleet.pass(SYNC_MS);
     for (const node of machinesIn(fleet, ['a'])) fleet.sim.loseDisk(node);
     await fleet.pass(RECOVERY_MS);
-    t.deepEqual(await missedWithout(fleet, ['a'], 3, 1), [], `seed ${seed}`);
+    t.deepEqual(await findFaults(fleet, ['a'], 3, 1), [], `seed ${seed}`);
     fleet.sim.close();
   }
 });
 
-test('votes and replicas are within the limits of each tolerance', async (t) => {
+test('voters and replicas stay within the spread limits of each tolerance', async (t) => {
   const cases: [FaultTolerance, Record<string, string>, number][] = [
     [{ machines: 0, domains: 1, regions: 0 }, THREE_ZONES, 3],
     [{ machines: 2, domains: 1, regions: 0 }, THREE_ZONES, 6],
@@ -132,7 +132,7 @@
   }
 });
 
-/** A fleet whose machines start together and of which it is not expected that it is founded. */
+/** Starts all machines together, and does not expect the fleet to be created. */
 async function startTogether(count: { controls: number; stores: number }, config: Partial<NodeConfig>): Promise<Sim> {
   const sim = new Sim(87, { delayMs: [0.5, 2] });
   const add = (role: 'control' | 'store', i: number): void => {
@@ -153,17 +153,17 @@
   return sim;
 }
 
-const isFounded = (sim: Sim): boolean =>
+const isFleetCreated = (sim: Sim): boolean =>
   [...sim.nodes.values()].some((node) => node.kernel!.use('register').value !== undefined);
 
-// Guards against a fleet that is founded with fewer copies than bear what the settings promise.
-test('with too few disks for what is to be borne the fleet is not founded, and says why; with the missing one it is', async (t) => {
+// Guards against a fleet that is created with fewer replicas than the configured fault tolerance requires.
+test('a fleet with too few disks for its fault tolerance is not created and logs the reason; with the missing disk it is created', async (t) => {
   const sim = await startTogether({ controls: 3, stores: 2 }, { losses: 1 });
-  t.false(isFounded(sim));
-  const said = sim.lines.filter((line) => line.includes('cannot found the fleet'));
-  t.is(said.length, 1);
+  t.false(isFleetCreated(sim));
+  const logged = sim.lines.filter((line) => line.includes('cannot found the fleet'));
+  t.is(logged.length, 1);
   t.regex(
-    said[0]!,
+    logged[0]!,
     /replicas: tolerating the loss of 1 machines, .* requires 3 disks, .* the 2 available have room for 2/,
   );
   const third = sim.add('store2', { role: 'store', domain: 'c', disk: true });
@@ -171,32 +171,36 @@
   Object.assign(third.config, { losses: 1, diskUses: ['copies', 'seat'], seeds });
   void sim.start(third);
   await sim.run(sim.now + 3_000);
-  t.true(isFounded(sim));
+  t.true(isFleetCreated(sim));
   t.true(copiesAt(sim.get('control0')).every((copies) => copies.length === 3));
   sim.close();
 });
 
-test('where all stores are in two of three zones the loss of a zone is not promised', async (t) => {
+test('a fleet that must tolerate the loss of a zone is not created with all its stores in two of three zones', async (t) => {
   const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
   const sim = await startTogether({ controls: 3, stores: 2 }, { losses: 0, ...spread });
-  t.false(isFounded(sim));
+  t.false(isFleetCreated(sim));
   t.true(sim.lines.some((line) => line.includes('cannot found the fleet: replicas: tolerating')));
   sim.close();
 });
 
-test('a store without which the replicas could not be spread is not emptied', async (t) => {
+test('a store that the required spread of replicas depends on is not emptied', async (t) => {
   const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
   const fleet = await controlFleet(88, { losses: 0, stores: 4, spread });
   const [first, second] = fleet.stores as [SimNode, SimNode];
   const refused = await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskOf(second) });
   t.is(refused.status, 409);
   t.regex(JSON.stringify(refused.body), /replicas: tolerating the loss of/);
-  t.is((await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskOf(first) })).status, 200, 'zone a has another');
+  t.is(
+    (await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskOf(first) })).status,
+    200,
+    'zone a has another store',
+  );
   fleet.sim.close();
 });
 
-// Guards against settings that promise more after a change while the fleet goes on with what it was founded with.
-test('the settings are raised while the fleet runs: it follows once its disks have room, and says so until then', async (t) => {
+// Guards against a raised fault tolerance that a running fleet ignores in favour of the one it was created with.
+test('the fault tolerance is raised in a running fleet: it applies once there are enough disks, and a shortfall is logged until then', async (t) => {
   const fleet = await controlFleet(89, { losses: 0 });
   const control = fleet.controls[0]!;
   t.true(copiesAt(control).every((copies) => copies.length === 1));
@@ -220,7 +224,7 @@
   fleet.sim.close();
 });
 
-test('what no spread can bear is told before a process starts, and what one can is not', (t) => {
+test('a fault tolerance that no placement satisfies is reported before a process starts, and one that can be satisfied is not', (t) => {
   const config: NodeConfig = {
     role: 'store',
     domain: 'a',
@@ -230,38 +234,38 @@
     data: 'data',
     losses: 1,
   };
-  const told = (more: Partial<NodeConfig>): string | undefined => findToleranceError({ ...config, ...more });
-  t.is(told({}), undefined);
-  t.is(told({ domainLosses: 0, regionLosses: 0 }), undefined);
-  t.is(told({ domainLosses: 1, domains: THREE_ZONES }), undefined);
-  t.regex(told({ domainLosses: 1 })!, /^domains: missing/);
-  t.regex(told({ losses: undefined, regionLosses: 1, domains: THREE_REGIONS })!, /^losses: missing/);
-  t.regex(told({ domainLosses: 1, domains: { b: 'r', c: 'r', d: 'r' } })!, /^domain: 'a' is not among domains/);
+  const errorFor = (more: Partial<NodeConfig>): string | undefined => findToleranceError({ ...config, ...more });
+  t.is(errorFor({}), undefined);
+  t.is(errorFor({ domainLosses: 0, regionLosses: 0 }), undefined);
+  t.is(errorFor({ domainLosses: 1, domains: THREE_ZONES }), undefined);
+  t.regex(errorFor({ domainLosses: 1 })!, /^domains: missing/);
+  t.regex(errorFor({ losses: undefined, regionLosses: 1, domains: THREE_REGIONS })!, /^losses: missing/);
+  t.regex(errorFor({ domainLosses: 1, domains: { b: 'r', c: 'r', d: 'r' } })!, /^domain: 'a' is not among domains/);
   t.regex(
-    told({ domainLosses: 1, domains: { a: 'r', b: 'r' } })!,
+    errorFor({ domainLosses: 1, domains: { a: 'r', b: 'r' } })!,
     /^domainLosses: tolerating the loss of 1 failure domain requires at least 3 of them, but there are 2/,
   );
   t.regex(
-    told({ domainLosses: 2, domains: { a: 'r', b: 'r', c: 'r', d: 'r' } })!,
+    errorFor({ domainLosses: 2, domains: { a: 'r', b: 'r', c: 'r', d: 'r' } })!,
     /^domainLosses: tolerating the loss of 2 failure domains requires at least 5/,
   );
   t.regex(
-    told({ regionLosses: 1, domains: THREE_ZONES })!,
+    errorFor({ regionLosses: 1, domains: THREE_ZONES })!,
     /^regionLosses: tolerating the loss of 1 region requires at least 3 of them, but there are 1/,
   );
   t.regex(
-    told({ domainLosses: 2, regionLosses: 1, domains: { a: 'r', b: 'r', c: 'r', d: 's', e: 'u' } })!,
+    errorFor({ domainLosses: 2, regionLosses: 1, domains: { a: 'r', b: 'r', c: 'r', d: 's', e: 'u' } })!,
     /^domainLosses and regionLosses: no placement/,
   );
 });
 
-/** All ways to lose so many of the places. */
-function losses<T>(places: T[], count: number): T[][] {
+/** All combinations of `count` of the places. */
+function combinations<T>(places: T[], count: number): T[][] {
   if (count === 0) return [[]];
-  return places.flatMap((place, i) => losses(places.slice(i + 1), count - 1).map((others) => [place, ...others]));
+  return places.flatMap((place, i) => combinations(places.slice(i + 1), count - 1).map((others) => [place, ...others]));
 }
 
-test('whatever the zones and the tolerance: a set of that size outlives each loss', (t) => {
+test('for any zones and tolerance, a set of the minimum size keeps a majority after each tolerated loss', (t) => {
   const layout = fc.array(fc.integer({ min: 1, max: 4 }), { minLength: 1, maxLength: 6 });
   const tolerance = fc.record({
     machines: fc.integer({ min: 0, max: 4 }),
@@ -270,13 +274,13 @@
   });
   t.notThrows(() =>
     fc.assert(
-      fc.property(layout, tolerance, (zonesOf, bears) => {
+      fc.property(layout, tolerance, (zonesOf, tolerated) => {
         const domains = Object.fromEntries(
           zonesOf.flatMap((zones, region) =>
             Array.from({ length: zones }, (_, i) => [`z${region}.${i}`, `r${region}`]),
           ),
         );
-        const size = minimumSetSize(bears, domains);
+        const size = minimumSetSize(tolerated, domains);
         if (size === undefined) return;
         const disks: DiskRecord[] = Object.entries(domains).flatMap(([domain, region]) =>
           Array.from({ length: size }, (_, i) => ({
@@ -288,18 +292,20 @@
           })),
         );
         const byId = new Map(disks.map((disk) => [disk.id, disk]));
-        for (const copies of assignReplicas(disks, size, 8, bears).values()) {
+        for (const copies of assignReplicas(disks, size, 8, tolerated).values()) {
           const set = copies.map((id) => byId.get(id)!);
-          const outlives = (isLost: (disk: DiskRecord) => boolean): boolean =>
+          const keepsMajority = (isLost: (disk: DiskRecord) => boolean): boolean =>
             set.filter((disk) => !isLost(disk)).length * 2 > set.length;
           const regions = [...new Set(Object.values(domains))];
-          const borne =
-            set.length >= 2 * bears.machines + 1 &&
-            losses(Object.keys(domains), bears.domains).every((lost) =>
-              outlives((disk) => lost.includes(disk.domain)),
+          const isTolerated =
+            set.length >= 2 * tolerated.machines + 1 &&
+            combinations(Object.keys(domains), tolerated.domains).every((lost) =>
+              keepsMajority((disk) => lost.includes(disk.domain)),
             ) &&
-            losses(regions, bears.regions).every((lost) => outlives((disk) => lost.includes(disk.region!)));
-          if (!borne) throw new Error(`${set.map((disk) => disk.domain).join()}`);
+            combinations(regions, tolerated.regions).every((lost) =>
+              keepsMajority((disk) => lost.includes(disk.region!)),
+            );
+          if (!isTolerated) throw new Error(`${set.map((disk) => disk.domain).join()}`);
         }
       }),
       { seed: SEED, numRuns: 300 },
@@ -307,7 +313,7 @@
   );
 });
 
-test('room and limits', (t) => {
+test('spread limits, and the number of members that fit within them', (t) => {
   t.deepEqual(spreadLimits(3, undefined), { perDomain: Infinity, perRegion: Infinity });
   t.deepEqual(spreadLimits(7, { machines: 0, domains: 2, regions: 1 }), { perDomain: 1, perRegion: 3 });
   const places = [
--- a/packages/trial/src/test/forget.test.ts
+++ b/packages/trial/src/test/forget.test.ts
@@ -6,101 +6,105 @@
 import { withConstants } from './long-life.js';
 import { FAMILIES } from './small-fleet.js';
 
-/** A minute in place of ten, so that a run stays short. */
+/** One minute instead of the default ten, to keep the run short. */
 const FORGET_DISK_MS = 60_000;
-/** In which a disk that came back is let in. */
-const JOINED_MS = 3_000;
+/** Time within which a returning disk is admitted. */
+const JOIN_MS = 3_000;
 
-const valueOf = (f: ControlFleet): FleetValue => f.controls[0]!.kernel!.use('register').value!;
-const stateOf = (f: ControlFleet, disk: string): string | undefined => valueOf(f).disks.get(disk)?.state;
+const valueOf = (fleet: ControlFleet): FleetValue => fleet.controls[0]!.kernel!.use('register').value!;
+const stateOf = (fleet: ControlFleet, disk: string): string | undefined => valueOf(fleet).disks.get(disk)?.state;
 
-/** A store is emptied for an operator, and its machine taken away with the disk still in it. */
-async function emptiedStore(f: ControlFleet): Promise<{ store: SimNode; disk: string }> {
-  void f.sim.start(f.spare('store', 'd'));
-  await f.pass(2_000);
-  const store = f.stores[1]!;
+/** Empties a store on an operator's request and then stops its machine, disk included. */
+async function emptyAndStopStore(fleet: ControlFleet): Promise<{ store: SimNode; disk: string }> {
+  void fleet.sim.start(fleet.spare('store', 'd'));
+  await fleet.pass(2_000);
+  const store = fleet.stores[1]!;
   const disk = diskOf(store);
-  await f.ask(f.controls[0]!, 'EmptyDisk', { disk: store.name });
+  await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: store.name });
   for (let i = 0; i < 50; i++) {
-    if ((await f.ask(f.controls[0]!, 'EmptyStatus', { disk: store.name })).body.state === 'emptied') break;
-    await f.pass(200);
+    if ((await fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk: store.name })).body.state === 'emptied') break;
+    await fleet.pass(200);
   }
-  f.sim.kill(store);
+  fleet.sim.kill(store);
   return { store, disk };
 }
 
 for (const planted of [false, true]) {
   test.serial(
     planted
-      ? 'planted: an emptied disk that does not remember it joins as if new'
-      : 'an emptied disk is answered for, then forgotten, and when it comes back it is still emptied until an operator takes that back',
+      ? 'planted: an emptied disk without its mark joins as if it were new'
+      : 'the state of an emptied disk can be queried, then its record is removed; when it returns it stays emptied until an operator cancels that',
     async (t) => {
       const restore = withConstants({ forgetDiskMs: FORGET_DISK_MS });
-      const f = await controlFleet(31);
-      const { store, disk } = await emptiedStore(f);
-      const status = () => f.ask(f.controls[0]!, 'EmptyStatus', { disk: store.name });
-      await f.pass(FORGET_DISK_MS / 2);
-      t.is((await status()).body.state, 'emptied', 'the outcome is told for a time');
-      await f.pass(FORGET_DISK_MS);
-      t.is(stateOf(f, disk), undefined, 'the record is forgotten');
+      const fleet = await controlFleet(31);
+      const { store, disk } = await emptyAndStopStore(fleet);
+      const status = () => fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk: store.name });
+      await fleet.pass(FORGET_DISK_MS / 2);
+      t.is((await status()).body.state, 'emptied', 'the outcome can be queried for a time');
+      await fleet.pass(FORGET_DISK_MS);
+      t.is(stateOf(fleet, disk), undefined, 'the record is removed');
       t.is((await status()).status, 404);
 
       if (planted) store.sql!.prepare("delete from meta where k = 'emptied'").run();
-      void f.sim.start(store);
-      await f.pass(JOINED_MS);
-      t.is(stateOf(f, disk), planted ? 'active' : 'emptying');
+      void fleet.sim.start(store);
+      await fleet.pass(JOIN_MS);
+      t.is(stateOf(fleet, disk), planted ? 'active' : 'emptying');
       if (!planted) {
-        t.false(copiesAt(f.controls[0]!).some((c) => c.includes(disk)));
-        t.false(seatsOf(f.controls[0]!).includes(disk));
-        t.is((await f.ask(f.controls[0]!, 'CancelEmpty', { disk: store.name })).status, 200);
-        f.sim.kill(store);
-        await f.pass(1_000);
-        void f.sim.start(store);
-        await f.pass(JOINED_MS);
-        t.is(stateOf(f, disk), 'active');
+        t.false(copiesAt(fleet.controls[0]!).some((c) => c.includes(disk)));
+        t.false(seatsOf(fleet.controls[0]!).includes(disk));
+        t.is((await fleet.ask(fleet.controls[0]!, 'CancelEmpty', { disk: store.name })).status, 200);
+        fleet.sim.kill(store);
+        await fleet.pass(1_000);
+        void fleet.sim.start(store);
+        await fleet.pass(JOIN_MS);
+        t.is(stateOf(fleet, disk), 'active');
         t.is(store.sql!.prepare("select v from meta where k = 'emptied'").pluck().get(), 'no');
       }
-      f.sim.close();
+      fleet.sim.close();
       restore();
     },
   );
 }
 
 test.serial(
-  'a voter whose record was forgotten comes back with its old disk: it joins without a vote and learns what is in force',
+  'a voter whose record was removed returns with its old disk: it joins without a vote and learns the current configuration',
   async (t) => {
     const restore = withConstants({ forgetDiskMs: FORGET_DISK_MS });
-    const f = await controlFleet(32, { controls: 4 });
-    const voter = f.controls.find((c) => c !== f.controls[0] && seatsOf(c).includes(diskOf(c)))!;
+    const fleet = await controlFleet(32, { controls: 4 });
+    const voter = fleet.controls.find((c) => c !== fleet.controls[0] && seatsOf(c).includes(diskOf(c)))!;
     const disk = diskOf(voter);
-    f.sim.kill(voter);
+    fleet.sim.kill(voter);
     for (let revision = 2; revision <= 30; revision++) {
-      const r = await f.ask(f.controls[0]!, 'SubmitConfig', { revision, document: {}, config: { families: FAMILIES } });
-      t.is(r.status, 200);
+      const answer = await fleet.ask(fleet.controls[0]!, 'SubmitConfig', {
+        revision,
+        document: {},
+        config: { families: FAMILIES },
+      });
+      t.is(answer.status, 200);
     }
-    await f.pass(PLACEMENT.spareAfterMs + 2_000);
-    t.is(stateOf(f, disk), 'lost');
-    await f.pass(FORGET_DISK_MS + 5_000);
-    t.is(stateOf(f, disk), undefined);
-    const seats = seatsOf(f.controls[0]!);
-    void f.sim.start(voter);
-    await f.pass(1_000);
+    await fleet.pass(PLACEMENT.spareAfterMs + 2_000);
+    t.is(stateOf(fleet, disk), 'lost');
+    await fleet.pass(FORGET_DISK_MS + 5_000);
+    t.is(stateOf(fleet, disk), undefined);
+    const voters = seatsOf(fleet.controls[0]!);
+    void fleet.sim.start(voter);
+    await fleet.pass(1_000);
     t.is(voter.kernel!.use('register').value?.revision, 30);
     t.true(voter.kernel!.use('register').hasReadLease());
-    await f.pass(JOINED_MS);
-    t.is(stateOf(f, disk), 'active');
-    t.deepEqual(seatsOf(f.controls[0]!), seats, 'the votes stay where they are');
+    await fleet.pass(JOIN_MS);
+    t.is(stateOf(fleet, disk), 'active');
+    t.deepEqual(seatsOf(fleet.controls[0]!), voters, 'the voters do not change');
     t.is(
-      (await f.ask(voter, 'SubmitConfig', { revision: 31, document: {}, config: { families: FAMILIES } })).status,
+      (await fleet.ask(voter, 'SubmitConfig', { revision: 31, document: {}, config: { families: FAMILIES } })).status,
       200,
     );
-    t.is(valueOf(f).revision, 31);
-    f.sim.close();
+    t.is(valueOf(fleet).revision, 31);
+    fleet.sim.close();
     restore();
   },
 );
 
-test('records that something still needs are kept: replicas, votes now and before, planned moves; active ones always', (t) => {
+test('records still in use are kept: replicas, current and previous votes, planned moves, and all active disks', (t) => {
   const machine = (id: string, state: 'active' | 'lost' | 'emptying') => ({ id, peer: `${id}:1`, domain: 'a', state });
   const value = {
     disks: new Map(
@@ -124,7 +128,7 @@
   const clock = { now: () => now };
   const membership = { memberOfDisk: (id: string) => (id === 'running' ? { state: 'live' } : undefined) };
   const planner = new ForgetPlanner({ host: { clock } } as never, membership as never);
-  t.is(planner.plan(value), undefined, 'nothing is forgotten at once');
+  t.is(planner.plan(value), undefined, 'no record is removed at once');
   now = PLACEMENT.forgetDiskMs - 1;
   t.is(planner.plan(value), undefined);
   now = PLACEMENT.forgetDiskMs;
--- a/packages/trial/src/test/overlapping-losses.test.ts
+++ b/packages/trial/src/test/overlapping-losses.test.ts
@@ -6,7 +6,7 @@
 import type { SimNode } from '../sim.js';
 
 const TOPICS = Array.from({ length: 24 }, (_, i) => `feed/${i}`);
-/** A change is in force everywhere this long after it was acknowledged, or the node does not answer by the old one. */
+/** A node applies a change within this time of its acknowledgement, or stops answering from the older configuration. */
 const APPLY_MS = 3_000;
 
 interface Change {
@@ -14,24 +14,24 @@
   acknowledgedAt: number;
 }
 
-const change = (fleet: ControlFleet, node: SimNode, revision: number) =>
+const submit = (fleet: ControlFleet, node: SimNode, revision: number) =>
   fleet.ask(node, 'SubmitConfig', { revision, document: { n: revision }, config: { families: FAMILIES } });
 const publish = (fleet: ControlFleet, node: SimNode, topic: string, seq: number) =>
   fleet.ask(node, 'Publish', { sender: 'desk', topic, seq, body: `message ${seq}` });
 
-/** Reads the configuration at every node that is up; gives each answer with an older revision than was acknowledged APPLY_MS before. */
-async function olderReads(fleet: ControlFleet, newest: Change): Promise<string[]> {
-  const older: string[] = [];
+/** Reads the configuration at every running node; returns each answer older than what was acknowledged APPLY_MS before. */
+async function staleReads(fleet: ControlFleet, newest: Change): Promise<string[]> {
+  const stale: string[] = [];
   for (const node of [...fleet.controls, ...fleet.stores, ...fleet.relays]) {
     if (!node.up) continue;
     const askedAt = fleet.sim.now;
     const { status, body } = await fleet.ask(node, 'ReadConfig', {});
     if (askedAt < newest.acknowledgedAt + APPLY_MS) continue;
     if (status === 200 && body.revision < newest.revision)
-      older.push(`${node.name} read ${body.revision}, ${newest.revision} was acknowledged`);
-    else if (status !== 200 && status !== 503 && status !== 0) older.push(`${node.name}: ${status}`);
+      stale.push(`${node.name} read revision ${body.revision}, but ${newest.revision} was acknowledged`);
+    else if (status !== 200 && status !== 503 && status !== 0) stale.push(`${node.name}: ${status}`);
   }
-  return older;
+  return stale;
 }
 
 interface Acknowledged {
@@ -40,7 +40,7 @@
   offset: number;
 }
 
-/** Publishes a number on all topics; gives what was acknowledged. */
+/** Publishes a sequence number to all topics; returns what was acknowledged. */
 async function publishAll(fleet: ControlFleet, node: SimNode, seq: number): Promise<Acknowledged[]> {
   const acknowledged: Acknowledged[] = [];
   for (const topic of TOPICS) {
@@ -50,84 +50,84 @@
   return acknowledged;
 }
 
-/** What is wrong with a repeat, and with the next publish, on each topic. */
+/** Publishes a sequence number, again or for the first time, to each topic; returns each answer with another offset. */
 async function wrongOffsets(fleet: ControlFleet, node: SimNode, seq: number, offset: number): Promise<string[]> {
-  const wrong: string[] = [];
+  const faults: string[] = [];
   for (const topic of TOPICS) {
     const { body } = await publish(fleet, node, topic, seq);
-    if (body?.accepted?.offset !== offset) wrong.push(`${topic} number ${seq}: ${JSON.stringify(body)}`);
+    if (body?.accepted?.offset !== offset) faults.push(`${topic} number ${seq}: ${JSON.stringify(body)}`);
   }
-  return wrong;
+  return faults;
 }
 
-/** The machines that count are cut into two halves for some seconds; relays reach both. */
-async function halves(seed: number): Promise<string[]> {
+/** A network partition divides the control machines and stores into two halves for some seconds; relays reach both. */
+async function partitionedHalves(seed: number): Promise<string[]> {
   const fleet = await controlFleet(seed, { controls: 4, stores: 4, relays: 3 });
   const relay = fleet.relays[seed % 3]!;
-  const wrong = await wrongOffsets(fleet, relay, 1, 1);
-  const counted = [...fleet.controls, ...fleet.stores];
-  const left = counted.filter((_, i) => (i + seed) % 2 === 0);
-  const right = counted.filter((node) => !left.includes(node));
+  const faults = await wrongOffsets(fleet, relay, 1, 1);
+  const diskNodes = [...fleet.controls, ...fleet.stores];
+  const left = diskNodes.filter((_, i) => (i + seed) % 2 === 0);
+  const right = diskNodes.filter((node) => !left.includes(node));
   for (const one of left) for (const other of right) fleet.sim.cut(one.name, other.name);
   let newest: Change = { revision: 1, acknowledgedAt: -Infinity };
   const acknowledged: Acknowledged[] = [];
   for (let round = 0; round < 4; round++) {
     const revision = 10 + round;
-    const answer = await change(fleet, counted[(round * 3 + seed) % counted.length]!, revision);
+    const answer = await submit(fleet, diskNodes[(round * 3 + seed) % diskNodes.length]!, revision);
     if (answer.status === 200 && answer.body.revision === revision)
       newest = { revision, acknowledgedAt: fleet.sim.now };
     acknowledged.push(...(await publishAll(fleet, relay, 2 + round)));
     await fleet.pass(1_500);
-    wrong.push(...(await olderReads(fleet, newest)));
+    faults.push(...(await staleReads(fleet, newest)));
   }
   fleet.sim.heal();
   await fleet.pass(8_000);
-  wrong.push(...(await olderReads(fleet, newest)));
+  faults.push(...(await staleReads(fleet, newest)));
   for (const { topic, seq, offset } of acknowledged) {
     const { body } = await publish(fleet, relay, topic, seq);
-    if (body?.accepted?.offset !== offset) wrong.push(`${topic} number ${seq} at ${offset}: ${JSON.stringify(body)}`);
+    if (body?.accepted?.offset !== offset) faults.push(`${topic} number ${seq} at ${offset}: ${JSON.stringify(body)}`);
   }
   fleet.sim.close();
-  return wrong;
+  return faults;
 }
 
-/** Two of three controls and two of three stores lose power, one after another, so that their times away overlap; their disks are kept. */
+/** Two of three controls and two of three stores lose power in turn, so that their outages overlap; their disks are kept. */
 async function overlappingLosses(seed: number): Promise<string[]> {
   const fleet = await controlFleet(seed, { controls: 3, stores: 3, relays: 2 });
   const relay = fleet.relays[0]!;
-  const wrong = await wrongOffsets(fleet, relay, 1, 1);
-  const { status } = await change(fleet, fleet.controls[0]!, 20);
-  if (status !== 200) wrong.push(`change: ${status}`);
+  const faults = await wrongOffsets(fleet, relay, 1, 1);
+  const { status } = await submit(fleet, fleet.controls[0]!, 20);
+  if (status !== 200) faults.push(`change: ${status}`);
   const newest: Change = { revision: 20, acknowledgedAt: fleet.sim.now };
-  const away = [0, 1].flatMap((i) => [fleet.controls[(seed + i) % 3]!, fleet.stores[(seed + i) % 3]!]);
-  for (const node of away) {
+  const stopped = [0, 1].flatMap((i) => [fleet.controls[(seed + i) % 3]!, fleet.stores[(seed + i) % 3]!]);
+  for (const node of stopped) {
     fleet.sim.kill(node);
     await fleet.pass(400);
   }
-  // One replica of three is left: nothing can be accepted, or the next loss would take it.
-  for (const { topic, seq } of await publishAll(fleet, relay, 2)) wrong.push(`${topic} number ${seq} has no majority`);
+  // One replica of three is left: anything accepted now could be lost with the next machine.
+  for (const { topic, seq } of await publishAll(fleet, relay, 2)) faults.push(`${topic} number ${seq} has no majority`);
   await fleet.pass(APPLY_MS);
-  wrong.push(...(await olderReads(fleet, newest)));
-  for (const node of away) {
+  faults.push(...(await staleReads(fleet, newest)));
+  for (const node of stopped) {
     void fleet.sim.start(node);
     await fleet.pass(700);
   }
   await fleet.pass(8_000);
-  wrong.push(...(await olderReads(fleet, newest)));
+  faults.push(...(await staleReads(fleet, newest)));
   for (const node of fleet.controls) {
     const { body } = await fleet.ask(node, 'ReadConfig', {});
-    if (body?.revision !== newest.revision) wrong.push(`${node.name} reads ${JSON.stringify(body)}`);
+    if (body?.revision !== newest.revision) faults.push(`${node.name} reads ${JSON.stringify(body)}`);
   }
-  wrong.push(...(await wrongOffsets(fleet, relay, 1, 1)), ...(await wrongOffsets(fleet, relay, 2, 2)));
+  faults.push(...(await wrongOffsets(fleet, relay, 1, 1)), ...(await wrongOffsets(fleet, relay, 2, 2)));
   fleet.sim.close();
-  return wrong;
+  return faults;
 }
 
 for (const seed of [61, 62, 63]) {
-  test(`the counted machines are cut into two halves: nothing old is read, nothing is accepted twice, all is there after (seed ${seed})`, async (t) => {
-    t.deepEqual(await halves(seed), []);
+  test(`a partition into two halves: no stale read, nothing is accepted twice, and everything acknowledged is there afterwards (seed ${seed})`, async (t) => {
+    t.deepEqual(await partitionedHalves(seed), []);
   });
-  test(`more machines are away at once than may be lost, with their disks: nothing acknowledged is gone or older (seed ${seed})`, async (t) => {
+  test(`more machines are down at once than may be lost, and keep their disks: nothing acknowledged is lost or stale (seed ${seed})`, async (t) => {
     t.deepEqual(await overlappingLosses(seed), []);
   });
 }
@@ -160,10 +160,13 @@
   };
 
 for (const [what, scenario] of [
-  ['two halves', halves],
+  ['two halves', partitionedHalves],
   ['overlapping losses', overlappingLosses],
 ] as const)
-  test.serial(`planted: an owner that accepts on its own replica alone is found out by the ${what}`, async (t) => {
-    const run = async (): Promise<string[]> => [...(await scenario(61)), ...(await scenario(62))];
-    t.not((await planted(Replication.prototype, 'advanceCommit', acceptsAlone, run)).length, 0);
-  });
+  test.serial(
+    `planted: an owner that accepts on its own replica alone is detected by the scenario '${what}'`,
+    async (t) => {
+      const run = async (): Promise<string[]> => [...(await scenario(61)), ...(await scenario(62))];
+      t.not((await planted(Replication.prototype, 'advanceCommit', acceptsAlone, run)).length, 0);
+    },
+  );
--- a/packages/trial/src/test/planned-replacement.test.ts
+++ b/packages/trial/src/test/planned-replacement.test.ts
@@ -1,33 +1,34 @@
-/** A machine is replaced by plan: its successor comes first, it goes for good, and another machine loses its disk at about that time. */
+/** Planned replacement: the successor starts, the old machine is removed, and another one loses its disk at about that time. */
 import test from 'ava';
 import type { SimNode } from '../sim.js';
 import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
-/** The sites' `sync_s`: a new machine counts as lost until this long after its start. */
+/** The deployments' `sync_s`: a new machine counts as lost until this long after its start. */
 const SYNC_MS = 4_000;
-/** The machine that lost its disk is back this long after. */
-const BACK_MS = 1_500;
-/** The sites' `recovery_s`: what was accepted is served this long after all are back. */
+/** The machine that lost its disk restarts this long after the loss. */
+const RESTART_DELAY_MS = 1_500;
+/** The deployments' `recovery_s`: what was accepted is served this long after all machines have restarted. */
 const RECOVERY_MS = 12_000;
 
 type DiskRole = 'control' | 'store';
 
 /** When the second machine loses its disk. */
-interface Moment {
+interface LossTime {
   name: string;
-  /** Before the stop (negative) or after it (ms); undefined: counted from the end of the stopped process. */
+  /** Time (ms) from the stop request, negative before it; undefined: see `fromEndMs`. */
   fromStopMs?: number;
-  fromEndMs?: number;
+  /** Time (ms) from the exit of the stopped process. */
+  fromExitMs?: number;
 }
 
-const MOMENTS: Moment[] = [
+const LOSS_TIMES: LossTime[] = [
   { name: '1 s before the stop', fromStopMs: -1_000 },
   { name: 'at the stop', fromStopMs: 0 },
   { name: '100 ms after the stop', fromStopMs: 100 },
-  { name: 'as the process ends', fromEndMs: 0 },
-  { name: '500 ms after the process ended', fromEndMs: 500 },
-  { name: '2 s after the process ended', fromEndMs: 2_000 },
+  { name: 'as the process exits', fromExitMs: 0 },
+  { name: '500 ms after the process exited', fromExitMs: 500 },
+  { name: '2 s after the process exited', fromExitMs: 2_000 },
 ];
 
 const topics = Array.from({ length: 40 }, (_, i) => `feed/${i}`);
@@ -38,7 +39,7 @@
 const submit = (fleet: ControlFleet, node: SimNode, revision: number) =>
   fleet.ask(node, 'SubmitConfig', { revision, document: { n: revision }, config: { families: FAMILIES } });
 
-/** Publishes to every topic; the offset tells whether everything accepted before is there. */
+/** Publishes to every topic; the offset shows whether everything accepted before is still there. */
 async function publishAll(fleet: ControlFleet, seq: number): Promise<string[]> {
   const faults: string[] = [];
   for (const topic of topics) {
@@ -51,41 +52,41 @@
 
 async function loseDiskAndReturn(fleet: ControlFleet, node: SimNode): Promise<void> {
   fleet.sim.loseDisk(node);
-  await fleet.pass(BACK_MS);
+  await fleet.pass(RESTART_DELAY_MS);
   void fleet.sim.start(node);
 }
 
-/** Stops a machine whose successor is there, and has another lose its disk at that moment. */
-async function stopAndLose(fleet: ControlFleet, old: SimNode, second: SimNode, moment: Moment): Promise<void> {
-  const { fromStopMs, fromEndMs } = moment;
+/** Stops a machine whose successor runs, and has another machine lose its disk at the given moment. */
+async function stopAndLoseDisk(fleet: ControlFleet, old: SimNode, second: SimNode, lossTime: LossTime): Promise<void> {
+  const { fromStopMs, fromExitMs } = lossTime;
   let lost: Promise<void> | undefined;
   if (fromStopMs !== undefined && fromStopMs < 0) {
     lost = loseDiskAndReturn(fleet, second);
     await fleet.pass(-fromStopMs);
   }
-  let ended = false;
+  let hasExited = false;
   void fleet.sim.stop(old).then(() => {
-    ended = true;
+    hasExited = true;
   });
   if (fromStopMs !== undefined && fromStopMs >= 0) {
     await fleet.pass(fromStopMs);
     lost = loseDiskAndReturn(fleet, second);
   }
-  while (!ended) await fleet.pass(10);
+  while (!hasExited) await fleet.pass(10);
   fleet.sim.loseDisk(old);
-  if (fromEndMs !== undefined) {
-    await fleet.pass(fromEndMs);
+  if (fromExitMs !== undefined) {
+    await fleet.pass(fromExitMs);
     lost = loseDiskAndReturn(fleet, second);
   }
   await lost;
 }
 
-/** What callers miss after a planned replacement and a loss at that moment. */
-async function missedBy(
+/** What clients find missing or refused after a planned replacement and a loss at the given moment. */
+async function findFaults(
   seed: number,
   role: DiskRole,
   at: { old: number; second: number },
-  moment: Moment,
+  lossTime: LossTime,
 ): Promise<string[]> {
   const fleet = await controlFleet(seed);
   const machines = machinesOf(fleet, role);
@@ -94,10 +95,10 @@
   void fleet.sim.start(successor);
   await fleet.pass(2 * SYNC_MS);
   const faults = await publishAll(fleet, 1);
-  const order = await submit(fleet, fleet.relays[0]!, 8);
-  if (order.status !== 200) faults.push(`revision 8: ${order.status}`);
+  const submission = await submit(fleet, fleet.relays[0]!, 8);
+  if (submission.status !== 200) faults.push(`revision 8: ${submission.status}`);
   await fleet.pass(SYNC_MS);
-  await stopAndLose(fleet, old, second, moment);
+  await stopAndLoseDisk(fleet, old, second, lossTime);
   machines.splice(machines.indexOf(old), 1, successor);
   await fleet.pass(RECOVERY_MS);
   faults.push(...(await publishAll(fleet, 2)));
@@ -108,20 +109,20 @@
 }
 
 for (const role of ['control', 'store'] as const)
-  for (const moment of MOMENTS)
-    // Guards against a replaced machine counting in majorities after it has gone, so that the next loss took what was acknowledged.
-    test(`a ${role} is replaced by plan and another loses its disk ${moment.name}: nothing acknowledged is gone`, async (t) => {
+  for (const lossTime of LOSS_TIMES)
+    // Guards against a removed machine that still counts in majorities: the next loss would take acknowledged data.
+    test(`planned replacement of a ${role}, and another loses its disk ${lossTime.name}: nothing acknowledged is lost`, async (t) => {
       for (const at of [
         { old: 0, second: 1 },
         { old: 1, second: 2 },
         { old: 2, second: 0 },
       ])
-        t.deepEqual(await missedBy(61 + at.old, role, at, moment), [], JSON.stringify(at));
+        t.deepEqual(await findFaults(61 + at.old, role, at, lossTime), [], JSON.stringify(at));
     });
 
-// Guards against a stop that hands nothing over because another machine happens to restart at that moment.
+// Guards against a stopping machine that hands nothing over because another one restarts at the same time.
 for (const role of ['control', 'store'] as const)
-  test(`a ${role} is replaced by plan while another restarts, and a third loses its disk later: nothing acknowledged is gone`, async (t) => {
+  test(`planned replacement of a ${role} while another restarts, and a third loses its disk later: nothing acknowledged is lost`, async (t) => {
     for (const seed of [65, 66, 67]) {
       const fleet = await controlFleet(seed);
       const [old, restarting, third] = machinesOf(fleet, role) as [SimNode, SimNode, SimNode];
@@ -133,11 +134,11 @@
       const oldDisk = diskOf(old);
       void fleet.sim.stop(restarting);
       await fleet.pass(500);
-      let ended = false;
+      let hasExited = false;
       void fleet.sim.stop(old).then(() => {
-        ended = true;
+        hasExited = true;
       });
-      while (!ended) await fleet.pass(10);
+      while (!hasExited) await fleet.pass(10);
       const { voters } = fleet.sim.get(third.name).kernel!.use('register').value!;
       t.false(voters.includes(oldDisk), `seed ${seed}`);
       t.true(
@@ -157,8 +158,8 @@
     }
   });
 
-// Guards against a vote that stays with a machine whose successor is there: without SIGTERM nothing tells that it goes.
-test('a control machine with a successor is removed without notice as another loses its disk: the configuration stays', async (t) => {
+// Guards against a vote that stays with a machine whose successor runs: without SIGTERM nothing announces its removal.
+test('a control machine with a successor is removed without SIGTERM as another loses its disk: the configuration is kept', async (t) => {
   for (const seed of [71, 72, 73]) {
     const fleet = await controlFleet(seed);
     const [old, second, third] = fleet.controls as [SimNode, SimNode, SimNode];
@@ -175,8 +176,8 @@
   }
 });
 
-// Guards against a stop that costs a restarting machine what it has: only a successor takes that over.
-test('a machine without a successor ends at once, and has its vote and replicas when it is back', async (t) => {
+// Guards against a restart that costs a machine its vote and replicas: only a successor may take them over.
+test('a machine without a successor stops at once, and has its vote and replicas after the restart', async (t) => {
   for (const role of ['control', 'store'] as const) {
     const fleet = await controlFleet(74);
     const [node, other] = machinesOf(fleet, role) as [SimNode, SimNode];
--- a/packages/trial/src/test/repair.test.ts
+++ b/packages/trial/src/test/repair.test.ts
@@ -1,25 +1,25 @@
-/** One loss after another: from the start of a successor's process until every majority bears the next loss. */
+/** Successive losses: the time from the start of a replacement's process until every majority tolerates the next loss. */
 import { ShardTable } from '@harecross/data';
 import { lastIdx } from '@harecross/state';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
 import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
 
-/** The sites' `sync_s`: a loss counts until this long after its successor's start. */
+/** The deployments' `sync_s`: a loss counts until this long after the start of the replacement. */
 const SYNC_MS = 4_000;
-/** A machine in the place of a lost one is there this long after the loss. */
-const REPLACED_MS = 500;
-/** How often we look whether the next loss would be borne. */
-const LOOK_MS = 20;
+/** The replacement of a lost machine starts this long after the loss. */
+const REPLACEMENT_DELAY_MS = 500;
+/** Interval at which the test checks whether the next loss would be tolerated. */
+const POLL_MS = 20;
 
 const topics = Array.from({ length: 40 }, (_, i) => `feed/${i}`);
 
-/** Publishes to every topic; the offset tells whether everything accepted before is there. */
+/** Publishes to every topic; the offset shows whether everything accepted before is still there. */
 class Sender {
   private seq = 0;
   constructor(private fleet: ControlFleet) {}
 
-  async say(n = 1): Promise<string[]> {
+  async publishAll(n = 1): Promise<string[]> {
     const faults: string[] = [];
     for (let i = 0; i < n; i++) {
       this.seq++;
@@ -39,10 +39,10 @@
   last: number;
 }
 
-/** Whether a machine's process runs, beyond its start. */
+/** Whether a machine's process runs and has completed its start. */
 const isUp = (node: SimNode): boolean => node.up && node.kernel?.use('register').disk !== undefined;
 
-/** What each live disk has of each shard. */
+/** The last index of each shard's replica on each live disk. */
 function replicasOn(nodes: SimNode[]): Replica[] {
   return nodes.filter(isUp).flatMap((node) =>
     [...node.kernel!.use('copies').all.values()].map((copy) => ({
@@ -54,17 +54,17 @@
   );
 }
 
-/** What copies have told owners that they had synced, up to now. */
-class Synced {
+/** The highest index of each replica that owners have recorded as synced so far. */
+class SyncedReplicas {
   private most = new Map<string, Replica>();
 
-  look(fleet: ControlFleet): void {
+  record(fleet: ControlFleet): void {
     for (const node of fleet.stores.filter(isUp)) {
-      const keys = Reflect.get(node.kernel!.use('owner'), 'shards') as ShardTable;
-      for (const key of keys.all())
-        for (const [disk, last] of key.phase === 'owner' ? key.matchIndex : []) {
-          const id = `${key.id} ${disk}`;
-          if (last > (this.most.get(id)?.last ?? 0)) this.most.set(id, { shard: key.id, disk, last });
+      const table = Reflect.get(node.kernel!.use('owner'), 'shards') as ShardTable;
+      for (const shard of table.all())
+        for (const [disk, last] of shard.phase === 'owner' ? shard.matchIndex : []) {
+          const id = `${shard.id} ${disk}`;
+          if (last > (this.most.get(id)?.last ?? 0)) this.most.set(id, { shard: shard.id, disk, last });
         }
     }
   }
@@ -74,22 +74,26 @@
   }
 }
 
-/** Copies that lack some of what was on any disk when `had` was looked at. */
-function lacking(fleet: ControlFleet, had = replicasOn(fleet.stores), replicas = replicasOn(fleet.stores)): string[] {
+/** Replicas that lack entries which some disk held when `before` was taken. */
+function incompleteReplicas(
+  fleet: ControlFleet,
+  before = replicasOn(fleet.stores),
+  replicas = replicasOn(fleet.stores),
+): string[] {
   const value = fleet.controls.find(isUp)!.kernel!.use('register').value!;
   const out: string[] = [];
   for (const [shard, placement] of value.shards) {
-    const most = Math.max(0, ...had.filter((replica) => replica.shard === shard).map((replica) => replica.last));
+    const highest = Math.max(0, ...before.filter((replica) => replica.shard === shard).map((replica) => replica.last));
     for (const disk of placement.copies) {
       const last = replicas.find((replica) => replica.shard === shard && replica.disk === disk)?.last ?? 0;
-      if (last < most) out.push(`shard ${shard}: ${disk} has ${last} of ${most}`);
+      if (last < highest) out.push(`shard ${shard}: ${disk} has ${last} of ${highest}`);
     }
   }
   return out;
 }
 
-/** Whether all voters and copies are on live disks, served under their generation, and every copy has all that any has. */
-function bearsALoss(fleet: ControlFleet): boolean {
+/** Whether all voters and replicas are on live disks, every shard is served by its owner, and no replica lacks entries of another. */
+function toleratesNextLoss(fleet: ControlFleet): boolean {
   const live = new Set([...fleet.controls, ...fleet.stores].filter(isUp).map(diskOf));
   const value = fleet.controls.find(isUp)!.kernel!.use('register').value!;
   if (![...value.voters, ...value.previousVoters].every((disk) => live.has(disk))) return false;
@@ -102,170 +106,174 @@
         .map((o) => o.shard),
     ),
   );
-  return owned.size === value.shards.size && lacking(fleet).length === 0;
+  return owned.size === value.shards.size && incompleteReplicas(fleet).length === 0;
 }
 
-/** For how long the next loss was not borne (ms), from now on. */
-async function untilItBears(fleet: ControlFleet): Promise<number> {
-  for (let ms = 0; ms < 3 * SYNC_MS; ms += LOOK_MS) {
-    if (bearsALoss(fleet)) return ms;
-    await fleet.pass(LOOK_MS);
+/** The time (ms) from now until the next loss would be tolerated. */
+async function timeUntilTolerant(fleet: ControlFleet): Promise<number> {
+  for (let ms = 0; ms < 3 * SYNC_MS; ms += POLL_MS) {
+    if (toleratesNextLoss(fleet)) return ms;
+    await fleet.pass(POLL_MS);
   }
   return Infinity;
 }
 
-/** Loses a machine with its disk, for good; one with an empty disk starts in its place. */
-async function replace(fleet: ControlFleet, role: 'control' | 'store', at: number): Promise<void> {
+/** Removes a machine with its disk permanently; one with an empty disk starts in its place. */
+async function replaceMachine(fleet: ControlFleet, role: 'control' | 'store', at: number): Promise<void> {
   const machines = role === 'control' ? fleet.controls : fleet.stores;
-  const [gone] = machines.splice(at, 1) as [SimNode];
-  fleet.sim.loseDisk(gone);
-  const empty = fleet.spare(role, gone.config.domain);
-  await fleet.pass(REPLACED_MS);
-  void fleet.sim.start(empty);
-  machines.push(empty);
+  const [lost] = machines.splice(at, 1) as [SimNode];
+  fleet.sim.loseDisk(lost);
+  const replacement = fleet.spare(role, lost.config.domain);
+  await fleet.pass(REPLACEMENT_DELAY_MS);
+  void fleet.sim.start(replacement);
+  machines.push(replacement);
 }
 
 for (const seed of [21, 22, 23]) {
-  test(`a store is replaced within a second: in half the time that it counts as lost the next loss is borne (seed ${seed})`, async (t) => {
+  test(`a store is replaced within a second: the next loss is tolerated before half of sync_s has passed (seed ${seed})`, async (t) => {
     const fleet = await controlFleet(seed);
     const sender = new Sender(fleet);
-    t.deepEqual(await sender.say(2), []);
-    const took: number[] = [];
-    // The second loss comes at several moments after the first one's successor started.
+    t.deepEqual(await sender.publishAll(2), []);
+    const durations: number[] = [];
+    // Each loss follows the start of the previous replacement after a different time.
     for (const laterMs of [SYNC_MS, SYNC_MS + 500, SYNC_MS + 2_500]) {
-      await replace(fleet, 'store', 0);
+      await replaceMachine(fleet, 'store', 0);
       const from = fleet.sim.now;
-      took.push(await untilItBears(fleet));
+      durations.push(await timeUntilTolerant(fleet));
       await fleet.pass(Math.max(0, from + laterMs - fleet.sim.now));
     }
-    // The next one goes for good, and nobody comes.
+    // The next one is lost permanently and not replaced.
     fleet.sim.loseDisk(fleet.stores.shift()!);
     await fleet.pass(3_000);
-    t.deepEqual(await sender.say(), []);
+    t.deepEqual(await sender.publishAll(), []);
     t.true(
-      took.every((ms) => ms < SYNC_MS / 2),
-      `${took.join(', ')} ms`,
+      durations.every((ms) => ms < SYNC_MS / 2),
+      `${durations.join(', ')} ms`,
     );
-    t.log(`${took.join(', ')} ms`);
+    t.log(`${durations.join(', ')} ms`);
     fleet.sim.close();
   });
 
-  test(`a control machine is replaced within a second: in half the time that it counts as lost the next loss is borne (seed ${seed})`, async (t) => {
+  test(`a control machine is replaced within a second: the next loss is tolerated before half of sync_s has passed (seed ${seed})`, async (t) => {
     const fleet = await controlFleet(seed);
-    const took: number[] = [];
+    const durations: number[] = [];
     for (let round = 0; round < 3; round++) {
-      await replace(fleet, 'control', 0);
+      await replaceMachine(fleet, 'control', 0);
       const from = fleet.sim.now;
-      took.push(await untilItBears(fleet));
+      durations.push(await timeUntilTolerant(fleet));
       await fleet.pass(Math.max(0, from + SYNC_MS - fleet.sim.now));
       t.deepEqual([...seatsOf(fleet.controls[0]!)].sort(), fleet.controls.map(diskOf).sort());
     }
     t.true(
-      took.every((ms) => ms < SYNC_MS / 2),
-      `${took.join(', ')} ms`,
+      durations.every((ms) => ms < SYNC_MS / 2),
+      `${durations.join(', ')} ms`,
     );
-    t.log(`${took.join(', ')} ms`);
+    t.log(`${durations.join(', ')} ms`);
     fleet.sim.close();
   });
 }
 
-test('the second loss as soon as the first is made good: nothing accepted is gone, and the rest serves', async (t) => {
+test('a second loss as soon as the first is repaired: nothing accepted is lost, and the remaining stores serve', async (t) => {
   for (const seed of [31, 32, 33, 34]) {
     const fleet = await controlFleet(seed);
     const sender = new Sender(fleet);
-    t.deepEqual(await sender.say(), []);
-    await replace(fleet, 'store', seed % 3);
-    t.true((await untilItBears(fleet)) < SYNC_MS / 2, `seed ${seed}`);
-    // The copies that were there before: what the successor has must do, with one of them.
+    t.deepEqual(await sender.publishAll(), []);
+    await replaceMachine(fleet, 'store', seed % 3);
+    t.true((await timeUntilTolerant(fleet)) < SYNC_MS / 2, `seed ${seed}`);
+    // A store that held replicas before is lost: the replacement and one other must form the majority.
     fleet.sim.loseDisk(fleet.stores.shift()!);
     await fleet.pass(3_000);
-    t.deepEqual(await sender.say(), [], `seed ${seed}`);
+    t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.sim.close();
   }
 });
 
-test('a store is replaced by plan: its successor comes first, it goes for good, and the next loss is borne', async (t) => {
+test('planned replacement of a store: its successor starts first, it is removed, and the next loss is tolerated', async (t) => {
   for (const seed of [51, 52]) {
     const fleet = await controlFleet(seed);
     const sender = new Sender(fleet);
-    t.deepEqual(await sender.say(), []);
-    const gone = fleet.stores[0]!;
-    const successor = fleet.spare('store', gone.config.domain);
+    t.deepEqual(await sender.publishAll(), []);
+    const old = fleet.stores[0]!;
+    const successor = fleet.spare('store', old.config.domain);
     void fleet.sim.start(successor);
     fleet.stores.push(successor);
     await fleet.pass(8_000);
-    t.deepEqual(await sender.say(), [], `seed ${seed}`);
+    t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.stores.shift();
-    void fleet.sim.stop(gone);
+    void fleet.sim.stop(old);
     await fleet.pass(1_000);
-    fleet.sim.loseDisk(gone);
-    t.true((await untilItBears(fleet)) < 1.2 * SYNC_MS, `seed ${seed}`);
+    fleet.sim.loseDisk(old);
+    t.true((await timeUntilTolerant(fleet)) < 1.2 * SYNC_MS, `seed ${seed}`);
     fleet.sim.loseDisk(fleet.stores.shift()!);
     await fleet.pass(3_000);
-    t.deepEqual(await sender.say(), [], `seed ${seed}`);
+    t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.sim.close();
   }
 });
 
 const EMPTYING_SEEDS = [41, 42, 43, 44];
 
-/** A fourth store; one of the old ones is emptied while the disk that takes many of its copies is slow. Gives what was lacking on `emptied`. */
-async function emptyOne(seed: number): Promise<{ fleet: ControlFleet; sender: Sender; lacked: string[] }> {
+/**
+ * Adds a fourth store and empties an old one while the disk of the new one, which receives many of the replicas, is
+ * slow, then removes the emptied store with its disk. Returns the replicas that lacked entries when the state became
+ * `emptied`.
+ */
+async function emptyOneStore(seed: number): Promise<{ fleet: ControlFleet; sender: Sender; incomplete: string[] }> {
   const fleet = await controlFleet(seed);
   const sender = new Sender(fleet);
   const added = fleet.spare('store', 'd');
   void fleet.sim.start(added);
   fleet.stores.push(added);
   await fleet.pass(8_000);
-  await sender.say(2);
+  await sender.publishAll(2);
   const [leaving] = fleet.stores as [SimNode];
   const disk = diskOf(leaving);
-  const had = replicasOn(fleet.stores);
-  const synced = new Synced();
+  const before = replicasOn(fleet.stores);
+  const synced = new SyncedReplicas();
   const quickMs = added.diskMs;
   added.diskMs = 800;
   const answer = await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk });
   if (answer.status !== 200) throw new Error(JSON.stringify(answer.body));
-  for (let ms = 0; ms < 30_000; ms += LOOK_MS) {
-    await fleet.pass(LOOK_MS);
-    synced.look(fleet);
+  for (let ms = 0; ms < 30_000; ms += POLL_MS) {
+    await fleet.pass(POLL_MS);
+    synced.record(fleet);
     if ((await fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk })).body.state === 'emptied') break;
   }
-  const lacked = lacking(fleet, had, synced.replicas());
+  const incomplete = incompleteReplicas(fleet, before, synced.replicas());
   added.diskMs = quickMs;
-  if (copiesAt(fleet.controls[0]!).some((copies) => copies.includes(disk))) lacked.push('not emptied');
+  if (copiesAt(fleet.controls[0]!).some((copies) => copies.includes(disk))) incomplete.push('not emptied');
   fleet.stores.shift();
   fleet.sim.loseDisk(leaving);
-  return { fleet, sender, lacked };
+  return { fleet, sender, incomplete };
 }
 
-test('a store is emptied only when all the copies in its place have everything; another loses its disk right after', async (t) => {
+test('a store counts as emptied only when all replicas that take over are complete; another store loses its disk right after', async (t) => {
   for (const seed of EMPTYING_SEEDS) {
-    const { fleet, sender, lacked } = await emptyOne(seed);
-    t.deepEqual(lacked, [], `seed ${seed}`);
+    const { fleet, sender, incomplete } = await emptyOneStore(seed);
+    t.deepEqual(incomplete, [], `seed ${seed}`);
     fleet.sim.loseDisk(fleet.stores[0]!);
     await fleet.pass(3_000);
-    t.deepEqual(await sender.say(), [], `seed ${seed}`);
+    t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.sim.close();
   }
 });
 
 test.serial(
-  'planted: owners that call no copy behind have a store emptied before the copies in its place have everything',
+  'planted: owners that report no lagging replicas let a store count as emptied before the replicas that take over are complete',
   async (t) => {
-    const behind = Object.getOwnPropertyDescriptor(ShardTable.prototype, 'laggingReplicas')!;
-    Object.defineProperty(ShardTable.prototype, 'laggingReplicas', { ...behind, value: () => [] });
+    const original = Object.getOwnPropertyDescriptor(ShardTable.prototype, 'laggingReplicas')!;
+    Object.defineProperty(ShardTable.prototype, 'laggingReplicas', { ...original, value: () => [] });
     try {
       const found: string[] = [];
       for (const seed of EMPTYING_SEEDS) {
-        const { fleet, lacked } = await emptyOne(seed);
-        found.push(...lacked);
+        const { fleet, incomplete } = await emptyOneStore(seed);
+        found.push(...incomplete);
         fleet.sim.close();
       }
       t.not(found.length, 0);
       t.log(found[0]);
     } finally {
-      Object.defineProperty(ShardTable.prototype, 'laggingReplicas', behind);
+      Object.defineProperty(ShardTable.prototype, 'laggingReplicas', original);
     }
   },
 );
--- a/packages/trial/src/test/small-fleet.ts
+++ b/packages/trial/src/test/small-fleet.ts
@@ -3,19 +3,19 @@
 import type { Json } from '../json.js';
 import { Sim, type SimNode } from '../sim.js';
 
-/** Three stores and two relays in virtual time, with one configuration in force. */
+/** Three stores and two relays in virtual time, with a first configuration in force. */
 export interface Small {
   sim: Sim;
   stores: SimNode[];
   relays: SimNode[];
-  /** A visit at a node; virtual time passes until it is answered. */
-  ask(n: SimNode, method: string, body: unknown): Promise<{ status: number; body: Json }>;
+  /** Sends a client request to a node and advances virtual time until it is answered. Status 0: no answer. */
+  ask(node: SimNode, method: string, body: unknown): Promise<{ status: number; body: Json }>;
   attach(
-    n: SimNode,
+    node: SimNode,
     consumer: string,
     pingS?: number,
   ): Promise<{ conn: string; frames: Frame[]; close: () => void; ended: () => boolean }>;
-  /** Lets virtual time pass. */
+  /** Advances virtual time. */
   pass(ms: number): Promise<void>;
   /** The node that owns a topic. */
   ownerOf(topic: string): SimNode;
@@ -26,76 +26,79 @@
   { name: 'alarms', topics: ['alarm/*'], urgency: 'urgent' as const, patienceMs: 1_500, memoryS: 25 },
 ];
 
-/** A promise's outcome; virtual time passes until it has one, 40 s at most. */
-export async function settled<T>(sim: Sim, p: Promise<T>): Promise<T> {
-  let kept = false;
-  const q = p.finally(() => {
-    kept = true;
+/** Advances virtual time until the promise is settled, by 40 s at most, and returns the promise. */
+export async function settled<T>(sim: Sim, promise: Promise<T>): Promise<T> {
+  let isSettled = false;
+  const tracked = promise.finally(() => {
+    isSettled = true;
   });
-  q.catch(() => undefined);
-  for (let i = 0; i < 4_000 && !kept; i++) await sim.run(sim.now + 10);
-  return q;
+  tracked.catch(() => undefined);
+  for (let i = 0; i < 4_000 && !isSettled; i++) await sim.run(sim.now + 10);
+  return tracked;
 }
 
 export async function smallFleet(
   seed: number,
-  x: { skews?: number[]; config?: unknown; log?: boolean; relayDisk?: boolean } = {},
+  options: { skews?: number[]; config?: unknown; log?: boolean; relayDisk?: boolean } = {},
 ): Promise<Small> {
-  const sim = new Sim(seed, { log: x.log });
+  const sim = new Sim(seed, { log: options.log });
   const stores = [0, 1, 2].map((i) =>
-    sim.add(`store${i + 1}`, { role: 'store', domain: 'abc'[i]!, disk: true, skewMs: x.skews?.[i] ?? 0 }),
+    sim.add(`store${i + 1}`, { role: 'store', domain: 'abc'[i]!, disk: true, skewMs: options.skews?.[i] ?? 0 }),
   );
   const relays = [0, 1].map((i) =>
     sim.add(`relay${i + 1}`, {
       role: 'relay',
       domain: 'abc'[i]!,
-      disk: x.relayDisk === true && i === 0,
-      skewMs: x.skews?.[3 + i] ?? 0,
+      disk: options.relayDisk === true && i === 0,
+      skewMs: options.skews?.[3 + i] ?? 0,
     }),
   );
-  for (const n of sim.nodes.values()) {
-    n.config.seeds = stores.map((s) => s.config.peer);
-    void sim.start(n);
+  for (const node of sim.nodes.values()) {
+    node.config.seeds = stores.map((store) => store.config.peer);
+    void sim.start(node);
   }
   await sim.run(8_000);
-  const until = <T>(p: Promise<T>): Promise<T> => settled(sim, p);
-  const s: Small = {
+  const awaitAnswer = <T>(promise: Promise<T>): Promise<T> => settled(sim, promise);
+  const fleet: Small = {
     sim,
     stores,
     relays,
-    ask: async (n, method, body) => {
-      const r = await until(sim.outside.visit(n.config.client, method, body, 20_000));
-      return r ?? { status: 0, body: undefined };
+    ask: async (node, method, body) => {
+      const answer = await awaitAnswer(sim.outside.visit(node.config.client, method, body, 20_000));
+      return answer ?? { status: 0, body: undefined };
     },
-    attach: async (n, consumer, pingS = 2) => {
+    attach: async (node, consumer, pingS = 2) => {
       const frames: Frame[] = [];
-      let over = false;
+      let hasEnded = false;
       const close = sim.outside.attach(
-        n.config.client,
+        node.config.client,
         { consumer, pingS },
-        (f) => frames.push(f),
+        (frame) => frames.push(frame),
         () => {
-          over = true;
+          hasEnded = true;
         },
       );
       await sim.run(sim.now + 400);
       const first = frames[0];
       if (first?.t !== 'ATTACHED') throw new Error('not attached');
-      return { conn: first.conn, frames, close, ended: () => over };
+      return { conn: first.conn, frames, close, ended: () => hasEnded };
     },
     pass: async (ms) => {
-      const p = sleep(sim.clock, ms);
+      const elapsed = sleep(sim.clock, ms);
       await sim.run(sim.now + ms);
-      await p;
+      await elapsed;
     },
     ownerOf: (topic) => {
-      const o = stores.find((n) => n.up && n.kernel!.use('owner').owns(topic));
-      if (!o) throw new Error(`nobody owns ${topic}`);
-      return o;
+      const owner = stores.find((node) => node.up && node.kernel!.use('owner').owns(topic));
+      if (!owner) throw new Error(`nobody owns ${topic}`);
+      return owner;
     },
   };
-  const r = await s.ask(relays[0]!, 'SubmitConfig', { changeId: 'first', config: x.config ?? { families: FAMILIES } });
-  if (r.status !== 200) throw new Error(JSON.stringify(r.body));
-  await s.pass(500);
-  return s;
+  const answer = await fleet.ask(relays[0]!, 'SubmitConfig', {
+    changeId: 'first',
+    config: options.config ?? { families: FAMILIES },
+  });
+  if (answer.status !== 200) throw new Error(JSON.stringify(answer.body));
+  await fleet.pass(500);
+  return fleet;
 }
