--- a/packages/harecross/src/diff.ts
+++ b/packages/harecross/src/config-diff.ts
@@ -6,7 +6,7 @@
  * @example
  * diff(now, { families: [...now.families, news] }); // ['+ news/* (news)']
  */
-export function diff(now: FleetConfig, next: FleetConfig): string[] {
+export function diffConfig(now: FleetConfig, next: FleetConfig): string[] {
   const settings = (f: Family): string => {
     const names = (Object.keys(f) as (keyof Family)[]).filter((name) => name !== 'topics').sort();
     return JSON.stringify(Object.fromEntries(names.map((name) => [name, f[name]])));
--- a/packages/harecross/src/caller.ts
+++ b/packages/harecross/src/fleet-client.ts
@@ -20,7 +20,7 @@
 ]);
 
 /** Fields of a fault that the command line shows; every one but the tag is there for some tags alone. */
-export interface FaultFields {
+export interface ErrorFields {
   tag?: string;
   step?: string;
   peer?: string;
@@ -31,14 +31,14 @@
 }
 
 /** What a node answered: the method's own answer with status 200, else the fault. */
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   body: unknown;
 }
 
 /** What a call needs of its surroundings. */
-export interface Surroundings {
-  post(client: string, method: string, body: unknown, limitMs: number): Promise<HttpAnswer>;
+export interface CallEnvironment {
+  post(client: string, method: string, body: unknown, limitMs: number): Promise<HttpResponse>;
   now(): number;
   pause(ms: number): Promise<void>;
 }
@@ -49,15 +49,15 @@
   method: Method;
   body: unknown;
   /** Time limit of one try. */
-  limitMs: number;
+  timeoutMs: number;
   /** How long tries go on while no node serves. */
-  waitMs: number;
+  retryForMs: number;
 }
 
 /** `unclear`: it may have been carried out, and must not be sent again without finding out. */
 export type Outcome =
   | { tag: 'done'; body: unknown }
-  | { tag: 'rejected'; status: number; error: FaultFields }
+  | { tag: 'rejected'; status: number; error: ErrorFields }
   | { tag: 'no_answer'; last: string }
   | { tag: 'unclear'; last: string };
 
@@ -74,7 +74,7 @@
  * @example
  * await post('127.0.0.1:7001', 'Fleet', {}, 3_000); // { status: 200, body: { ... } }
  */
-export async function post(client: string, method: string, body: unknown, limitMs: number): Promise<HttpAnswer> {
+export async function post(client: string, method: string, body: unknown, limitMs: number): Promise<HttpResponse> {
   const r = await request(`http://${client}/rpc/${method}`, {
     method: 'POST',
     headers: { 'content-type': 'application/json' },
@@ -94,23 +94,23 @@
  * @example
  * await callFleet(surroundings, { at, method: 'ReadConfig', body: {}, limitMs: 10_000, waitMs: 10_000 });
  */
-export async function callFleet(x: Surroundings, call: FleetCall): Promise<Outcome> {
+export async function callFleet(x: CallEnvironment, call: FleetCall): Promise<Outcome> {
   const repeatable = mayRepeat(Rpcs[call.method].repeatable, call.body);
-  const until = x.now() + call.waitMs;
+  const until = x.now() + call.retryForMs;
   let last = 'no address given';
   for (;;) {
     let pauseMs = ROUND_PAUSE_MS;
     for (const client of call.at) {
-      let answer: HttpAnswer;
+      let answer: HttpResponse;
       try {
-        answer = await x.post(client, call.method, call.body, call.limitMs);
+        answer = await x.post(client, call.method, call.body, call.timeoutMs);
       } catch (e) {
         last = `${client}: ${e instanceof Error ? e.message : String(e)}`;
         if (!repeatable && !neverConnected(e)) return { tag: 'unclear', last };
         continue;
       }
       if (answer.status === 200) return { tag: 'done', body: answer.body };
-      const error = (answer.body as { error?: FaultFields } | undefined)?.error ?? {};
+      const error = (answer.body as { error?: ErrorFields } | undefined)?.error ?? {};
       if (answer.status !== 503) return { tag: 'rejected', status: answer.status, error };
       last = `${client}: ${error.tag ?? answer.status}`;
       if (!repeatable && !NOTHING_DONE.has(error.tag ?? '')) return { tag: 'unclear', last };
--- a/packages/harecross/src/view.ts
+++ b/packages/harecross/src/fleet-view.ts
@@ -2,14 +2,14 @@
 import type { Row } from './query.js';
 
 /** One visit; undefined when there was no answer. */
-export type Ask = <M extends Method>(client: string, method: M, body: Visit<M>) => Promise<Answer<M> | undefined>;
+export type CallNode = <M extends Method>(client: string, method: M, body: Visit<M>) => Promise<Answer<M> | undefined>;
 
 /** What a look at the fleet gave: rows by table, how old, and who did not answer. */
-export interface View {
+export interface FleetView {
   at: string;
   tables: Map<string, Row[]>;
   silent: string[];
-  asked: number;
+  queriedNodes: number;
   tookMs: number;
 }
 
@@ -34,7 +34,7 @@
  * @example
  * const v = await look(['10.0.0.4:7000'], ask, Date.now);
  */
-export async function look(at: string[], ask: Ask, now: () => number): Promise<View | undefined> {
+export async function fetchFleetView(at: string[], ask: CallNode, now: () => number): Promise<FleetView | undefined> {
   const t0 = now();
   let fleet: Answer<'Fleet'> | undefined;
   for (const a of at) {
@@ -128,7 +128,7 @@
     at: fleet.at,
     tables,
     silent: here.filter((_, i) => nodes[i] === undefined).map((m) => m.peer),
-    asked: here.length,
+    queriedNodes: here.length,
     tookMs: Math.round(now() - t0),
   };
 }
@@ -138,10 +138,10 @@
  * @example
  * trust(view); // 'from 15 of 15 nodes within 21 ms, members as 10.0.0.4:7100 knows them'
  */
-export function trust(v: View): string {
+export function describeCompleteness(v: FleetView): string {
   const old = Math.max(
     0,
     ...(v.tables.get('members') ?? []).filter((m) => m.get('state') === 'live').map((m) => Number(m.get('ageMs'))),
   );
-  return `from ${v.asked - v.silent.length} of ${v.asked} nodes within ${v.tookMs} ms; members as ${v.at} knows them, live ones heard of at most ${old} ms before${v.silent.length ? `; NO ANSWER from ${v.silent.join(', ')}` : ''}`;
+  return `from ${v.queriedNodes - v.silent.length} of ${v.queriedNodes} nodes within ${v.tookMs} ms; members as ${v.at} knows them, live ones heard of at most ${old} ms before${v.silent.length ? `; NO ANSWER from ${v.silent.join(', ')}` : ''}`;
 }
--- a/packages/harecross/src/main.ts
+++ b/packages/harecross/src/main.ts
@@ -4,11 +4,11 @@
 import { configFaults, type Answer, type FleetConfig, type Method, type Visit } from '@harecross/schema';
 import { createInterface } from 'node:readline/promises';
 import yargs from 'yargs';
-import { callFleet, newChangeId, post } from './caller.js';
-import { diff } from './diff.js';
-import { place, planFaults, type Constraints } from './place.js';
-import { answer, parse, table, type Row } from './query.js';
-import { look, TABLES, trust, type View } from './view.js';
+import { callFleet, newChangeId, post } from './fleet-client.js';
+import { diffConfig } from './config-diff.js';
+import { solvePlacement, findPlanViolations, type Constraints } from './placement-solver.js';
+import { runQuery, parseQuery, table, type Row } from './query.js';
+import { fetchFleetView, TABLES, describeCompleteness, type FleetView } from './fleet-view.js';
 
 /** Exit codes: 0 done, 1 rejected by the fleet, 2 wrong use, 3 no answer. */
 /** Seconds to go on trying while the fleet is not ready; set by --wait. */
@@ -25,7 +25,7 @@
 async function rpc<M extends Method>(at: string[], method: M, body: Visit<M>, limitMs = 10_000): Promise<Answer<M>> {
   const outcome = await callFleet(
     { post, now: () => performance.now(), pause: (ms) => new Promise((res) => setTimeout(res, ms)) },
-    { at, method, body, limitMs, waitMs: waitS * 1000 },
+    { at, method, body, timeoutMs: limitMs, retryForMs: waitS * 1000 },
   );
   switch (outcome.tag) {
     case 'done':
@@ -69,18 +69,18 @@
 
 /** Answers one line of the shell; gives whether it was understood. */
 async function query(addresses: string[], line: string, json: boolean): Promise<boolean> {
-  const p = parse(line.startsWith('fields ') ? line.slice(7) : line);
+  const p = parseQuery(line.startsWith('fields ') ? line.slice(7) : line);
   if (p.tag === 'wrong') {
     process.stderr.write(`${p.why}\n`);
     return false;
   }
-  if (!(TABLES as readonly string[]).includes(p.query.table)) {
-    process.stderr.write(`no table '${p.query.table}'; there are: ${TABLES.join(', ')}\n`);
+  if (!(TABLES as readonly string[]).includes(p.query.formatTable)) {
+    process.stderr.write(`no table '${p.query.formatTable}'; there are: ${TABLES.join(', ')}\n`);
     return false;
   }
-  const v: View | undefined = await look(addresses, quiet, () => performance.now());
+  const v: FleetView | undefined = await fetchFleetView(addresses, quiet, () => performance.now());
   if (!v) return fail(3, `no answer from ${addresses.join(', ')}`);
-  const r = answer(p.query, v.tables.get(p.query.table)!);
+  const r = runQuery(p.query, v.tables.get(p.query.formatTable)!);
   if (r.tag === 'wrong') {
     process.stderr.write(`${r.why}\n`);
     return false;
@@ -90,8 +90,8 @@
     return true;
   }
   const plain = (x: Row): object => Object.fromEntries(r.fields.map((f) => [f, x.get(f)]));
-  if (json) out({ rows: r.rows.map(plain), nodes: v.asked, silent: v.silent, tookMs: v.tookMs });
-  else process.stdout.write(`${table(r.fields, r.rows)}${r.rows.length} rows, ${trust(v)}\n`);
+  if (json) out({ rows: r.rows.map(plain), nodes: v.queriedNodes, silent: v.silent, tookMs: v.tookMs });
+  else process.stdout.write(`${table(r.fields, r.rows)}${r.rows.length} rows, ${describeCompleteness(v)}\n`);
   return true;
 }
 
@@ -135,7 +135,7 @@
         const told = now.revision === undefined ? '' : `, revision ${now.revision}`;
         if (a.revision !== undefined && a.revision <= (now.revision ?? -1))
           process.stdout.write(`revision ${a.revision} is not above the one in force: it would change nothing\n`);
-        else for (const line of diff(now.config as FleetConfig, config)) process.stdout.write(`${line}\n`);
+        else for (const line of diffConfig(now.config as FleetConfig, config)) process.stdout.write(`${line}\n`);
         process.stdout.write(`against version ${now.version}${told}; nothing was changed\n`);
         return;
       }
@@ -278,7 +278,7 @@
         fleet.keys.map((k) => [k.shard, k.copies.map((d: string) => peer.get(d) ?? d)]),
       );
       const constraints = readJson(a.file);
-      const r = place(constraints, disks, now);
+      const r = solvePlacement(constraints, disks, now);
       switch (r.tag) {
         case 'wrong':
           for (const f of r.faults) process.stderr.write(`  ${f}\n`);
@@ -287,7 +287,7 @@
           for (const f of r.between) process.stderr.write(`  ${f}\n`);
           return fail(1, 'no placement satisfies these constraints together; leaving out any one of them would do');
         case 'plan': {
-          const bad = planFaults(constraints as Constraints, disks, r.plan.placement);
+          const bad = findPlanViolations(constraints as Constraints, disks, r.plan.placement);
           if (bad.length) return fail(1, `the solver's plan is wrong: ${bad[0]}`);
           const weight = (m: Iterable<string[]>, p: string): number => [...m].filter((x) => x.includes(p)).length;
           const rows = disks.map(
--- a/packages/harecross/src/place.ts
+++ b/packages/harecross/src/placement-solver.ts
@@ -32,12 +32,12 @@
   peer: string;
   domain: string;
 }
-export interface Plan {
+export interface PlacementPlan {
   placement: Placed[];
   moved: number;
 }
-export type Solved =
-  { tag: 'plan'; plan: Plan } | { tag: 'conflict'; between: string[] } | { tag: 'wrong'; faults: string[] };
+export type PlacementResult =
+  { tag: 'plan'; plan: PlacementPlan } | { tag: 'conflict'; between: string[] } | { tag: 'wrong'; faults: string[] };
 
 type Where = { shards?: number[]; topics?: string[] };
 const shardsOf = (w: Where): number[] =>
@@ -96,7 +96,7 @@
   return out;
 }
 
-function attempt(groups: Group[], disks: Disk[], now: Map<number, string[]>): Plan | undefined {
+function attempt(groups: Group[], disks: Disk[], now: Map<number, string[]>): PlacementPlan | undefined {
   const vars = new Map<string, Map<string, number>>();
   for (let s = 0; s < SHARD.shardCount; s++)
     for (const d of disks) vars.set(`${s} ${d.peer}`, new Map([['kept', now.get(s)?.includes(d.peer) ? 1 : 0]]));
@@ -129,7 +129,7 @@
  * @example
  * place({ copies: 3, perDomain: 1 }, disks, now); // { tag: 'plan', plan: { placement, moved } }
  */
-export function place(x: unknown, disks: Disk[], now: Map<number, string[]>): Solved {
+export function solvePlacement(x: unknown, disks: Disk[], now: Map<number, string[]>): PlacementResult {
   if (!check.Check(x))
     return {
       tag: 'wrong',
@@ -168,7 +168,7 @@
  * @example
  * planFaults(constraints, disks, plan.placement); // []
  */
-export function planFaults(c: Constraints, disks: Disk[], placement: Placed[]): string[] {
+export function findPlanViolations(c: Constraints, disks: Disk[], placement: Placed[]): string[] {
   const out: string[] = [];
   const domain = new Map(disks.map((d) => [d.peer, d.domain]));
   const weight = new Map<string, number>();
--- a/packages/harecross/src/query.ts
+++ b/packages/harecross/src/query.ts
@@ -4,14 +4,14 @@
 type Op = '=' | '!=' | '<' | '<=' | '>' | '>=' | '~';
 
 export interface Query {
-  table: string;
+  formatTable: string;
   where: { field: string; op: Op; value: string }[];
   sort: { field: string; desc: boolean }[];
   show: string[];
   limit: number;
 }
 
-export type Parsed = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
+export type ParseResult = { tag: 'query'; query: Query } | { tag: 'wrong'; why: string };
 
 const OPS: Op[] = ['<=', '>=', '!=', '=', '<', '>', '~'];
 const WORDS = new Set(['where', 'and', 'sort', 'show', 'limit']);
@@ -29,12 +29,12 @@
  * @example
  * parse('keys where behind > 0 sort shard'); // { tag: 'query', query: { table: 'keys', ... } }
  */
-export function parse(line: string): Parsed {
-  const wrong = (why: string): Parsed => ({ tag: 'wrong', why });
+export function parseQuery(line: string): ParseResult {
+  const wrong = (why: string): ParseResult => ({ tag: 'wrong', why });
   const ts = tokens(line.replaceAll(',', ' '));
   const table = ts.shift();
   if (!table) return wrong('name a table');
-  const q: Query = { table, where: [], sort: [], show: [], limit: Infinity };
+  const q: Query = { formatTable: table, where: [], sort: [], show: [], limit: Infinity };
   while (ts.length) {
     const w = ts.shift()!;
     switch (w) {
@@ -100,21 +100,21 @@
   }
 }
 
-export type Answered = { tag: 'rows'; fields: string[]; rows: Row[] } | { tag: 'wrong'; why: string };
+export type QueryResult = { tag: 'rows'; fields: string[]; rows: Row[] } | { tag: 'wrong'; why: string };
 
 /**
  * Runs a query on the rows of its table.
  * @example
  * answer(query, [new Map([['shard', 1]])]); // { tag: 'rows', fields: ['shard'], rows: [...] }
  */
-export function answer(q: Query, rows: Row[]): Answered {
+export function runQuery(q: Query, rows: Row[]): QueryResult {
   const fields = [...new Set(rows.flatMap((r) => [...r.keys()]))];
   const unknown = [...q.where, ...q.sort]
     .map((x) => x.field)
     .concat(q.show)
     .find((f) => !fields.includes(f));
   if (unknown !== undefined && rows.length)
-    return { tag: 'wrong', why: `no field '${unknown}' in ${q.table}; there are: ${fields.join(', ')}` };
+    return { tag: 'wrong', why: `no field '${unknown}' in ${q.formatTable}; there are: ${fields.join(', ')}` };
   const out = rows.filter((r) => q.where.every((w) => holds(r.get(w.field), w.op, w.value)));
   out.sort((a, b) => {
     for (const s of q.sort) {
--- a/packages/trial/src/capacity-hollow.ts
+++ b/packages/trial/src/capacity-hollow.ts
@@ -1,5 +1,5 @@
 import { Kernel, realHost } from '@harecross/kernel';
-import { freePorts } from './fleet.js';
+import { freePorts } from './process-fleet.js';
 
 /**
  * Relays that only listen and take frames: `node capacity-hollow.js 550`. Writes their addresses as one line of JSON.
--- a/packages/trial/src/capacity-loopback.ts
+++ b/packages/trial/src/capacity-loopback.ts
@@ -11,23 +11,23 @@
 import type { Entry } from '@harecross/state';
 import { build as buildHistogram } from 'hdr-histogram-js';
 import type { Json } from './json.js';
-import { Fleet, freePorts, type Proc } from './fleet.js';
+import { Fleet, freePorts, type NodeProcess } from './process-fleet.js';
 import type { Say, Taken } from './capacity-virtual.js';
-import type { Site } from './scenario.js';
+import type { DeploymentSpec } from './scenario.js';
 
 /** Processor time of one of our own children, ms; the kernel's ticks are hundredths of a second. */
-function cpuOf(p: Proc): number {
+function cpuOf(p: NodeProcess): number {
   const s = readFileSync(`/proc/${p.child!.pid}/stat`, 'utf8');
   const f = s.slice(s.lastIndexOf(')') + 2).split(' ');
   return (Number(f[11]) + Number(f[12])) * 10;
 }
-const residentMiB = (p: Proc): number =>
+const residentMiB = (p: NodeProcess): number =>
   Number(/VmRSS:\s+(\d+)/.exec(readFileSync(`/proc/${p.child!.pid}/status`, 'utf8'))![1]) / 1024;
 /** Bytes one of our own children wrote, files and sockets together. */
-const written = (p: Proc): number =>
+const written = (p: NodeProcess): number =>
   Number(/^write_bytes: (\d+)/m.exec(readFileSync(`/proc/${p.child!.pid}/io`, 'utf8'))![1]);
 
-const site = (stores: number, relays: number, relayDisks = 0): Site => ({
+const site = (stores: number, relays: number, relayDisks = 0): DeploymentSpec => ({
   name: 'capacity',
   domains: ['a', 'b', 'c', 'd'],
   stores,
@@ -41,9 +41,9 @@
 ];
 
 /** A fleet of real processes that serves, and what ends it. */
-async function fleet(s: Site): Promise<{ f: Fleet; relay: Proc; close: () => Promise<void> }> {
+async function fleet(s: DeploymentSpec): Promise<{ f: Fleet; relay: NodeProcess; close: () => Promise<void> }> {
   const folder = mkdtempSync(join(tmpdir(), 'harecross-capacity-'));
-  const f = await Fleet.of(s, folder);
+  const f = await Fleet.create(s, folder);
   const close = async (): Promise<void> => {
     await f.close();
     rmSync(folder, { recursive: true, force: true });
@@ -54,14 +54,14 @@
       f.start(p);
       await sleep(realClock, 250);
     }
-    for (const until = realClock.now() + 120_000; !f.procs.every((p) => p.well);) {
+    for (const until = realClock.now() + 120_000; !f.procs.every((p) => p.healthy);) {
       if (realClock.now() > until)
-        throw new Error(`${f.procs.filter((p) => !p.well).length} of ${f.procs.length} processes do not serve \
+        throw new Error(`${f.procs.filter((p) => !p.healthy).length} of ${f.procs.length} processes do not serve \
 after 120 s`);
       await sleep(realClock, 200);
     }
     const relay = f.relays[0]!;
-    const r = await f.way.visit(
+    const r = await f.clientTransport.visit(
       relay.config.client,
       'SubmitConfig',
       { changeId: 'first', config: { families: FAMILIES } },
@@ -81,11 +81,11 @@
   onFrame: (f: Frame) => void;
 }
 
-async function attach(f: Fleet, relay: Proc, consumer: string): Promise<Caller> {
+async function attach(f: Fleet, relay: NodeProcess, consumer: string): Promise<Caller> {
   const c: Caller = { conn: '', close: () => undefined, onFrame: () => undefined };
   await new Promise<void>((res, rej) => {
     const late = setTimeout(() => rej(new Error(`${consumer} was not attached within 20 s`)), 20_000);
-    c.close = f.way.attach(
+    c.close = f.clientTransport.attach(
       relay.config.client,
       { consumer, pingS: 60 },
       (x) => {
@@ -107,10 +107,10 @@
 }
 
 /** Visits until it is served; who is told to come back does, as callers do. */
-async function must(f: Fleet, relay: Proc, method: string, body: unknown): Promise<Json> {
+async function must(f: Fleet, relay: NodeProcess, method: string, body: unknown): Promise<Json> {
   const until = realClock.now() + 20_000;
   for (;;) {
-    const r = await f.way.visit(relay.config.client, method, body, 20_000);
+    const r = await f.clientTransport.visit(relay.config.client, method, body, 20_000);
     if (r?.status === 200) return r.body;
     if (r?.status !== 503 || realClock.now() > until) throw new Error(`${method}: ${JSON.stringify(r?.body)}`);
     await sleep(realClock, 500);
@@ -291,7 +291,7 @@
         };
       const publish = async (): Promise<void> => {
         const i = n++;
-        const r = await f.way.visit(
+        const r = await f.clientTransport.visit(
           relay.config.client,
           'Publish',
           {
@@ -534,7 +534,7 @@
         const at = realClock.now();
         await sleep(realClock, S * 1_000);
         const took = (realClock.now() - at) / 1_000;
-        const mean = (ps: Proc[]): number => ps.reduce((a, p) => a + (cpuOf(p) - t0.get(p)!), 0) / ps.length / took;
+        const mean = (ps: NodeProcess[]): number => ps.reduce((a, p) => a + (cpuOf(p) - t0.get(p)!), 0) / ps.length / took;
         relayCpu.points.push({ x: n, y: mean(f.relays) });
         storeCpu.points.push({ x: n, y: mean(f.stores) });
       }
--- a/packages/trial/src/capacity-virtual.ts
+++ b/packages/trial/src/capacity-virtual.ts
@@ -4,7 +4,7 @@
 import { REGISTER, SHARD, randomSample } from '@harecross/kernel';
 import { build as buildHistogram } from 'hdr-histogram-js';
 import type { Drill, Series } from './capacity-data.js';
-import { seeded, Sim, type SimNode } from './sim.js';
+import { seededRandom, Sim, type SimNode } from './sim.js';
 
 /** A series without what only the command knows. */
 export type Taken = Omit<Series, 'command' | 'commit' | 'load'>;
@@ -40,7 +40,7 @@
   const ids = [...disks.keys()];
   // Which disks hardly matters for what the value weighs; rendezvous over all of them is measured apart.
   const shards = new Map<number, Placement>();
-  const random = seeded(shardCount);
+  const random = seededRandom(shardCount);
   for (let s = 0; s < shardCount; s++)
     shards.set(s, { gen: 1, copies: randomSample(random, ids, Math.min(SHARD.replicaCount, disksN)) });
   const seats = ids.slice(0, Math.min(REGISTER.voterCount, disksN));
@@ -309,7 +309,7 @@
         const from = all[0]!.kernel!.use('register').value!.version;
         let told = 0;
         const inForce = new Map<SimNode, number>();
-        void sim.outside
+        void sim.clientTransport
           .visit(at.config.client, 'SubmitConfig', { changeId: `s${i}`, config: CONFIG }, 10_000)
           .then(() => {
             told = sim.now;
@@ -387,7 +387,7 @@
       bytes.points.push({ x: n, y: disks.reduce((a, x) => a + (meter.bytes.get(x.config.peer) ?? 0), 0) / 1024 / S });
       meter.bytes.clear();
       let told = 0;
-      void sim.outside
+      void sim.clientTransport
         .visit(h.rest[0]!.config.client, 'SubmitConfig', { changeId: 's', config: CONFIG }, 10_000)
         .then(() => {
           told = sim.now;
@@ -517,7 +517,7 @@
     const fresh = left.filter((n) => n.kernel!.use('register').hasReadLease()).length / left.length;
     const shards = owned(left).size / SHARD.shardCount;
     let ok = false;
-    void sim.outside
+    void sim.clientTransport
       .visit(
         left.find((n) => n.config.role === 'relay')!.config.client,
         'SubmitConfig',
@@ -638,13 +638,13 @@
       void sim.start(x);
     }
     await sim.run(8_000);
-    void sim.outside.visit(relay.config.client, 'SubmitConfig', { changeId: 'a', config: CONFIG }, 10_000);
+    void sim.clientTransport.visit(relay.config.client, 'SubmitConfig', { changeId: 'a', config: CONFIG }, 10_000);
     await sim.run(sim.now + 2_000);
     const before = heapMiB();
     const conns: string[] = [];
     const per = 100;
     for (let i = 0; i < n / per; i++)
-      sim.outside.attach(
+      sim.clientTransport.attach(
         relay.config.client,
         { consumer: `c${i}`, pingS: 60 },
         (f) => {
@@ -656,7 +656,7 @@
     let subscribed = 0;
     for (const [i, conn] of conns.entries()) {
       for (let j = 0; j < per; j++)
-        void sim.outside
+        void sim.clientTransport
           .visit(relay.config.client, 'Subscribe', { conn, topic: `feed/${i * per + j}` }, 10_000)
           .then((r) => {
             if (r?.status === 200) subscribed++;
@@ -686,7 +686,7 @@
     const t0 = cpuMs();
     for (let i = 0; i < S / 2; i++) {
       // Each conn says a sign of life every 2 s; renewals follow from it.
-      for (const conn of conns) void sim.outside.visit(relay.config.client, 'Probe', { conn }, 10_000);
+      for (const conn of conns) void sim.clientTransport.visit(relay.config.client, 'Probe', { conn }, 10_000);
       await sim.run(sim.now + 2_000);
     }
     cpu.points.push({ x: n, y: (cpuMs() - t0) / S });
@@ -723,10 +723,10 @@
       void sim.start(x);
     }
     await sim.run(9_000);
-    void sim.outside.visit(relay.config.client, 'SubmitConfig', { changeId: 'a', config: CONFIG }, 10_000);
+    void sim.clientTransport.visit(relay.config.client, 'SubmitConfig', { changeId: 'a', config: CONFIG }, 10_000);
     await sim.run(sim.now + 2_000);
     let conn = '';
-    sim.outside.attach(
+    sim.clientTransport.attach(
       relay.config.client,
       { consumer: 'c', pingS: 60 },
       (f) => {
@@ -736,7 +736,7 @@
     );
     await sim.run(sim.now + 500);
     for (let i = 0; i < 100; i++)
-      void sim.outside.visit(relay.config.client, 'Subscribe', { conn, topic: `feed/${i}` }, 10_000);
+      void sim.clientTransport.visit(relay.config.client, 'Subscribe', { conn, topic: `feed/${i}` }, 10_000);
     await sim.run(sim.now + 2_000);
     const by = new Map<string, number>();
     for (const x of sim.nodes.values()) {
@@ -752,7 +752,7 @@
     const S = 10;
     let accepted = 0;
     for (let i = 0; i < perS * S; i++) {
-      void sim.outside
+      void sim.clientTransport
         .visit(
           relay.config.client,
           'Publish',
--- a/packages/trial/src/day.ts
+++ b/packages/trial/src/day.ts
@@ -5,15 +5,15 @@
 import { sleep, realClock } from '@harecross/kernel';
 import yargs from 'yargs';
 import type { Json } from './json.js';
-import { audit, Consumer, type World } from './actors.js';
-import { Fleet, type Proc } from './fleet.js';
+import { audit, Consumer, type ClientContext } from './simulated-clients.js';
+import { Fleet, type NodeProcess } from './process-fleet.js';
 import { Journal } from './journal.js';
-import type { Link } from './link.js';
-import { judge, recovery, SETTLE_MS, TIMELESS_RULES } from './oracle.js';
-import { configOf, crowd, DUNARE, SINE_SALOUM, SMALL, type Site } from './scenario.js';
-import { seeded } from './sim.js';
+import type { LinkProxy } from './link-proxy.js';
+import { checkJournal, recoveryTimes, SETTLE_MS, TIMING_INDEPENDENT_RULES } from './oracle.js';
+import { fleetConfigOf, createClients, DUNARE, SINE_SALOUM, SMALL, type DeploymentSpec } from './scenario.js';
+import { seededRandom } from './sim.js';
 
-const SITES = new Map<string, Site>([SINE_SALOUM, DUNARE, SMALL].map((s) => [s.name, s]));
+const SITES = new Map<string, DeploymentSpec>([SINE_SALOUM, DUNARE, SMALL].map((s) => [s.name, s]));
 const FAULTS = [
   'kill-relay',
   'kill-store',
@@ -60,8 +60,8 @@
   }
 
 const folder = mkdtempSync(join(tmpdir(), 'harecross-day-'));
-const fleet = await Fleet.of(site, folder);
-await fleet.linked();
+const fleet = await Fleet.create(site, folder);
+await fleet.startProxies();
 const t0 = realClock.now();
 const clock = {
   now: () => realClock.now() - t0,
@@ -69,9 +69,9 @@
   after: (ms: number, fn: () => void) => realClock.after(ms, fn),
 };
 const journal = new Journal(() => clock.now());
-const random = seeded(a.seed);
-const world: World = { clock, random, way: fleet.way, journal };
-const cr = crowd(world, site);
+const random = seededRandom(a.seed);
+const world: ClientContext = { clock, random, clientTransport: fleet.clientTransport, journal };
+const cr = createClients(world, site);
 const pause = (ms: number): Promise<void> => sleep(realClock, ms);
 const any = <T>(xs: T[]): T => xs[Math.floor(random.next() * xs.length)]!;
 const say = (s: string): void => {
@@ -79,7 +79,7 @@
 };
 const left: number[] = [];
 const failed: string[] = [];
-const stopped = async (p: Proc): Promise<void> => {
+const stopped = async (p: NodeProcess): Promise<void> => {
   const ms = await fleet.stop(p);
   if (ms === undefined) say(`${p.name} did not leave within 6 s and was killed`);
   left.push(ms ?? Infinity);
@@ -88,9 +88,9 @@
 say(`${site.name}: ${fleet.procs.length} processes in ${folder}`);
 fleet.startAll();
 await pause(Math.max(0, 6_000 - clock.now()));
-const first = cr.operator.submit('first', configOf(site), true);
+const first = cr.operator.submit('first', fleetConfigOf(site), true);
 await pause(Math.max(0, 12_000 - clock.now()));
-say(`configuration: ${(await first).out}; ${fleet.way.nodes().length} of ${site.relays} relays take conns`);
+say(`configuration: ${(await first).out}; ${fleet.clientTransport.nodes().length} of ${site.relays} relays take conns`);
 for (const c of cr.consumers) c.start();
 for (const s of cr.senders) s.start();
 let on = true;
@@ -138,11 +138,11 @@
   while (on) {
     await pause(500);
     const c = any(cr.consumers);
-    if (random.next() < 0.4) c.drop();
+    if (random.next() < 0.4) c.disconnect();
     else if (random.next() < 0.3) {
       c.domain = any(site.domains);
-      c.drop('moved');
-    } else void c.away(500 + 15_000 * random.next());
+      c.disconnect('moved');
+    } else void c.disconnectFor(500 + 15_000 * random.next());
   }
 })();
 
@@ -182,11 +182,11 @@
     rough = false;
   },
   links: async () => {
-    const links = [...fleet.links.values()];
-    const all = (f: (l: Link) => number): number => links.reduce((n, l) => n + f(l), 0);
+    const links = [...fleet.proxies.values()];
+    const all = (f: (l: LinkProxy) => number): number => links.reduce((n, l) => n + f(l), 0);
     poor = cr.consumers.map((c) => c.name);
     tell();
-    say(`${all((l) => l.thin(0.1, random, 4_000))} connections are thin`);
+    say(`${all((l) => l.limitRate(0.1, random, 4_000))} connections are thin`);
     await pause(3_000);
     say(`${all((l) => l.stall(0.2, random, 2_500))} stall`);
     await pause(3_000);
@@ -198,7 +198,7 @@
     }
     say(`${all((l) => l.reset(0.97, random))} are reset at once`);
     await pause(6_000);
-    all((l) => l.thin(1, random, undefined));
+    all((l) => l.limitRate(1, random, undefined));
     await pause(4_000);
     poor = [];
   },
@@ -216,7 +216,7 @@
   },
   'late-change': async () => {
     const v = await cr.operator.read();
-    const again = await cr.operator.submit('first', configOf(site), true);
+    const again = await cr.operator.submit('first', fleetConfigOf(site), true);
     say(`the first change of the day is sent again: ${again.out} ${again.version}, in force ${v}`);
     if ((await cr.operator.read()) !== v) failed.push('an old change sent again changed what is in force');
   },
@@ -232,8 +232,8 @@
     journal.add({ k: 'node', node: p.config.client, domain: p.config.domain, role: p.role });
     say(`${p.name} joins in ${p.config.domain}`);
     fleet.start(p);
-    for (let i = 0; i < 60 && !fleet.way.nodes().includes(p.config.client); i++) await pause(250);
-    if (!fleet.way.nodes().includes(p.config.client)) failed.push(`${p.name} never took conns`);
+    for (let i = 0; i < 60 && !fleet.clientTransport.nodes().includes(p.config.client); i++) await pause(250);
+    if (!fleet.clientTransport.nodes().includes(p.config.client)) failed.push(`${p.name} never took conns`);
     await pause(2_000);
   },
   reset: async () => {
@@ -242,7 +242,7 @@
   },
   operators: async () => {
     const extra = (n: string) =>
-      configOf(site, [{ name: n, topics: [`${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
+      fleetConfigOf(site, [{ name: n, topics: [`${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
     for (let i = 0; i < 3; i++) {
       const v = await cr.operator.read();
       const r = await Promise.all([
@@ -254,7 +254,7 @@
       await pause(500);
     }
     await cr.operator.submit('a0', extra('a0'), true);
-    await cr.operator.submit(`whole-${clock.now()}`, configOf(site), true);
+    await cr.operator.submit(`whole-${clock.now()}`, fleetConfigOf(site), true);
   },
   settings: async () => {
     const p = any(fleet.relays);
@@ -304,7 +304,7 @@
     }
   },
   remove: async () => {
-    const all = configOf(site);
+    const all = fleetConfigOf(site);
     say('a family is removed, and comes back');
     await cr.operator.submit('remove', { families: all.families.slice(0, 1) }, true);
     await pause(8_000);
@@ -392,10 +392,10 @@
 await cr.operator.read(true);
 journal.add({ k: 'end' });
 
-const bad = judge(journal.seen, { wayMs: 1_500, timed: a.timed, inForceMs: 3_000 }).filter(
-  (v) => a.timed || TIMELESS_RULES.includes(v.rule),
+const bad = checkJournal(journal.seen, { observationDelayMs: 1_500, timed: a.timed, configInForceMs: 3_000 }).filter(
+  (v) => a.timed || TIMING_INDEPENDENT_RULES.includes(v.rule),
 );
-const back = recovery(journal.seen);
+const back = recoveryTimes(journal.seen);
 if (back)
   say(
     `after the closing fault a quarter and nine tenths were back after ${back.accepted.quarterMs}/${back.accepted.mostMs} ms accepted, ${back.delivered.quarterMs}/${back.delivered.mostMs} ms delivered`,
--- a/packages/trial/src/storm.ts
+++ b/packages/trial/src/fault-schedule.ts
@@ -1,31 +1,31 @@
 import { sleep } from '@harecross/kernel';
-import { Consumer } from './actors.js';
-import { configOf, type Scenario, type Site, type Stage } from './scenario.js';
-import { seeded, type SimNode } from './sim.js';
+import { Consumer } from './simulated-clients.js';
+import { fleetConfigOf, type Scenario, type DeploymentSpec, type ScenarioContext } from './scenario.js';
+import { seededRandom, type SimNode } from './sim.js';
 
 /** One fault of a storm: when it begins, what it is, and the number by which it picks its victims. */
-export interface Step {
+export interface ScheduledFault {
   at: number;
   fault: string;
-  pick: number;
+  seed: number;
 }
 
-const pause = (s: Stage, ms: number): Promise<void> => sleep(s.sim.clock, ms);
+const pause = (s: ScenarioContext, ms: number): Promise<void> => sleep(s.sim.clock, ms);
 const ups = (ns: SimNode[]): SimNode[] => ns.filter((n) => n.up && !n.frozen);
 /** A machine with a disk that may go for a while: one at a time, so that a majority of everything stays. */
-const free = (s: Stage, ns: SimNode[]): SimNode[] => {
+const free = (s: ScenarioContext, ns: SimNode[]): SimNode[] => {
   const down = s.disks.filter((n) => !n.up || n.frozen).length;
   return down >= 2 ? [] : ups(ns);
 };
 
-type Fault = (s: Stage, random: { next(): number }) => Promise<void>;
+type Fault = (s: ScenarioContext, random: { next(): number }) => Promise<void>;
 const any = <T>(random: { next(): number }, xs: T[]): T | undefined => xs[Math.floor(random.next() * xs.length)];
 /** The configuration as the day has it: faults that change it must not undo each other's families for good. */
-const extra = (s: Stage, name: string) =>
-  configOf(s.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
+const extra = (s: ScenarioContext, name: string) =>
+  fleetConfigOf(s.site, [{ name, topics: [`${name}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
 
 /** One of these machines is killed and comes back. */
-async function killed(s: Stage, random: { next(): number }, ns: SimNode[]): Promise<void> {
+async function killed(s: ScenarioContext, random: { next(): number }, ns: SimNode[]): Promise<void> {
   const n = any(random, free(s, ns));
   if (!n) return;
   s.note(`kill ${n.name}`);
@@ -91,10 +91,10 @@
       if (!n) return;
       s.note(`${n.name} is slow in bursts`);
       for (let i = 0; i < 4; i++) {
-        n.slowMs = 200;
+        n.maxExtraDelayMs = 200;
         n.diskMs = 150;
         await pause(s, 300 + 1_500 * random.next());
-        n.slowMs = 0;
+        n.maxExtraDelayMs = 0;
         n.diskMs = 2;
         await pause(s, 300 + 700 * random.next());
       }
@@ -106,9 +106,9 @@
       const n = any(random, ups(s.disks));
       if (!n) return;
       s.note(`syncs of ${n.name} stop its loop`);
-      n.stallMs = [1_000, 3_000];
+      n.syncStallMs = [1_000, 3_000];
       await pause(s, 6_000);
-      n.stallMs = undefined;
+      n.syncStallMs = undefined;
     },
   ],
   [
@@ -121,7 +121,7 @@
       const others = [...s.sim.nodes.values()].filter((o) => o !== n);
       for (const o of others) s.sim.cut(n.name, o.name, both);
       await pause(s, 2_000 + 6_000 * random.next());
-      for (const o of others) s.sim.mend(n.name, o.name);
+      for (const o of others) s.sim.heal(n.name, o.name);
     },
   ],
   [
@@ -133,7 +133,7 @@
       s.note(`the link between ${r.name} and ${d.name} breaks`);
       s.sim.cut(r.name, d.name);
       await pause(s, 8_000);
-      s.sim.mend(r.name, d.name);
+      s.sim.heal(r.name, d.name);
     },
   ],
   [
@@ -178,7 +178,7 @@
         { length: 150 },
         (_, i) =>
           new Consumer(
-            s.world,
+            s.clientContext,
             `crowd${k}-${i}`,
             any(random, s.site.domains)!,
             [s.crowd.topics[i % s.crowd.topics.length]!],
@@ -198,7 +198,7 @@
       for (const c of s.crowd.consumers)
         if (c.domain === from) {
           c.domain = to;
-          c.drop('moved');
+          c.disconnect('moved');
         }
       await pause(s, 3_000);
     },
@@ -234,7 +234,7 @@
     'remove',
     async (s) => {
       const k = s.sim.now.toFixed(0);
-      const all = configOf(s.site).families;
+      const all = fleetConfigOf(s.site).families;
       await s.crowd.operator.submit(`remove${k}`, { families: all.slice(0, 1) }, true);
       await pause(s, 5_000);
       await s.crowd.operator.submit(`again${k}`, { families: all }, true);
@@ -273,7 +273,7 @@
       if (!n) return;
       const by = (random.next() < 0.5 ? -1 : 1) * (1_000 + 600_000 * random.next());
       s.note(`the clock of ${n.name} is corrected by ${Math.round(by)} ms and runs 3 % off`);
-      n.stepMs += by;
+      n.wallStepMs += by;
       s.sim.setRate(n, random.next() < 0.5 ? 0.97 : 1.03);
       await pause(s, 8_000);
     },
@@ -299,14 +299,14 @@
  * @example
  * pairOf(1); // a lost disk while another machine restarts
  */
-export function pairOf(seed: number): Step[] {
-  const random = seeded(seed ^ 0x9a1e5);
+export function faultPair(seed: number): ScheduledFault[] {
+  const random = seededRandom(seed ^ 0x9a1e5);
   const names = [...FAULTS.keys()];
   const two = FIRST[seed - 1] ?? [any(random, names)!, any(random, names)!];
   return two.map((fault, i) => ({
     at: i * Math.round(3_000 * random.next()),
     fault,
-    pick: Math.floor(random.next() * 2 ** 31),
+    seed: Math.floor(random.next() * 2 ** 31),
   }));
 }
 
@@ -315,17 +315,17 @@
  * @example
  * planOf(7, 4)
  */
-export function planOf(seed: number, n: number): Step[] {
-  const random = seeded(seed ^ 0x570e3);
+export function randomFaults(seed: number, n: number): ScheduledFault[] {
+  const random = seededRandom(seed ^ 0x570e3);
   const names = [...FAULTS.keys()];
   return Array.from({ length: n }, () => ({
     at: Math.round(5_000 * n * random.next() * 0.6),
     fault: any(random, names)!,
-    pick: Math.floor(random.next() * 2 ** 31),
+    seed: Math.floor(random.next() * 2 ** 31),
   })).sort((a, b) => a.at - b.at);
 }
 
-export const showPlan = (steps: Step[]): string =>
+export const formatFaults = (steps: ScheduledFault[]): string =>
   steps.map((x) => `${x.fault} at +${(x.at / 1000).toFixed(1)} s`).join(', ');
 
 /**
@@ -333,19 +333,19 @@
  * @example
  * await play(7, storm(planOf(7, 4)));
  */
-export function storm(steps: Step[], site?: Site): Scenario {
+export function scheduleScenario(steps: ScheduledFault[], site?: DeploymentSpec): Scenario {
   return {
     ...(site ? { site } : {}),
-    forMs: 20_000,
+    faultPhaseMs: 20_000,
     faults: async (s) => {
       await Promise.all(
         steps.map(async (x) => {
           await pause(s, x.at);
-          await FAULTS.get(x.fault)!(s, seeded(x.pick));
+          await FAULTS.get(x.fault)!(s, seededRandom(x.seed));
         }),
       );
       // What changed the configuration may have ended in any order: the day ends with all families.
-      await s.crowd.operator.submit('whole again', configOf(s.site), true);
+      await s.crowd.operator.submit('whole again', fleetConfigOf(s.site), true);
       await pause(s, 6_000);
     },
   };
@@ -356,11 +356,11 @@
  * @example
  * await shrink(steps, async (some) => (await play(seed, storm(some))).bad.map((v) => v.rule), 'lost');
  */
-export async function shrink(
-  steps: Step[],
-  rulesOf: (some: Step[]) => Promise<string[]>,
+export async function minimizeFaults(
+  steps: ScheduledFault[],
+  rulesOf: (some: ScheduledFault[]) => Promise<string[]>,
   rule: string,
-): Promise<Step[]> {
+): Promise<ScheduledFault[]> {
   let now = steps;
   for (let i = 0; i < now.length && now.length > 1;) {
     const less = now.filter((_, j) => j !== i);
--- a/packages/trial/src/faults.ts
+++ b/packages/trial/src/faults.ts
@@ -8,7 +8,7 @@
 import type { Scenario } from './scenario.js';
 
 /** Every fault of the brief, by name. */
-export const SCENARIOS = new Map<string, Scenario>([
+export const FAULT_SCENARIOS = new Map<string, Scenario>([
   ...MACHINE_FAULTS,
   ...DISK_FAULTS,
   ...NETWORK_FAULTS,
--- a/packages/trial/src/faults/client-faults.ts
+++ b/packages/trial/src/faults/client-faults.ts
@@ -1,6 +1,6 @@
 /** Scenarios of clients that stay away, vanish, come in crowds or press too hard. */
 import { SHARD } from '@harecross/kernel';
-import { Consumer, Pipeliner, Sender } from '../actors.js';
+import { Consumer, PipelinedSender, Sender } from '../simulated-clients.js';
 import type { Scenario } from '../scenario.js';
 import { any, CROWDED, pause } from './common.js';
 
@@ -8,7 +8,7 @@
   [
     'cursors',
     {
-      forMs: 130_000,
+      faultPhaseMs: 130_000,
       skewMs: 60_000,
       faults: async (s) => {
         // Consumers stay away for nearly as long as messages are remembered, and take up their cursors at whichever node, while history is
@@ -17,7 +17,7 @@
           for (const c of s.crowd.consumers)
             if (s.random.next() < 0.5) {
               c.domain = any(s, s.site.domains);
-              void c.away(12_000 + 11_000 * s.random.next());
+              void c.disconnectFor(12_000 + 11_000 * s.random.next());
             }
           await pause(s, 24_000);
         };
@@ -68,12 +68,12 @@
   [
     'handovers',
     {
-      forMs: 35_000,
+      faultPhaseMs: 35_000,
       faults: async (s) => {
         // Owners are stopped, killed and silenced in turn while eight publishes at a time are on their way to many of their topics.
         const more = s.crowd.topics
           .slice(4, 16)
-          .map((t, i) => new Pipeliner(s.world, `many${i}`, any(s, s.site.domains), t, 60));
+          .map((t, i) => new PipelinedSender(s.clientContext, `many${i}`, any(s, s.site.domains), t, 60));
         for (const m of more) m.start();
         for (let i = 0; i < 6; i++) {
           const n = any(s, s.disks);
@@ -89,7 +89,7 @@
           } else {
             for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name);
             await pause(s, 2_500);
-            s.sim.heal();
+            s.sim.healAll();
           }
           await pause(s, 3_000);
         }
@@ -105,11 +105,11 @@
         for (let i = 0; i < 40; i++) {
           const c = any(s, s.crowd.consumers);
           const x = s.random.next();
-          if (x < 0.4) c.drop();
-          else if (x < 0.7) void c.away(500 + 12_000 * s.random.next());
+          if (x < 0.4) c.disconnect();
+          else if (x < 0.7) void c.disconnectFor(500 + 12_000 * s.random.next());
           else if (x < 0.85) {
             c.domain = any(s, s.site.domains);
-            c.drop('moved');
+            c.disconnect('moved');
           } else {
             const t = any(s, [...c.want]);
             if (t) {
@@ -127,7 +127,7 @@
     'vanish',
     {
       site: CROWDED,
-      forMs: 40_000,
+      faultPhaseMs: 40_000,
       faults: async (s) => {
         // Phones vanish without closing, conns are reset nearly all at once, callers move, and an owner dies just then.
         const op = s.crowd.operator;
@@ -151,7 +151,7 @@
           await pause(s, 2_000);
           for (const c of s.crowd.consumers.filter((x) => !gone.includes(x)).slice(0, 12)) {
             c.domain = any(s, s.site.domains);
-            c.drop('moved');
+            c.disconnect('moved');
           }
           await s.sim.start(n);
           for (const c of gone) c.start();
@@ -164,14 +164,14 @@
   [
     'crowd',
     {
-      forMs: 15_000,
+      faultPhaseMs: 15_000,
       faults: async (s) => {
         s.note('a crowd arrives at once');
         const more = Array.from(
           { length: 240 },
           (_, i) =>
             new Consumer(
-              s.world,
+              s.clientContext,
               `crowd${i}`,
               any(s, s.site.domains),
               [s.crowd.topics[i % s.crowd.topics.length]!, 'u/0'],
@@ -188,13 +188,13 @@
   [
     'overload',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         // Disks get so slow that visits pile up; the bounds are made small for the while, so that a small site meets them.
         const was = { ownerQueueLimit: SHARD.ownerQueueLimit };
         // Eight publishes on the way would fill so small a holding alone.
-        for (const x of s.crowd.senders) if (x instanceof Pipeliner) x.stop();
-        const seen = s.world.journal.seen;
+        for (const x of s.crowd.senders) if (x instanceof PipelinedSender) x.stop();
+        const seen = s.clientContext.journal.seen;
         try {
           for (const n of s.disks) n.kernel!.use('owner').resizePublishQueue(8);
           for (const n of s.disks) n.diskMs = 250;
@@ -202,7 +202,7 @@
             { length: 30 },
             (_, i) =>
               new Sender(
-                s.world,
+                s.clientContext,
                 `flood${i}`,
                 any(s, s.site.domains),
                 s.crowd.topics.filter((_, j) => j % 30 === i),
--- a/packages/trial/src/faults/clock-faults.ts
+++ b/packages/trial/src/faults/clock-faults.ts
@@ -19,7 +19,7 @@
   [
     'clock-jump',
     {
-      forMs: 45_000,
+      faultPhaseMs: 45_000,
       faults: async (s) => {
         // Machines without a clock of their own come back with the wrong time: an hour behind, or an hour ahead.
         const hour = 3_600_000;
@@ -32,7 +32,7 @@
           await pause(s, 3_500);
         }
         // All of them at once, and every consumer resumes where it left off.
-        for (const c of s.crowd.consumers) void c.away(4_000);
+        for (const c of s.crowd.consumers) void c.disconnectFor(4_000);
         for (const n of s.sim.nodes.values()) s.sim.kill(n);
         for (const n of s.sim.nodes.values()) {
           n.skewMs += hour;
@@ -45,14 +45,14 @@
   [
     'wrong-rates',
     {
-      forMs: 40_000,
+      faultPhaseMs: 40_000,
       faults: async (s) => {
         // Clocks run up to 3 % fast or slow, and are corrected by minutes while the machines run.
         for (const n of s.sim.nodes.values()) s.sim.setRate(n, 0.97 + 0.06 * s.random.next());
         for (let i = 0; i < 3; i++) {
           const n = any(s, s.stores);
-          n.stepMs += (s.random.next() * 2 - 1) * 900_000;
-          s.note(`kill ${n.name}; its wall clock is off by ${Math.round(n.stepMs)} ms`);
+          n.wallStepMs += (s.random.next() * 2 - 1) * 900_000;
+          s.note(`kill ${n.name}; its wall clock is off by ${Math.round(n.wallStepMs)} ms`);
           s.sim.kill(n);
           await pause(s, 3_000);
           await s.sim.start(n);
--- a/packages/trial/src/faults/disk-faults.ts
+++ b/packages/trial/src/faults/disk-faults.ts
@@ -6,7 +6,7 @@
   [
     'lost-disk',
     {
-      forMs: 70_000,
+      faultPhaseMs: 70_000,
       faults: async (s) => {
         const n = any(s, s.stores);
         s.note(`disk of ${n.name} dies`);
@@ -53,7 +53,7 @@
       faults: async (s) => {
         s.note('all power fails');
         for (const n of s.sim.nodes.values()) s.sim.kill(n);
-        s.world.journal.add({ k: 'closing' });
+        s.clientContext.journal.add({ k: 'closing' });
         await pause(s, 1_500);
         for (const n of s.sim.nodes.values()) await s.sim.start(n);
         await pause(s, 16_000);
@@ -69,7 +69,7 @@
         s.note(`all power fails, and the disk of ${n.name} dies`);
         for (const x of s.sim.nodes.values()) if (x !== n) s.sim.kill(x);
         s.sim.loseDisk(n);
-        s.world.journal.add({ k: 'closing' });
+        s.clientContext.journal.add({ k: 'closing' });
         await pause(s, 1_500);
         for (const x of s.sim.nodes.values()) await s.sim.start(x);
         await pause(s, 16_000);
@@ -79,7 +79,7 @@
   [
     'wiped-seeds',
     {
-      forMs: 75_000,
+      faultPhaseMs: 75_000,
       faults: async (s) => {
         // The seeds' disks die one after another, each given time for repair: no second fleet may be founded.
         for (const n of s.stores.slice(0, 3)) {
@@ -95,15 +95,15 @@
   [
     'stall',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         // Syncs of 1 to 3 s that stop the whole loop: on one machine, then another; owners, copies and seats are among them.
         for (let i = 0; i < 3; i++) {
           const n = any(s, s.disks);
           s.note(`syncs of ${n.name} stop its loop`);
-          n.stallMs = [1_000, 3_000];
+          n.syncStallMs = [1_000, 3_000];
           await pause(s, 5_000);
-          n.stallMs = undefined;
+          n.syncStallMs = undefined;
           await pause(s, 4_000);
         }
       },
@@ -112,7 +112,7 @@
   [
     'full-disk',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         const n = any(s, s.disks);
         s.note(`disk of ${n.name} is full`);
--- a/packages/trial/src/faults/machine-faults.ts
+++ b/packages/trial/src/faults/machine-faults.ts
@@ -44,7 +44,7 @@
   [
     'rolling',
     {
-      forMs: 60_000,
+      faultPhaseMs: 60_000,
       faults: async (s) => {
         for (const n of [...s.stores, ...s.relays]) {
           s.note(`stop ${n.name}`);
@@ -77,10 +77,10 @@
     {
       faults: async (s) => {
         const n = any(s, s.disks);
-        n.slowMs = 150;
+        n.maxExtraDelayMs = 150;
         n.diskMs = 120;
         await pause(s, 8_000);
-        n.slowMs = 0;
+        n.maxExtraDelayMs = 0;
         n.diskMs = 2;
         await pause(s, 3_000);
       },
@@ -89,15 +89,15 @@
   [
     'slow-relay',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (s) => {
         for (let i = 0; i < 6; i++) {
           const n = any(s, [...s.relays, ...s.stores]);
           s.note(`${n.name} is slow`);
-          n.slowMs = 250;
+          n.maxExtraDelayMs = 250;
           n.diskMs = 100;
           await pause(s, 500 + 2_500 * s.random.next());
-          n.slowMs = 0;
+          n.maxExtraDelayMs = 0;
           n.diskMs = 2;
           await pause(s, 800);
         }
@@ -121,13 +121,13 @@
   [
     'closing',
     {
-      forMs: 10_000,
+      faultPhaseMs: 10_000,
       faults: async (s) => {
         s.note('closing fault: half of the relays and a store die for good');
         // Of machines with disks a store and at most one relay: a majority of everything stays at either site.
         const v = [...s.relays.filter((r, i) => (r.config.data ? i === 0 : i % 2 === 0)), any(s, s.stores)];
         for (const n of v) s.sim.kill(n);
-        s.world.journal.add({ k: 'closing' });
+        s.clientContext.journal.add({ k: 'closing' });
         await pause(s, 17_000);
       },
     },
@@ -135,12 +135,12 @@
   [
     'domain-dies',
     {
-      forMs: 12_000,
+      faultPhaseMs: 12_000,
       faults: async (s) => {
         const d = any(s, s.site.domains);
         s.note(`all machines of ${d} die for good`);
         for (const n of s.sim.nodes.values()) if (n.config.domain === d) s.sim.kill(n);
-        s.world.journal.add({ k: 'closing' });
+        s.clientContext.journal.add({ k: 'closing' });
         await pause(s, 17_000);
       },
     },
@@ -148,7 +148,7 @@
   [
     'mixed',
     {
-      forMs: 40_000,
+      faultPhaseMs: 40_000,
       opts: { loss: 0.01 },
       skewMs: 60_000,
       faults: async (s) => {
@@ -169,7 +169,7 @@
             s.note(`cut ${n.name}`);
             for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, s.random.next() < 0.5);
             await pause(s, 500 + 4_000 * s.random.next());
-            s.sim.heal();
+            s.sim.healAll();
           } else {
             s.note(`stop ${n.name}`);
             await s.sim.stop(n);
--- a/packages/trial/src/faults/network-faults.ts
+++ b/packages/trial/src/faults/network-faults.ts
@@ -1,6 +1,6 @@
 /** Scenarios in which links lose packets, break, or connections end. */
-import { Consumer, Sender } from '../actors.js';
-import { configOf, type Scenario } from '../scenario.js';
+import { Consumer, Sender } from '../simulated-clients.js';
+import { fleetConfigOf, type Scenario } from '../scenario.js';
 import { any, EIGHT_DISKS, pause } from './common.js';
 
 export const NETWORK_FAULTS: [string, Scenario][] = [
@@ -36,7 +36,7 @@
         const both = s.random.next() < 0.5;
         for (const o of s.sim.nodes.values()) if (o !== n) s.sim.cut(n.name, o.name, both);
         await pause(s, 4_000 + 6_000 * s.random.next());
-        s.sim.heal();
+        s.sim.healAll();
         s.note('healed');
         await pause(s, 4_000);
       },
@@ -46,7 +46,7 @@
     'link-cut',
     {
       site: EIGHT_DISKS,
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         // Some links of one machine break: it keeps its majority of seats, but not that of every shard's copies.
         const n = any(s, s.stores);
@@ -57,7 +57,7 @@
         s.note(`${n.name} loses its links to ${far.map((x) => x.name).join(' ')}`);
         for (const o of far) s.sim.cut(n.name, o.name);
         await pause(s, 8_000);
-        const seen = s.world.journal.seen;
+        const seen = s.clientContext.journal.seen;
         const from = seen.length;
         await pause(s, 8_000);
         const a = seen.slice(from).filter((x) => x.k === 'pub.answer');
@@ -65,7 +65,7 @@
         s.note(`accepted ${ok} of ${a.length} while the links were cut`);
         if (ok < a.length * 0.99)
           throw new Error(`only ${ok} of ${a.length} publishes were accepted while the links of ${n.name} were cut`);
-        s.sim.heal();
+        s.sim.healAll();
         await pause(s, 5_000);
       },
     },
@@ -79,7 +79,7 @@
         for (const a of s.sim.nodes.keys())
           for (const b of s.sim.nodes.keys()) if (side.has(a) && !side.has(b)) s.sim.cut(a, b);
         await pause(s, 5_000);
-        s.sim.heal();
+        s.sim.healAll();
         await pause(s, 6_000);
       },
     },
@@ -87,7 +87,7 @@
   [
     'stale-owner',
     {
-      forMs: 22_000,
+      faultPhaseMs: 22_000,
       faults: async (s) => {
         // An owner and a relay are cut off together, with publishes and listeners on both sides; when they come back the
         // owner does not know yet that its keys were taken.
@@ -100,7 +100,7 @@
             { length: 12 },
             (_, j) =>
               new Sender(
-                s.world,
+                s.clientContext,
                 `more${i}-${j}`,
                 any(s, s.site.domains),
                 s.crowd.topics.filter((_, t) => t % 12 === j),
@@ -109,7 +109,7 @@
           );
           for (const m of more) m.start();
           await pause(s, 4_500);
-          s.sim.heal();
+          s.sim.healAll();
           await pause(s, 3_500);
           for (const m of more) m.stop();
         }
@@ -119,7 +119,7 @@
   [
     'link',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         // The links between one relay and two machines with disks break and nothing else: what goes that way must go round.
         const r = any(
@@ -129,7 +129,7 @@
         const far = [...s.disks].sort(() => s.random.next() - 0.5).slice(0, 2);
         s.note(`the links of ${r.name} to ${far.map((x) => x.name).join(' and ')} break`);
         for (const o of far) s.sim.cut(r.name, o.name);
-        const seen = s.world.journal.seen;
+        const seen = s.clientContext.journal.seen;
         const from = seen.length;
         await pause(s, 16_000);
         const a = seen
@@ -141,7 +141,7 @@
         s.note(`accepted ${ok} of ${a.length} through ${r.name} meanwhile`);
         if (a.length < 15 || ok < a.length * 0.95)
           throw new Error(`only ${ok} of ${a.length} publishes through ${r.name} were accepted`);
-        s.sim.heal();
+        s.sim.healAll();
         await pause(s, 5_000);
       },
     },
@@ -149,16 +149,16 @@
   [
     'half-open',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         // Streams die without a word to either side, while check-ins on other connections go on: nobody may miss a word.
         for (let i = 0; i < 3; i++) {
           const deaf = s.crowd.consumers.filter(() => s.random.next() < 0.4);
           s.note(`the streams of ${deaf.length} consumers are half-open`);
-          for (const c of deaf) s.sim.deaf.add(c.name);
+          for (const c of deaf) s.sim.halfOpenConsumers.add(c.name);
           await pause(s, 8_000);
         }
-        const noticed = s.world.journal.seen.filter((x) => x.k === 'conn.end' && x.why === 'dead stream').length;
+        const noticed = s.clientContext.journal.seen.filter((x) => x.k === 'conn.end' && x.why === 'dead stream').length;
         s.note(`${noticed} were noticed`);
         if (noticed < 15) throw new Error(`only ${noticed} dead streams were noticed`);
       },
@@ -167,12 +167,12 @@
   [
     'thin-links',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (s) => {
         // Two consumers whose links can't keep up with bulky messages: they are retired, nobody else is held up.
         await s.crowd.operator.submit(
           'bulk',
-          configOf(s.site, [
+          fleetConfigOf(s.site, [
             {
               name: 'bulk',
               topics: ['bulk/*'],
@@ -184,27 +184,27 @@
           ]),
           true,
         );
-        s.sim.thin.set('thin0', 40_000);
-        s.sim.thin.set('thin1', 4_000_000);
+        s.sim.linkBytesPerS.set('thin0', 40_000);
+        s.sim.linkBytesPerS.set('thin1', 4_000_000);
         const cs = ['thin0', 'thin1', 'wide0'].map(
-          (n) => new Consumer(s.world, n, any(s, s.site.domains), ['bulk/0', 'r/0', 'u/0']),
+          (n) => new Consumer(s.clientContext, n, any(s, s.site.domains), ['bulk/0', 'r/0', 'u/0']),
         );
         for (const c of cs) c.start();
         const snd = [
-          new Sender(s.world, 'bulky', s.site.domains[0]!, ['bulk/0'], 400, { bodyBytes: 100_000 }),
-          new Sender(s.world, 'chatty', s.site.domains[0]!, ['bulk/0'], 12, { bodyBytes: 20_000 }),
+          new Sender(s.clientContext, 'bulky', s.site.domains[0]!, ['bulk/0'], 400, { bodyBytes: 100_000 }),
+          new Sender(s.clientContext, 'chatty', s.site.domains[0]!, ['bulk/0'], 12, { bodyBytes: 20_000 }),
         ];
         await pause(s, 1_500);
         for (const x of snd) x.start();
         await pause(s, 12_000);
         for (const x of snd) x.stop();
-        s.sim.thin.clear();
-        for (const c of cs) c.drop();
+        s.sim.linkBytesPerS.clear();
+        for (const c of cs) c.disconnect();
         await pause(s, 5_000);
         const retired = s.relays.reduce((n, r) => n + (r.kernel?.counters.get('conn.closed.saturated') ?? 0), 0);
         if (!retired) throw new Error('no conn was saturated: the fault was not caused');
         if (
-          s.world.journal.seen.some(
+          s.clientContext.journal.seen.some(
             (x) => x.k === 'conn.end' && x.consumer !== 'thin0' && (x.why === 'saturated' || x.why === 'unknown_conn'),
           )
         )
--- a/packages/trial/src/faults/operator-faults.ts
+++ b/packages/trial/src/faults/operator-faults.ts
@@ -2,8 +2,8 @@
 import { isInPlannedRestart } from '@harecross/control';
 import { SESSION, SHARD } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
-import { Marker, Operator } from '../actors.js';
-import { configOf, type Scenario } from '../scenario.js';
+import { MarkerChecker, Operator } from '../simulated-clients.js';
+import { fleetConfigOf, type Scenario } from '../scenario.js';
 import { any, pause, SIX_DISKS } from './common.js';
 
 /** A machine knows of its planned restart this long after its time at the latest: the controller's period and one agreed change. */
@@ -17,7 +17,7 @@
     {
       faults: async (s) => {
         const plus = (n: number) =>
-          configOf(s.site, [
+          fleetConfigOf(s.site, [
             { name: `extra${n}`, topics: [`x${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 },
           ]);
         const op = s.crowd.operator;
@@ -44,9 +44,9 @@
   [
     'remove-family',
     {
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
-        const all = configOf(s.site).families;
+        const all = fleetConfigOf(s.site).families;
         const op = s.crowd.operator;
         await op.submit('remove', { families: all.slice(0, 1) }, true);
         await pause(s, 9_000);
@@ -58,10 +58,10 @@
   [
     'cut-config',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (s) => {
         // Some nodes are cut off while the configuration changes: they must stop before they serve by an old one.
-        const base = configOf(s.site);
+        const base = fleetConfigOf(s.site);
         for (let i = 0; i < 2; i++) {
           const off = [any(s, s.stores), any(s, s.relays), any(s, s.relays)];
           s.note(`cut off ${off.map((n) => n.name).join(' ')}`);
@@ -74,7 +74,7 @@
             true,
           );
           await pause(s, 6_000);
-          s.sim.heal();
+          s.sim.healAll();
           await pause(s, 4_000);
         }
       },
@@ -83,12 +83,12 @@
   [
     'marks',
     {
-      forMs: 45_000,
+      faultPhaseMs: 45_000,
       faults: async (s) => {
         // Each configuration has a marker topic of its own; every access node is asked for the last two all the time, while
         // configurations change and machines restart, are cut off and thaw.
-        const m = new Marker(s.world);
-        const base = configOf(s.site);
+        const m = new MarkerChecker(s.clientContext);
+        const base = fleetConfigOf(s.site);
         const submit = async (n: number): Promise<void> => {
           m.at = n;
           const mark = {
@@ -116,7 +116,7 @@
           } else if (x < 0.9) {
             s.note(`cut off ${v.name}`);
             for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.random.next() < 0.7);
-            void pause(s, 3_500).then(() => s.sim.heal());
+            void pause(s, 3_500).then(() => s.sim.healAll());
           }
           await pause(s, 300 * s.random.next());
           await submit(n);
@@ -125,7 +125,7 @@
         m.stop();
         await s.crowd.operator.submit('no marks', base, true);
         await pause(s, 4_000);
-        const asked = s.world.journal.seen.filter((x) => x.k === 'mark').length;
+        const asked = s.clientContext.journal.seen.filter((x) => x.k === 'mark').length;
         s.note(`${asked} answers on markers`);
         if (asked < 4_000) throw new Error(`only ${asked} answers on markers: too few to see a quarter of a second`);
       },
@@ -134,12 +134,12 @@
   [
     'revisions',
     {
-      forMs: 50_000,
+      faultPhaseMs: 50_000,
       faults: async (s) => {
         // Two operators at once, each with revisions of its own, resent and late, some invalid; families are renamed, cut in two and put
         // inside one another under traffic. Markers show by which configuration every access node serves, while machines have trouble.
-        const m = new Marker(s.world);
-        const base = configOf(s.site).families;
+        const m = new MarkerChecker(s.clientContext);
+        const base = fleetConfigOf(s.site).families;
         const [r, u] = [base[0]!, base[1]!];
         const shapes: FleetConfig['families'][] = [
           base,
@@ -155,7 +155,7 @@
           ],
         ];
         let n = 0;
-        const operators = [s.crowd.operator, new Operator(s.world, 'other')];
+        const operators = [s.crowd.operator, new Operator(s.clientContext, 'other')];
         const order = (i: number): Promise<unknown> => {
           const mark = ++n;
           const revision = mark * 3 + i;
@@ -202,7 +202,7 @@
           } else if (x < 0.9) {
             s.note(`cut off ${v.name}`);
             for (const o of s.sim.nodes.values()) if (o !== v) s.sim.cut(v.name, o.name, s.random.next() < 0.7);
-            void pause(s, 3_500).then(() => s.sim.heal());
+            void pause(s, 3_500).then(() => s.sim.healAll());
           }
           await pause(s, 300 * s.random.next());
           await Promise.all([order(0), pause(s, 600 * s.random.next()).then(() => order(1))]);
@@ -210,7 +210,7 @@
         }
         m.stop();
         await pause(s, 4_000);
-        const told = s.world.journal.seen.filter((x) => x.k === 'cfg.answer');
+        const told = s.clientContext.journal.seen.filter((x) => x.k === 'cfg.answer');
         const of = (out: string): number => told.filter((x) => x.k === 'cfg.answer' && x.out === out).length;
         s.note(`${of('taken')} taken, ${of('overtaken')} overtaken, ${of('invalid')} invalid`);
         if (of('taken') < 8 || of('overtaken') + of('invalid') < 3) throw new Error('too few of each kind');
@@ -220,11 +220,11 @@
   [
     'late-change',
     {
-      forMs: 25_000,
+      faultPhaseMs: 25_000,
       faults: async (s) => {
         const op = s.crowd.operator;
         const plus = (n: string) =>
-          configOf(s.site, [{ name: n, topics: [`${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
+          fleetConfigOf(s.site, [{ name: n, topics: [`${n}/*`], urgency: 'routine', patienceMs: 2_000, memoryS: 30 }]);
         for (let i = 0; i < 4; i++) {
           await op.submit(`c${i}`, plus(`n${i}`), true);
           await op.read();
@@ -247,7 +247,7 @@
     'empty',
     {
       site: SIX_DISKS,
-      forMs: 45_000,
+      faultPhaseMs: 45_000,
       faults: async (s) => {
         // A disk is emptied while a machine dies and comes back; copies never get fewer.
         const op = s.crowd.operator;
@@ -305,7 +305,7 @@
     'calendar',
     {
       site: SIX_DISKS,
-      forMs: 60_000,
+      faultPhaseMs: 60_000,
       faults: async (s) => {
         // A restart, an emptying and a new machine at known times; the keeper's machine dies in between.
         const op = s.crowd.operator;
@@ -324,7 +324,7 @@
           moves: [{ id: 'p', kind: 'empty', node: e.config.peer, from: 1, until: 2 }],
         });
         if (bad.body.error?.tag !== 'invalid_config') throw new Error('a move in the past was taken');
-        const p = await op.plan('plan', configOf(s.site), moves);
+        const p = await op.plan('plan', fleetConfigOf(s.site), moves);
         if (p.status !== 200) throw new Error(JSON.stringify(p.body));
         await s.sim.start(a);
         // It knows of its restart soon after that began, and its last client is sent away at the end of the spread.
@@ -359,13 +359,13 @@
     'placed',
     {
       site: SIX_DISKS,
-      forMs: 30_000,
+      faultPhaseMs: 30_000,
       faults: async (s) => {
         // Copies are placed by hand on three machines; one of them dies for good meanwhile and comes back.
         const op = s.crowd.operator;
         const on = s.stores.map((n) => n.config.peer);
         const config = {
-          ...configOf(s.site),
+          ...fleetConfigOf(s.site),
           placement: Array.from({ length: SHARD.shardCount }, (_, shard) => ({ shard, nodes: on })),
         };
         const r = await op.submit('placed', config, true);
--- a/packages/trial/src/weather.ts
+++ b/packages/trial/src/fleet-conditions.ts
@@ -1,6 +1,6 @@
-import type { Seen } from './journal.js';
+import type { JournalEvent } from './journal.js';
 
-type Weather = Extract<Seen, { k: 'weather' }>;
+type Weather = Extract<JournalEvent, { k: 'weather' }>;
 
 /** Between two looks of the stage at its fleet; what it did in between is known this late. */
 const GRAIN_MS = 150;
@@ -11,11 +11,11 @@
  * @example
  * new Sky(seen).well('10.0.0.4:7000', t - 3_000, t);
  */
-export class Sky {
+export class FleetConditions {
   private ws: Weather[] = [];
   private spans = new Map<string, [number, number][]>();
 
-  constructor(seen: readonly Seen[]) {
+  constructor(seen: readonly JournalEvent[]) {
     const open = new Map<string, number>();
     for (const s of seen) {
       if (s.k !== 'weather') continue;
@@ -32,12 +32,12 @@
   }
 
   /** Whether a node was well all the time from a to b. */
-  well(node: string, a: number, b: number): boolean {
+  wasHealthy(node: string, a: number, b: number): boolean {
     return this.spans.get(node)?.some(([from, to]) => from <= a - GRAIN_MS && to >= b + GRAIN_MS) ?? false;
   }
 
   /** The times at which some node was well again. */
-  returns(): number[] {
+  recoveryTimes(): number[] {
     return [...this.spans.values()].flatMap((l) => l.slice(1).map(([from]) => from));
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Whether every shard could be served all the time from a to b. */
-  able(a: number, b: number): boolean {
+  shardsAvailable(a: number, b: number): boolean {
     const ws = this.over(a, b);
     return ws.length > 0 && ws[0]!.t <= a && ws.every((w) => w.able);
   }
@@ -64,22 +64,22 @@
   }
 
   /** Whether some caller's link was thin or dead at some time from a to b. */
-  anyPoor(a: number, b: number): boolean {
+  anyPoorLink(a: number, b: number): boolean {
     return this.over(a, b).some((w) => w.poor.length > 0);
   }
 
   /** Whether a consumer had a thin link at some time from a to b. */
-  poor(consumer: string, a: number, b: number): boolean {
+  hadPoorLink(consumer: string, a: number, b: number): boolean {
     return this.over(a, b).some((w) => w.poor.includes(consumer));
   }
 
   /** Whether some node was up and not well at some time from a to b. */
-  ailing(a: number, b: number): boolean {
+  anyUnhealthy(a: number, b: number): boolean {
     return this.over(a, b).some((w) => w.ailing.length > 0);
   }
 
   /** The last time up to t at which the set of well nodes changed. */
-  changedAt(t: number): number {
+  lastHealthChange(t: number): number {
     let last = -Infinity;
     let was = '';
     for (const w of this.ws) {
--- a/packages/trial/src/hot.ts
+++ b/packages/trial/src/hot.ts
@@ -9,7 +9,7 @@
 import { Agent, request } from 'undici';
 import yargs from 'yargs';
 import type { Json } from './json.js';
-import { freePorts } from './fleet.js';
+import { freePorts } from './process-fleet.js';
 
 const a = yargs(process.argv.slice(2))
   .scriptName('bench:hot')
--- a/packages/trial/src/hunt.ts
+++ b/packages/trial/src/hunt.ts
@@ -2,11 +2,11 @@
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import yargs from 'yargs';
-import type { Run } from './scenario.js';
-import { playDay } from './trouble/day.js';
-import { DEPLOYMENTS, lightOf } from './trouble/deployment.js';
-import { drawSchedule, KIND_NAMES, readSchedule, showSchedule, type Trouble } from './trouble/schedule.js';
-import { shrink } from './trouble/shrink.js';
+import type { ScenarioResult } from './scenario.js';
+import { runFaultSchedule } from './trouble/fault-run.js';
+import { DEPLOYMENTS, withFewClients } from './trouble/deployment.js';
+import { drawSchedule, FAULT_KINDS, parseSchedule, formatSchedule, type ScheduledFault } from './trouble/schedule.js';
+import { shrinkSchedule } from './trouble/shrink.js';
 
 const options = yargs(process.argv.slice(2))
   .scriptName('hunt')
@@ -19,7 +19,7 @@
   .option('from', { type: 'number', default: 1, describe: 'first seed' })
   .option('seeds', { type: 'number', default: 10 })
   .option('troubles', { type: 'number', default: 6, describe: 'troubles of a day' })
-  .option('kinds', { type: 'string', describe: `only these kinds: ${KIND_NAMES.join(', ')}` })
+  .option('kinds', { type: 'string', describe: `only these kinds: ${FAULT_KINDS.join(', ')}` })
   .option('schedule', { type: 'string', describe: 'these troubles, as a failing day prints them' })
   .option('shrink', { type: 'boolean', default: true })
   .option('light', { type: 'boolean', default: false, describe: 'few clients and relays' })
@@ -33,44 +33,44 @@
 /** Violations of a failing day that are printed. */
 const SHOWN = 6;
 
-function troublesOf(seed: number): Trouble[] {
-  if (options.schedule !== undefined) return readSchedule(options.schedule);
+function troublesOf(seed: number): ScheduledFault[] {
+  if (options.schedule !== undefined) return parseSchedule(options.schedule);
   const only = options.kinds?.split(',');
-  return drawSchedule(seed, options.troubles, only && KIND_NAMES.filter((name) => only.includes(name)));
+  return drawSchedule(seed, options.troubles, only && FAULT_KINDS.filter((name) => only.includes(name)));
 }
 
-function rulesOf(run: Run): string {
+function rulesOf(run: ScenarioResult): string {
   const counts = new Map<string, number>();
-  for (const { rule } of run.bad) counts.set(rule, (counts.get(rule) ?? 0) + 1);
+  for (const { rule } of run.violations) counts.set(rule, (counts.get(rule) ?? 0) + 1);
   return [...counts].map(([rule, count]) => `${rule} ${count}`).join(', ');
 }
 
 async function oneDay(name: string, seed: number): Promise<boolean> {
   const full = DEPLOYMENTS.get(name)!;
-  const deployment = options.light ? lightOf(full) : full;
+  const deployment = options.light ? withFewClients(full) : full;
   const troubles = troublesOf(seed);
   const began = performance.now();
-  const run = await playDay(seed, deployment, troubles, options.log);
+  const run = await runFaultSchedule(seed, deployment, troubles, options.log);
   const took = ((performance.now() - began) / 1000).toFixed(1);
   const accepted = run.seen.filter((s) => s.k === 'pub.answer' && s.out === 'accepted').length;
   const tried = run.seen.filter((s) => s.k === 'pub.try').length;
-  const verdict = run.bad.length ? `BAD ${rulesOf(run)}` : 'clean';
+  const verdict = run.violations.length ? `BAD ${rulesOf(run)}` : 'clean';
   const out = [`${name} seed ${seed}: ${accepted}/${tried} accepted, ${took} s: ${verdict}`];
-  if (run.bad.length || options.notes) {
-    out.push(`  ${showSchedule(troubles)}`, ...run.notes.map((n) => `  ${n}`));
-    out.push(...run.bad.slice(0, SHOWN).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
+  if (run.violations.length || options.notes) {
+    out.push(`  ${formatSchedule(troubles)}`, ...run.notes.map((n) => `  ${n}`));
+    out.push(...run.violations.slice(0, SHOWN).map((v) => `  ${v.rule} at ${v.t}: ${v.what}`));
   }
   process.stdout.write(`${out.join('\n')}\n`);
-  if (run.bad.length && options.shrink && troubles.length > 1) {
-    const { rule } = run.bad[0]!;
-    const fewest = await shrink(troubles, async (some) =>
-      (await playDay(seed, deployment, some)).bad.some((v) => v.rule === rule),
+  if (run.violations.length && options.shrink && troubles.length > 1) {
+    const { rule } = run.violations[0]!;
+    const fewest = await shrinkSchedule(troubles, async (some) =>
+      (await runFaultSchedule(seed, deployment, some)).violations.some((v) => v.rule === rule),
     );
     process.stdout.write(
-      `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${showSchedule(fewest)}'\n`,
+      `  fewest for ${rule}: npm run hunt -- ${options.light ? '--light ' : ''}--on ${name} --from ${seed} --seeds 1 --schedule '${formatSchedule(fewest)}'\n`,
     );
   }
-  return run.bad.length === 0;
+  return run.violations.length === 0;
 }
 
 /** Plays one day in a process of its own; gives whether it was clean. */
--- a/packages/trial/src/journal.ts
+++ b/packages/trial/src/journal.ts
@@ -1,6 +1,6 @@
 import type { Role } from '@harecross/kernel';
 /** A holding as a node tells it: its length now, the most it ever had, and its bound. */
-export interface HoldingSeen {
+export interface CollectionUsage {
   name: string;
   length: number;
   most: number;
@@ -11,7 +11,7 @@
  * What callers and operators saw, and what the stage did to the fleet: the oracle judges by this alone.
  * Times are ms of one true clock; nodes are named by their client address.
  */
-export type Seen =
+export type JournalEvent =
   /** `line`: the connection of a sender that has several on the way at once, on which visits arrive in order. */
   | {
       k: 'pub.try';
@@ -116,7 +116,7 @@
       node: string;
       version?: number;
       fresh: boolean;
-      holdings?: HoldingSeen[];
+      holdings?: CollectionUsage[];
       kept?: number;
     }
   /** A node that did not answer a look. */
@@ -146,9 +146,9 @@
  * journal.add({ k: 'closing' });
  */
 export class Journal {
-  readonly seen: Seen[] = [];
+  readonly seen: JournalEvent[] = [];
   constructor(private now: () => number) {}
-  add(s: Seen extends infer S ? (S extends Seen ? Omit<S, 't'> : never) : never): void {
-    this.seen.push({ ...s, t: this.now() } as Seen);
+  add(s: JournalEvent extends infer S ? (S extends JournalEvent ? Omit<S, 't'> : never) : never): void {
+    this.seen.push({ ...s, t: this.now() } as JournalEvent);
   }
 }
--- a/packages/trial/src/linearizable.ts
+++ b/packages/trial/src/linearizable.ts
@@ -8,7 +8,7 @@
  */
 
 /** What a node answered to an order. `conflict` and `invalid` are refusals, the others name what is in force. */
-export type OrderAnswer =
+export type SubmitResponse =
   | { outcome: 'accepted' | 'overtaken' | 'forgotten'; returned: number; version: number; revision: number }
   | { outcome: 'conflict' | 'invalid'; returned: number };
 
@@ -21,13 +21,13 @@
       /** Equal for equal configurations alone. */
       content: string;
       /** Missing where there was no clear answer. */
-      answer?: OrderAnswer;
+      answer?: SubmitResponse;
       /** Without a clear answer: it does not come into force after this. */
       expires?: number;
     }
   | { kind: 'read'; invoked: number; returned: number; version: number; revision?: number; content?: string };
 
-export type Explanation =
+export type LinearizationResult =
   /** `visited`: states of the search, what the judgement cost. */
   | { tag: 'explained'; order: string[]; visited: number }
   /** The longest run of calls that could be explained, and the calls that then had to be and could not. */
@@ -133,7 +133,7 @@
 
   constructor(private readonly steps: Step[]) {}
 
-  explain(state: RegisterState, done: boolean[], now: number, order: string[]): string[] | undefined {
+  findLinearization(state: RegisterState, done: boolean[], now: number, order: string[]): string[] | undefined {
     this.visited++;
     const left = this.steps.filter((step) => !done[step.index]);
     const required = left.filter((step) => step.required);
@@ -148,7 +148,7 @@
     const take = (step: Step, next: RegisterState): string[] | undefined => {
       const doneThen = done.slice();
       doneThen[step.index] = true;
-      return this.explain(next, doneThen, Math.max(now, step.from), [...order, step.name]);
+      return this.findLinearization(next, doneThen, Math.max(now, step.from), [...order, step.name]);
     };
     const sure = possible.find((step) => step.next(state) === state && this.harmless(step, left));
     if (sure) return this.noted(key, take(sure, state));
@@ -189,10 +189,10 @@
  * @example
  * explain([{ kind: 'read', invoked: 0, returned: 9, version: 1 }], 1).tag // 'explained'
  */
-export function explain(calls: RegisterCall[], version: number): Explanation {
+export function explain(calls: RegisterCall[], version: number): LinearizationResult {
   const search = new Search(stepsOf(calls));
   const start = { version, revision: NO_REVISION, accepted: new Map<number, string>() };
-  const order = search.explain(start, [], -Infinity, []);
+  const order = search.findLinearization(start, [], -Infinity, []);
   const { longest, stuck, visited } = search;
   return order ? { tag: 'explained', order, visited } : { tag: 'unexplained', order: longest, stuck, visited };
 }
--- a/packages/trial/src/link.ts
+++ b/packages/trial/src/link-proxy.ts
@@ -16,13 +16,13 @@
  * @example
  * const l = await Link.before('127.0.0.1:7004'); l.reset(0.97, random);
  */
-export class Link {
+export class LinkProxy {
   address = '';
   private pairs = new Set<Pair>();
   private server!: Server;
 
-  static async before(target: string): Promise<Link> {
-    const l = new Link();
+  static async start(target: string): Promise<LinkProxy> {
+    const l = new LinkProxy();
     l.server = createServer({ noDelay: true }, (caller) => l.join(caller, target));
     await new Promise<void>((res, rej) => {
       l.server.on('error', rej);
@@ -102,7 +102,7 @@
     return ps.length;
   }
   /** So many bytes a second, each way. */
-  thin(share: number, random: RandomSource, rate: number | undefined): number {
+  limitRate(share: number, random: RandomSource, rate: number | undefined): number {
     const ps = this.some(share, random);
     for (const p of ps) p.rate = rate;
     return ps.length;
--- a/packages/trial/src/model-calls.ts
+++ b/packages/trial/src/model-calls.ts
@@ -17,7 +17,7 @@
   type TransportEnvironment,
   type RandomSource,
 } from '@harecross/kernel';
-import { seeded } from './sim.js';
+import { seededRandom } from './sim.js';
 
 const CALLER = '10.0.0.1:7100';
 const SERVER = '10.0.0.2:7100';
@@ -34,7 +34,7 @@
 export interface CallsPlan {
   calls: number;
   /** Calls are made, and troubles strike, within this time. */
-  forMs: number;
+  durationMs: number;
   resets: number;
   silences: number;
   serverRestarts: number;
@@ -42,7 +42,7 @@
 }
 export const CALLS_PLAN: CallsPlan = {
   calls: 60,
-  forMs: 4_000,
+  durationMs: 4_000,
   resets: 4,
   silences: 4,
   serverRestarts: 2,
@@ -51,10 +51,10 @@
 
 export interface CallsResult {
   /** Rules that were broken, with what broke them. */
-  bad: string[];
+  violations: string[];
   events: number;
   /** Calls by what became of them. */
-  ended: Map<string, number>;
+  outcomes: Map<string, number>;
 }
 
 interface Event {
@@ -265,7 +265,7 @@
     seed: number,
     private plan: CallsPlan,
   ) {
-    this.random = seeded(seed);
+    this.random = seededRandom(seed);
   }
 
   /** The surroundings of a process; once it has ended nothing of it runs any more. */
@@ -412,7 +412,7 @@
   private schedule(): void {
     const { plan, random, time } = this;
     const often = (n: number, run: () => void): void => {
-      for (let i = 0; i < n; i++) time.after(random.next() * plan.forMs, run);
+      for (let i = 0; i < n; i++) time.after(random.next() * plan.durationMs, run);
     };
     // Calls come in bursts, so that some are under way when trouble strikes.
     often(plan.calls / 4, () => {
@@ -434,14 +434,14 @@
     this.startServer();
     this.startCaller();
     this.schedule();
-    await this.time.run(this.plan.forMs + 10_000);
+    await this.time.run(this.plan.durationMs + 10_000);
     const ended = new Map<string, number>();
     for (const m of this.made) {
       if (m.endings.length > 1 || (m.endings.length === 0 && !m.orphan))
         this.bad.push(`call ${m.id} ended ${m.endings.length} times: ${m.endings.join(', ')}`);
       for (const how of m.endings) ended.set(how, (ended.get(how) ?? 0) + 1);
     }
-    return { bad: this.bad, events: this.time.events, ended };
+    return { violations: this.bad, events: this.time.events, outcomes: ended };
   }
 }
 
@@ -457,6 +457,6 @@
  * @example
  * (await playCalls(7)).bad; // []
  */
-export function playCalls(seed: number, plan: CallsPlan = CALLS_PLAN): Promise<CallsResult> {
+export function simulateCalls(seed: number, plan: CallsPlan = CALLS_PLAN): Promise<CallsResult> {
   return new World(seed, plan).play();
 }
--- a/packages/trial/src/model-key.ts
+++ b/packages/trial/src/model-key.ts
@@ -13,9 +13,9 @@
 import { pathToFileURL } from 'node:url';
 import type { Json } from './json.js';
 
-export interface KeyPlan {
+export interface ShardPlan {
   /** Times that some node takes the key, in all. */
-  takes: number;
+  takeovers: number;
   /** Messages of one sender, and how often any of them is sent, in all. */
   messages: number;
   sends: number;
@@ -25,19 +25,19 @@
   restarts: number;
   /** The copy at `a` is replaced by one at `d` in one step: `a` has not heard of it, the others have. Then `a` and `c` take the key. */
   replacement?: boolean;
-  planted?:
+  injectedFault?:
     | 'takes lower fences'
     | 'forgets its promise'
     | 'answers before it has synced'
     | 'hides its history'
     | 'heeds no copies before';
-  mostStates?: number;
+  maxStates?: number;
 }
-export interface KeyResult {
+export interface ShardResult {
   states: number;
   runs: number;
-  whole: boolean;
-  bad?: { what: string; path: string[] };
+  complete: boolean;
+  violation?: { what: string; path: string[] };
 }
 
 /** Three with copies; the fourth has one where a copy is replaced. */
@@ -102,13 +102,13 @@
   private refused = new Set<number>();
   bad?: string;
 
-  constructor(private plan: KeyPlan) {
+  constructor(private plan: ShardPlan) {
     NODES.forEach((_, i) => this.begin(i));
   }
 
   private valueAt(node: string): unknown {
     if (!this.plan.replacement || node === 'a') return VALUE;
-    return replacedValue(this.plan.planted === 'heeds no copies before' ? undefined : COPIES);
+    return replacedValue(this.plan.injectedFault === 'heeds no copies before' ? undefined : COPIES);
   }
 
   /** Whether a node takes the key in this plan. */
@@ -230,7 +230,7 @@
   }
 
   private arrives(a: Ask, answer: (x: unknown) => void): void {
-    const { planted } = this.plan;
+    const { injectedFault: planted } = this.plan;
     const c = this.disks[a.to]!.get(SHARD);
     if (planted === 'takes lower fences' && a.m === 'Append' && c && a.body.fence < c.promised)
       c.promised = a.body.fence;
@@ -341,7 +341,7 @@
       });
     NODES.forEach((n, i) => {
       const { phase: state } = this.key1(i);
-      if (this.took < plan.takes && state !== 'taking' && state !== 'confirming' && this.takes(n))
+      if (this.took < plan.takeovers && state !== 'taking' && state !== 'confirming' && this.takes(n))
         out.push({
           label: `${n} takes the key`,
           go: () => {
@@ -362,8 +362,8 @@
           go: () => {
             this.restarted++;
             const c = this.disks[i]!.get(SHARD);
-            if (c && plan.planted === 'forgets its promise') c.promised = '';
-            if (c && plan.planted === 'answers before it has synced') c.entries.pop();
+            if (c && plan.injectedFault === 'forgets its promise') c.promised = '';
+            if (c && plan.injectedFault === 'answers before it has synced') c.entries.pop();
             this.asks = this.asks.filter((a) => a.from !== i);
             this.said[i] = { fence: '', lines: new Set() };
             this.disks[i] = structuredClone(this.disks[i]!);
@@ -414,13 +414,13 @@
  * @example
  * (await exploreKey(KEY_PLANS.get('handover')!)).states
  */
-export async function exploreKey(plan: KeyPlan): Promise<KeyResult> {
+export async function exploreShard(plan: ShardPlan): Promise<ShardResult> {
   const seen = new Set<string>();
   let runs = 0;
-  const most = plan.mostStates ?? Infinity;
+  const most = plan.maxStates ?? Infinity;
   const stack: number[][] = [[]];
   while (stack.length) {
-    if (seen.size >= most) return { states: seen.size, runs, whole: false };
+    if (seen.size >= most) return { states: seen.size, runs, complete: false };
     const path = stack.pop()!;
     const w = new World(plan);
     runs++;
@@ -434,7 +434,7 @@
     };
     for (const i of path) await step(i);
     for (;;) {
-      if (w.bad) return { states: seen.size, runs, whole: false, bad: { what: w.bad, path: labels } };
+      if (w.bad) return { states: seen.size, runs, complete: false, violation: { what: w.bad, path: labels } };
       const key = w.key();
       if (seen.has(key)) break;
       seen.add(key);
@@ -445,32 +445,32 @@
       await step(0);
     }
   }
-  return { states: seen.size, runs, whole: true };
+  return { states: seen.size, runs, complete: true };
 }
 
-export const KEY_PLANS = new Map<string, KeyPlan>([
+export const SHARD_PLANS = new Map<string, ShardPlan>([
   // The key goes from one owner to another while a message is on its way.
-  ['handover', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 0 }],
+  ['handover', { takeovers: 2, messages: 1, sends: 1, losses: 0, restarts: 0 }],
   // One owner, two messages of a sender, with a visit or an answer lost.
-  ['lossy', { takes: 1, messages: 2, sends: 2, losses: 1, restarts: 0 }],
+  ['lossy', { takeovers: 1, messages: 2, sends: 2, losses: 1, restarts: 0 }],
   // A copy is replaced in one step while an owner of the generation before, which has not heard of it, has the key or takes it.
-  ['replacement', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 0, replacement: true }],
-  ['replacement-again', { takes: 3, messages: 1, sends: 2, losses: 0, restarts: 0, replacement: true }],
-  ['handover-restart', { takes: 2, messages: 1, sends: 1, losses: 0, restarts: 1 }],
-  ['handover-resend', { takes: 2, messages: 2, sends: 3, losses: 1, restarts: 0 }],
+  ['replacement', { takeovers: 2, messages: 1, sends: 1, losses: 0, restarts: 0, replacement: true }],
+  ['replacement-again', { takeovers: 3, messages: 1, sends: 2, losses: 0, restarts: 0, replacement: true }],
+  ['handover-restart', { takeovers: 2, messages: 1, sends: 1, losses: 0, restarts: 1 }],
+  ['handover-resend', { takeovers: 2, messages: 2, sends: 3, losses: 1, restarts: 0 }],
 ]);
 
 if (process.argv[1] && import.meta.url === pathToFileURL(process.argv[1]).href) {
   const [name, most] = process.argv.slice(2);
-  for (const [n, plan] of KEY_PLANS) {
+  for (const [n, plan] of SHARD_PLANS) {
     if (name !== undefined && n !== name) continue;
     const from = Date.now();
-    const r = await exploreKey({ ...plan, mostStates: most === undefined ? 1_000_000 : Number(most) });
-    const bad = r.bad ? `\nBAD: ${r.bad.what}\n  ${r.bad.path.join('\n  ')}` : '';
-    const whole = r.whole ? 'all of them' : 'not all';
+    const r = await exploreShard({ ...plan, maxStates: most === undefined ? 1_000_000 : Number(most) });
+    const bad = r.violation ? `\nBAD: ${r.violation.what}\n  ${r.violation.path.join('\n  ')}` : '';
+    const whole = r.complete ? 'all of them' : 'not all';
     process.stdout.write(
       `${n}: ${r.states} states, ${r.runs} runs, ${whole}, ${((Date.now() - from) / 1000).toFixed(1)} s${bad}\n`,
     );
-    if (r.bad) process.exitCode = 1;
+    if (r.violation) process.exitCode = 1;
   }
 }
--- a/packages/trial/src/model.ts
+++ b/packages/trial/src/model.ts
@@ -6,7 +6,7 @@
 import type { Json } from './json.js';
 
 /** A change that a proposer makes: the seats it asks for, if any; each change leaves its name in the value. */
-export interface Change {
+export interface ModelChange {
   name: string;
   seats?: (s: string[]) => string[];
 }
@@ -15,7 +15,7 @@
   /** Seats that are there; the value begins with the first three. */
   seats: number;
   /** For each proposer its changes, one after another. */
-  proposers: Change[][];
+  proposers: ModelChange[][];
   /** Messages that may be lost in one run. */
   losses: number;
   /** Times a proposer may begin a change again. */
@@ -23,20 +23,20 @@
   /** Times a seat's process may end and begin anew, with what it had saved. */
   restarts: number;
   /** A fault planted into the seats, to see that it is found. */
-  planted?:
+  injectedFault?:
     | 'accepts below its promise'
     | 'forgets its promise'
     | 'hides what it accepted'
     | 'comes back older'
     | 'heeds no voters before';
   /** The search ends after this many states. */
-  mostStates?: number;
+  maxStates?: number;
 }
 export interface ModelResult {
   states: number;
   runs: number;
-  whole: boolean;
-  bad?: { what: string; path: string[] };
+  complete: boolean;
+  violation?: { what: string; path: string[] };
 }
 
 type Handler = (b: Json) => unknown;
@@ -118,7 +118,7 @@
     });
   }
 
-  private async work(i: number, register: ConsensusRegister, changes: Change[]): Promise<void> {
+  private async work(i: number, register: ConsensusRegister, changes: ModelChange[]): Promise<void> {
     for (const c of changes) {
       try {
         await register.change((v) => ({
@@ -159,7 +159,7 @@
   /** The seat's real handlers over what its disk has. */
   private seat(i: number): void {
     const disk = diskOf(i);
-    const { planted } = this.plan;
+    const { injectedFault: planted } = this.plan;
     const st = {
       get: (k: string) => (k === 'disk' ? disk : 'model'),
       set: () => undefined,
@@ -229,7 +229,7 @@
 
   /** Planted: a change is taken as accepted by the voters that go with it, without asking them. */
   private ignored(m: string, body: { disk: string; value?: string }): boolean {
-    if (this.plan.planted !== 'heeds no voters before' || m !== 'RegAccept') return false;
+    if (this.plan.injectedFault !== 'heeds no voters before' || m !== 'RegAccept') return false;
     return !deserializeValue(body.value!).voters.includes(body.disk);
   }
 
@@ -319,7 +319,7 @@
           label: `${diskOf(i)} restarts`,
           go: () => {
             this.restarted++;
-            if (this.plan.planted === 'comes back older')
+            if (this.plan.injectedFault === 'comes back older')
               this.saved[i] = i < 3 ? { ...this.first } : { promised: '', ballot: '', value: undefined };
             this.seat(i);
           },
@@ -335,7 +335,7 @@
    */
   private arrives(e: Extract<Event, { t: 'ask' }>, answer: (x: unknown) => void): void {
     const h = this.handlers[Number(e.disk.slice(1))]!.get(e.m)!;
-    const hides = this.plan.planted === 'hides what it accepted' && e.m === 'RegPrepare';
+    const hides = this.plan.injectedFault === 'hides what it accepted' && e.m === 'RegPrepare';
     const told = (x: unknown): void =>
       answer(hides ? { ...(x as object), ballot: this.first.ballot, value: this.first.value } : x);
     Promise.resolve()
@@ -367,13 +367,13 @@
  * @example
  * (await explore(PLANS.get('seat-change')!)).states
  */
-export async function explore(plan: ModelPlan): Promise<ModelResult> {
+export async function exploreRegister(plan: ModelPlan): Promise<ModelResult> {
   const seen = new Set<string>();
   let runs = 0;
-  const most = plan.mostStates ?? Infinity;
+  const most = plan.maxStates ?? Infinity;
   const stack: number[][] = [[]];
   while (stack.length) {
-    if (seen.size >= most) return { states: seen.size, runs, whole: false };
+    if (seen.size >= most) return { states: seen.size, runs, complete: false };
     const path = stack.pop()!;
     const w = new World(plan);
     w.begin();
@@ -388,7 +388,7 @@
     }
     // On from here as far as it is new: one run of the code for many states.
     for (;;) {
-      if (w.bad) return { states: seen.size, runs, whole: false, bad: { what: w.bad, path: labels } };
+      if (w.bad) return { states: seen.size, runs, complete: false, violation: { what: w.bad, path: labels } };
       const key = w.key();
       if (seen.has(key)) break;
       seen.add(key);
@@ -401,19 +401,19 @@
       await turn();
     }
   }
-  return { states: seen.size, runs, whole: true };
+  return { states: seen.size, runs, complete: true };
 }
 
-const swap: Change[] = [
+const swap: ModelChange[] = [
   { name: 'in', seats: (s) => [...s, 'd3'] },
   { name: 'out', seats: (s) => s.filter((d) => d !== 'd0') },
 ];
 
 /** A voter is replaced by another in one step, and nothing settles it before the next change. */
-const replace: Change[] = [{ name: 'swap', seats: (seats) => seats.map((disk) => (disk === 'd0' ? 'd3' : disk)) }];
+const replace: ModelChange[] = [{ name: 'swap', seats: (seats) => seats.map((disk) => (disk === 'd0' ? 'd3' : disk)) }];
 
 /** What is searched, by name. */
-export const PLANS = new Map<string, ModelPlan>([
+export const REGISTER_PLANS = new Map<string, ModelPlan>([
   // Two operators at once.
   ['two-changes', { seats: 3, proposers: [[{ name: 'a' }], [{ name: 'b' }]], losses: 0, retries: 1, restarts: 0 }],
   // One change, with a message lost and a seat restarted.
@@ -428,15 +428,15 @@
 
 if (process.argv[1] && import.meta.url === pathToFileURL(process.argv[1]).href) {
   const [name, most] = process.argv.slice(2);
-  for (const [n, plan] of PLANS) {
+  for (const [n, plan] of REGISTER_PLANS) {
     if (name !== undefined && n !== name) continue;
     const from = Date.now();
-    const r = await explore({ ...plan, mostStates: most === undefined ? 1_000_000 : Number(most) });
-    const bad = r.bad ? `\nBAD: ${r.bad.what}\n  ${r.bad.path.join('\n  ')}` : '';
-    const whole = r.whole ? 'all of them' : 'not all';
+    const r = await exploreRegister({ ...plan, maxStates: most === undefined ? 1_000_000 : Number(most) });
+    const bad = r.violation ? `\nBAD: ${r.violation.what}\n  ${r.violation.path.join('\n  ')}` : '';
+    const whole = r.complete ? 'all of them' : 'not all';
     process.stdout.write(
       `${n}: ${r.states} states, ${r.runs} runs, ${whole}, ${((Date.now() - from) / 1000).toFixed(1)} s${bad}\n`,
     );
-    if (r.bad) process.exitCode = 1;
+    if (r.violation) process.exitCode = 1;
   }
 }
--- a/packages/trial/src/oracle.ts
+++ b/packages/trial/src/oracle.ts
@@ -1,21 +1,21 @@
 /** The judge of a day: every rule, by what callers and operators saw and what was done to the fleet. */
-import type { Seen } from './journal.js';
+import type { JournalEvent } from './journal.js';
 import { counts } from './oracle/counts.js';
 import { gaps, owed, audits } from './oracle/deliveries.js';
-import { nodes, marks } from './oracle/in-force.js';
+import { nodes, marks } from './oracle/served-config.js';
 import { operators } from './oracle/operators.js';
 import { publishes, removedAccepts } from './oracle/publishes.js';
 import { closing } from './oracle/recovery.js';
 import { subscriptions } from './oracle/subscriptions.js';
-import { waits, holdings } from './oracle/waits.js';
-import { DayRecord } from './oracle/record.js';
-import type { Bounds, Violation } from './oracle/rules.js';
+import { waits, holdings } from './oracle/waiting-times.js';
+import { DayRecord } from './oracle/run-record.js';
+import type { CheckLimits, Violation } from './oracle/rules.js';
 
-export { recovery } from './oracle/recovery.js';
-export { SETTLE_MS } from './oracle/record.js';
-export { RULES, TIMELESS_RULES, type Bounds, type Rule, type Violation } from './oracle/rules.js';
+export { recoveryTimes as recoveryTimes } from './oracle/recovery.js';
+export { SETTLE_MS } from './oracle/run-record.js';
+export { RULES, TIMING_INDEPENDENT_RULES as TIMING_INDEPENDENT_RULES, type CheckLimits as CheckLimits, type Rule, type Violation } from './oracle/rules.js';
 
-const SIM: Bounds = { wayMs: 250, timed: true, inForceMs: 3_000 };
+const SIM: CheckLimits = { observationDelayMs: 250, timed: true, configInForceMs: 3_000 };
 
 /** In this order: some fill in what later ones ask for. */
 const CHECKS: readonly ((record: DayRecord) => void)[] = [
@@ -39,7 +39,7 @@
  * @example
  * const bad = judge(journal.seen); // [] when nothing happened that must never happen
  */
-export function judge(seen: readonly Seen[], bounds: Bounds = SIM): Violation[] {
+export function checkJournal(seen: readonly JournalEvent[], bounds: CheckLimits = SIM): Violation[] {
   const record = new DayRecord(seen, bounds);
   for (const check of CHECKS) check(record);
   return record.violations();
--- a/packages/trial/src/oracle/counts.ts
+++ b/packages/trial/src/oracle/counts.ts
@@ -1,5 +1,5 @@
 /** Listener counts: between the least and the most that truly listened. */
-import { push, type DayRecord } from './record.js';
+import { push, type DayRecord } from './run-record.js';
 
 /** A count may be partial while a node ails, and this long after the last change of the fleet. */
 const PARTIAL_MS = 12_000;
@@ -24,13 +24,13 @@
     const slack = Math.floor(0.04 * hi);
     const told = `${s.topic}: told ${s.count}${s.partial ? ' (partial)' : ''}, truth of the last 5 s was ${lo}..${hi}`;
     if (s.count > hi + slack || (!s.partial && s.count < lo - slack)) record.say('counts', s.t, told);
-    const since = s.asked - record.sky.changedAt(s.asked);
+    const since = s.asked - record.sky.lastHealthChange(s.asked);
     if (
       s.partial &&
       since < Infinity &&
       since > PARTIAL_MS &&
       record.sky.calm(s.asked - PARTIAL_MS, s.t) &&
-      !record.sky.ailing(s.asked - PARTIAL_MS, s.t)
+      !record.sky.anyUnhealthy(s.asked - PARTIAL_MS, s.t)
     )
       record.say('counts', s.t, `${told}; nothing changed for ${Math.round(since)} ms`);
   }
--- a/packages/trial/src/oracle/deliveries.ts
+++ b/packages/trial/src/oracle/deliveries.ts
@@ -1,6 +1,6 @@
 /** What each subscription owed: the run of its offsets, what came late, and what auditors read back. */
 import { isUrgent } from '@harecross/schema';
-import { CALM_MS, SETTLE_MS, idOf, type DayRecord } from './record.js';
+import { CALM_MS, SETTLE_MS, idOf, type DayRecord } from './run-record.js';
 
 /** From accepted to the listener: while nothing is wrong, by urgency, and after a fault. */
 const REACH_MS = { urgent: 600, routine: 1_200, fault: 8_000 } as const;
@@ -78,11 +78,11 @@
       const urgent = config !== undefined && isUrgent(config, l.topic);
       for (const [limit, ok] of [
         [urgent ? REACH_MS.urgent : REACH_MS.routine, (to: number) => record.sky.calm(from - CALM_MS, to)],
-        [REACH_MS.fault, (to: number) => record.sky.well(node, from, to) && record.sky.able(from, to)],
+        [REACH_MS.fault, (to: number) => record.sky.wasHealthy(node, from, to) && record.sky.shardsAvailable(from, to)],
       ] as const) {
-        const to = from + limit + record.bounds.wayMs;
+        const to = from + limit + record.bounds.observationDelayMs;
         if ((got ?? Infinity) <= to || (l.endAt ?? record.end) <= to || to >= record.end) continue;
-        if (!ok(to) || record.sky.poor(l.consumer, from, to)) continue;
+        if (!ok(to) || record.sky.hadPoorLink(l.consumer, from, to)) continue;
         const how = got === undefined ? 'not at all' : `after ${Math.round(got - from)} ms`;
         record.say(
           'late',
--- a/packages/trial/src/oracle/operators.ts
+++ b/packages/trial/src/oracle/operators.ts
@@ -1,6 +1,6 @@
 /** What operators were told: each change is lost by nobody, and reads show the newest. */
 import type { FleetConfig } from '@harecross/schema';
-import { push, type DayRecord, type Of } from './record.js';
+import { push, type DayRecord, type Of } from './run-record.js';
 
 export function operators(record: DayRecord): void {
   for (const s of record.seen) {
--- a/packages/trial/src/oracle/publishes.ts
+++ b/packages/trial/src/oracle/publishes.ts
@@ -1,5 +1,5 @@
 /** What publishers were told of each message, and what came of it. */
-import { CALM_MS, idOf, type DayRecord, type Pub } from './record.js';
+import { CALM_MS, idOf, type DayRecord, type Pub } from './run-record.js';
 
 /** The one answer that a number was never accepted and never will be. */
 const FINAL = 'stale_seq';
--- a/packages/trial/src/oracle/recovery.ts
+++ b/packages/trial/src/oracle/recovery.ts
@@ -1,6 +1,6 @@
 /** After the closing fault: whether the fleet serves again, and how soon. */
-import type { Seen } from '../journal.js';
-import { push, type DayRecord, type Of } from './record.js';
+import type { JournalEvent } from '../journal.js';
+import { push, type DayRecord, type Of } from './run-record.js';
 
 export function closing(record: DayRecord): void {
   const c = [...record.seen].reverse().find((s) => s.k === 'closing');
@@ -14,7 +14,7 @@
     else if (s.k === 'pub.try') domainOf.set(s.try, s.domain);
   }
   const alive = [...domains]
-    .filter(([, ns]) => ns.some((n) => record.sky.well(n, from - 3_000, from + 3_500)))
+    .filter(([, ns]) => ns.some((n) => record.sky.wasHealthy(n, from - 3_000, from + 3_500)))
     .map(([d]) => d);
   for (const d of [undefined, ...alive]) {
     const at = (of: number | string): boolean => d === undefined || domainOf.get(of) === d;
@@ -68,12 +68,12 @@
  * @example
  * recovery(journal.seen); // { accepted: { quarterMs: 900, mostMs: 2100 }, delivered: ... }
  */
-export function recovery(
-  seen: readonly Seen[],
+export function recoveryTimes(
+  seen: readonly JournalEvent[],
 ): { accepted: { quarterMs: number; mostMs: number }; delivered: { quarterMs: number; mostMs: number } } | undefined {
   const c = [...seen].reverse().find((s) => s.k === 'closing');
   if (!c) return undefined;
-  const of = (ok: (s: Seen) => boolean): { quarterMs: number; mostMs: number } => {
+  const of = (ok: (s: JournalEvent) => boolean): { quarterMs: number; mostMs: number } => {
     const ts = seen.filter(ok).map((s) => s.t);
     const n = (a: number, b: number): number => ts.filter((t) => t > a && t <= b).length / ((b - a) / 1000);
     const before = n(c.t - 8_000, c.t);
--- a/packages/trial/src/oracle/rules.ts
+++ b/packages/trial/src/oracle/rules.ts
@@ -29,7 +29,7 @@
 ] as const;
 export type Rule = (typeof RULES)[number];
 /** Rules that need no watch: the only ones judged where the machine has other work. */
-export const TIMELESS_RULES: readonly Rule[] = [
+export const TIMING_INDEPENDENT_RULES: readonly Rule[] = [
   'once',
   'order',
   'skipped',
@@ -51,11 +51,11 @@
 }
 
 /** What the judge allows, in ms. The simulator's ways take up to 40 ms; a loaded machine's take longer. */
-export interface Bounds {
+export interface CheckLimits {
   /** On top of every bound, for the way of an answer to the observer. */
-  wayMs: number;
+  observationDelayMs: number;
   /** Whether bounds on how long callers wait are judged: not on real processes of a machine that others use too. */
   timed: boolean;
   /** A configuration is in force everywhere within this time after it was acknowledged. */
-  inForceMs: number;
+  configInForceMs: number;
 }
--- a/packages/trial/src/oracle/record.ts
+++ b/packages/trial/src/oracle/run-record.ts
@@ -1,15 +1,15 @@
 /** What a day's journal tells, in the form in which all checks ask for it; and the violations that they found. */
 import { familyOf, type FleetConfig } from '@harecross/schema';
-import type { Seen } from '../journal.js';
-import { Sky } from '../weather.js';
-import type { Bounds, Rule, Violation } from './rules.js';
+import type { JournalEvent } from '../journal.js';
+import { FleetConditions } from '../fleet-conditions.js';
+import type { CheckLimits, Rule, Violation } from './rules.js';
 
 /** After the last fault and the last publish, this is time enough for any repair. */
 export const SETTLE_MS = 6_000;
 /** Nothing counts as wrong any more this long after the last change of the fleet. */
 export const CALM_MS = 12_000;
 
-export type Of<K extends Seen['k']> = Extract<Seen, { k: K }>;
+export type Of<K extends JournalEvent['k']> = Extract<JournalEvent, { k: K }>;
 export interface Pub {
   topic: string;
   sender: string;
@@ -79,14 +79,14 @@
   readonly lines: Line[] = [];
   readonly aways = new Map<string, Away[]>();
   readonly nodeOf = new Map<string, string>();
-  readonly sky: Sky;
+  readonly sky: FleetConditions;
   readonly end: number;
 
   constructor(
-    readonly seen: readonly Seen[],
-    readonly bounds: Bounds,
+    readonly seen: readonly JournalEvent[],
+    readonly bounds: CheckLimits,
   ) {
-    this.sky = new Sky(seen);
+    this.sky = new FleetConditions(seen);
     this.end = seen.find((s) => s.k === 'end')?.t ?? Infinity;
     for (const s of seen) if (s.k === 'conn.open') this.nodeOf.set(s.conn, s.node);
   }
@@ -122,7 +122,7 @@
 
   /** Whether the family of a topic was surely not in force: 3 s after the answer, up to the next submit that brings it back. */
   removed(topic: string, t: number): boolean {
-    const last = this.taken.filter((x) => x.t + this.bounds.inForceMs + this.bounds.wayMs < t).at(-1);
+    const last = this.taken.filter((x) => x.t + this.bounds.configInForceMs + this.bounds.observationDelayMs < t).at(-1);
     if (!last || familyOf(last.config, topic)) return false;
     return ![...this.submits.values()].some((s) => {
       const a = this.told(s.changeId)[0];
@@ -144,14 +144,14 @@
       const now = familyOf(x.config, topic) !== undefined;
       const open = out.at(-1);
       if (!now && there) out.push({ from: x.submitted, to: Infinity });
-      else if (now && open?.to === Infinity) open.to = x.t + this.bounds.inForceMs;
+      else if (now && open?.to === Infinity) open.to = x.t + this.bounds.configInForceMs;
       there = now;
     }
     for (const s of this.submits.values()) {
       if (!s.valid || familyOf(s.config as FleetConfig, topic)) continue;
       const a = this.told(s.changeId)[0];
       if (!a) out.push({ from: s.t, to: Infinity });
-      else if (a.out === 'overtaken') out.push({ from: s.t, to: a.t + this.bounds.inForceMs });
+      else if (a.out === 'overtaken') out.push({ from: s.t, to: a.t + this.bounds.configInForceMs });
     }
     this.aways.set(topic, out);
     return out;
--- a/packages/trial/src/oracle/in-force.ts
+++ b/packages/trial/src/oracle/served-config.ts
@@ -1,6 +1,6 @@
 /** By which configuration nodes serve: what they say of themselves, and what marker topics show. */
 import type { FleetConfig } from '@harecross/schema';
-import { push, type DayRecord } from './record.js';
+import { push, type DayRecord } from './run-record.js';
 
 /** A node that became well this lately may still be joining. */
 const JOIN_MS = 3_000;
@@ -10,8 +10,8 @@
   const before = new Map<string, { t: number; version: number }[]>();
   for (const s of record.seen) {
     if (s.k !== 'node.says' && s.k !== 'node.silent') continue;
-    const due = record.taken.filter((x) => s.asked > x.t + record.bounds.inForceMs).at(-1);
-    const able = record.sky.well(s.node, s.asked - JOIN_MS, s.t);
+    const due = record.taken.filter((x) => s.asked > x.t + record.bounds.configInForceMs).at(-1);
+    const able = record.sky.wasHealthy(s.node, s.asked - JOIN_MS, s.t);
     if (s.k === 'node.silent') {
       if (due && able)
         record.say(
@@ -61,7 +61,7 @@
           s.t,
           `${s.node}: ${how} after version ${later.version} was at work there ${Math.round(s.asked - later.t)} ms before`,
         );
-      if (next && s.asked > next.t + record.bounds.inForceMs)
+      if (next && s.asked > next.t + record.bounds.configInForceMs)
         record.say(
           'config_late',
           s.t,
@@ -73,7 +73,7 @@
         shown.set(s.node, l);
       }
     } else if (
-      s.asked > x.t + record.bounds.inForceMs &&
+      s.asked > x.t + record.bounds.configInForceMs &&
       s.t < Math.min(next?.submitted ?? Infinity, record.revisedAfter(x))
     ) {
       record.say(
--- a/packages/trial/src/oracle/subscriptions.ts
+++ b/packages/trial/src/oracle/subscriptions.ts
@@ -1,5 +1,5 @@
 /** What each subscription was told and got. */
-import { idOf, push, type DayRecord, type Line, type Of, type Pub } from './record.js';
+import { idOf, push, type DayRecord, type Line, type Of, type Pub } from './run-record.js';
 
 /** Answers to Subscribe after which nothing may come of it; after the others something may. */
 const SURELY_NOT = new Set(['unknown_topic', 'cursor_expired', 'cursor_ahead']);
@@ -86,7 +86,7 @@
         if (s.reason === 'cursor_expired') expired(record, s.t, s.consumer, s.topic, s.cursor);
         if (
           s.reason === 'topic_removed' &&
-          !record.away(s.topic).some((w) => w.from <= s.t && s.t <= w.to + record.bounds.wayMs)
+          !record.away(s.topic).some((w) => w.from <= s.t && s.t <= w.to + record.bounds.observationDelayMs)
         ) {
           record.say('lost', s.t, `${s.consumer} was told that ${s.topic} was removed, which it never was`);
         }
--- a/packages/trial/src/oracle/waits.ts
+++ b/packages/trial/src/oracle/waiting-times.ts
@@ -1,5 +1,5 @@
 /** What callers wait for, and the bounds of what nodes keep. */
-import { push, type DayRecord, type Of } from './record.js';
+import { push, type DayRecord, type Of } from './run-record.js';
 
 /** A rejection is for when nobody serves the key; finding that out takes no longer. Whether a topic exists two nodes may see differently for a while. */
 const REJECT_MS = 1_500;
@@ -30,16 +30,16 @@
     const ms = s.t - p.t;
     const fam = record.familyAt(s.topic, p.t);
     if (record.bounds.timed && fam) {
-      const well = record.sky.well(s.node, p.t, s.t) && !record.sky.anyPoor(p.t, s.t);
+      const well = record.sky.wasHealthy(s.node, p.t, s.t) && !record.sky.anyPoorLink(p.t, s.t);
       if (s.tag === 'no answer') {
         if (well) record.say('held', s.t, `${what} got no answer in ${Math.round(ms)} ms, and the node was well`);
-      } else if (well && ms > fam.patienceMs + record.bounds.wayMs)
+      } else if (well && ms > fam.patienceMs + record.bounds.observationDelayMs)
         record.say(
           'held',
           s.t,
           `${what} was answered ${s.out} after ${Math.round(ms)} ms; its patience is ${fam.patienceMs} ms`,
         );
-      else if (well && s.out === 'rejected' && s.tag !== 'unknown_topic' && ms > REJECT_MS + record.bounds.wayMs)
+      else if (well && s.out === 'rejected' && s.tag !== 'unknown_topic' && ms > REJECT_MS + record.bounds.observationDelayMs)
         record.say('held', s.t, `${what} was rejected (${s.tag}) only after ${Math.round(ms)} ms`);
     }
     if (s.status === 503 || s.status === 504) {
@@ -68,7 +68,7 @@
 
 export function holdings(record: DayRecord): void {
   const accepted = [...record.pubs.values()].filter((p) => p.acceptedAt !== undefined).map((p) => p.acceptedAt!);
-  const returns = record.sky.returns().sort((a, b) => b - a);
+  const returns = record.sky.recoveryTimes().sort((a, b) => b - a);
   for (const s of record.seen) {
     if (s.k !== 'node.says') continue;
     for (const h of s.holdings ?? []) {
--- a/packages/trial/src/outage.ts
+++ b/packages/trial/src/outage.ts
@@ -1,6 +1,6 @@
 import { shardOf } from '@harecross/kernel';
 import yargs from 'yargs';
-import { build, configOf, SMALL } from './scenario.js';
+import { createMachines, fleetConfigOf, SMALL } from './scenario.js';
 import { Sim, type SimNode } from './sim.js';
 
 const KINDS = [
@@ -39,9 +39,9 @@
 
 async function one(kind: (typeof KINDS)[number], seed: number, f: Figures): Promise<void> {
   const sim = new Sim(seed);
-  const m = await build(sim, SMALL);
+  const m = await createMachines(sim, SMALL);
   await sim.run(7_000);
-  void sim.outside.visit(m.relays[5]!.config.client, 'SubmitConfig', { changeId: 'c', config: configOf(SMALL) }, 9_000);
+  void sim.clientTransport.visit(m.relays[5]!.config.client, 'SubmitConfig', { changeId: 'c', config: fleetConfigOf(SMALL) }, 9_000);
   await sim.run(12_000);
   const owned = (n: SimNode): number[] =>
     n.up && !n.frozen
@@ -64,7 +64,7 @@
     void (async () => {
       for (let seq = 1; on; seq++) {
         const asked = sim.now;
-        const r = await sim.outside.visit(
+        const r = await sim.clientTransport.visit(
           m.relays[4]!.config.client,
           'Publish',
           { sender: 'p', topic, seq, body: 'x' },
@@ -107,7 +107,7 @@
       void sim.stop(victim);
       break;
     case 'syncs stop its loop':
-      victim.stallMs = [1_000, 3_000];
+      victim.syncStallMs = [1_000, 3_000];
       break;
   }
   let seen = 0;
--- a/packages/trial/src/fleet.ts
+++ b/packages/trial/src/process-fleet.ts
@@ -7,20 +7,20 @@
 import { sleep, realClock, type NodeConfig, type Role } from '@harecross/kernel';
 import type { Frame } from '@harecross/schema';
 import { Agent, request } from 'undici';
-import type { Way } from './actors.js';
-import { Link } from './link.js';
-import type { Site } from './scenario.js';
+import type { ClientTransport } from './simulated-clients.js';
+import { LinkProxy } from './link-proxy.js';
+import type { DeploymentSpec } from './scenario.js';
 
 /** A process of the fleet under test, as the runner sees it. */
-export interface Proc {
+export interface NodeProcess {
   name: string;
   role: Role;
   config: NodeConfig;
   file: string;
   child?: ChildProcess;
-  well: boolean;
+  healthy: boolean;
   /** Its process has been asked for its condition and has answered: it is beyond its start. */
-  answers?: boolean;
+  responding?: boolean;
   up: boolean;
   stopped?: boolean;
   leaving?: boolean;
@@ -58,15 +58,15 @@
  * const f = await Fleet.of(SINE_SALOUM, '/tmp/day'); f.startAll();
  */
 export class Fleet {
-  readonly procs: Proc[] = [];
+  readonly procs: NodeProcess[] = [];
   private agent = new Agent({ connections: 256, pipelining: 1 });
   private http = new HttpAgent({ keepAlive: false, maxSockets: Infinity });
   private conns = new Set<() => void>();
   private polling = true;
   /** Callers' links, by client address; where there is one, callers go through it. */
-  readonly links = new Map<string, Link>();
+  readonly proxies = new Map<string, LinkProxy>();
 
-  static async of(site: Site, folder: string): Promise<Fleet> {
+  static async create(site: DeploymentSpec, folder: string): Promise<Fleet> {
     const f = new Fleet();
     mkdirSync(folder, { recursive: true });
     const total = site.stores + site.relays;
@@ -82,7 +82,7 @@
         seeds: [],
         ...(disk ? { data: join(folder, name) } : {}),
       };
-      f.procs.push({ name, role, config, file: join(folder, `${name}.json`), well: false, up: false, exits: [] });
+      f.procs.push({ name, role, config, file: join(folder, `${name}.json`), healthy: false, up: false, exits: [] });
     };
     for (let i = 0; i < site.stores; i++) make('store', i, true);
     for (let i = 0; i < site.relays; i++) make('relay', i, i < site.relayDisks);
@@ -96,7 +96,7 @@
   }
 
   /** Another machine for the fleet; it is started apart. */
-  async add(role: Role, domain: string): Promise<Proc> {
+  async add(role: Role, domain: string): Promise<NodeProcess> {
     const [a, b] = await freePorts(2);
     const n = this.procs.filter((p) => p.role === role).length + 1;
     const folder = dirname(this.procs[0]!.file);
@@ -109,32 +109,32 @@
       seeds: this.procs[0]!.config.seeds,
       ...(role === 'store' ? { data: join(folder, name) } : {}),
     };
-    const p: Proc = { name, role, config, file: join(folder, `${name}.json`), well: false, up: false, exits: [] };
+    const p: NodeProcess = { name, role, config, file: join(folder, `${name}.json`), healthy: false, up: false, exits: [] };
     this.procs.push(p);
     this.writeConfig(p);
     return p;
   }
 
   /** Puts a link in front of every access machine. */
-  async linked(): Promise<void> {
-    for (const p of this.relays) this.links.set(p.config.client, await Link.before(p.config.client));
+  async startProxies(): Promise<void> {
+    for (const p of this.relays) this.proxies.set(p.config.client, await LinkProxy.start(p.config.client));
   }
   private front(node: string): string {
-    return this.links.get(node)?.address ?? node;
+    return this.proxies.get(node)?.address ?? node;
   }
 
-  get stores(): Proc[] {
+  get stores(): NodeProcess[] {
     return this.procs.filter((p) => p.role === 'store');
   }
-  get relays(): Proc[] {
+  get relays(): NodeProcess[] {
     return this.procs.filter((p) => p.role === 'relay');
   }
 
-  writeConfig(p: Proc): void {
+  writeConfig(p: NodeProcess): void {
     writeFileSync(p.file, JSON.stringify(p.config, null, 2) + '\n');
   }
 
-  start(p: Proc): void {
+  start(p: NodeProcess): void {
     if (p.up) return;
     const log = createWriteStream(p.file.replace(/\.json$/, '.log'), { flags: 'a' });
     const child = spawn(process.execPath, [program(p.role), '--config', p.file], { stdio: ['ignore', 'pipe', 'pipe'] });
@@ -145,8 +145,8 @@
     p.leaving = false;
     child.on('exit', (code, sig) => {
       p.up = false;
-      p.well = false;
-      p.answers = false;
+      p.healthy = false;
+      p.responding = false;
       p.exits.push(sig ? -1 : (code ?? -1));
     });
   }
@@ -154,22 +154,22 @@
     for (const p of this.procs) this.start(p);
   }
 
-  signal(p: Proc, s: NodeJS.Signals): void {
+  signal(p: NodeProcess, s: NodeJS.Signals): void {
     if (s === 'SIGSTOP') p.stopped = true;
     if (s === 'SIGCONT') p.stopped = false;
     if (p.up) p.child!.kill(s);
   }
-  async gone(p: Proc, ms: number): Promise<boolean> {
+  async gone(p: NodeProcess, ms: number): Promise<boolean> {
     const until = realClock.now() + ms;
     while (p.up && realClock.now() < until) await sleep(realClock, 20);
     return !p.up;
   }
-  async kill(p: Proc): Promise<void> {
+  async kill(p: NodeProcess): Promise<void> {
     this.signal(p, 'SIGKILL');
     await this.gone(p, 2_000);
   }
   /** SIGTERM, and the hard kill 6 s later; gives the ms it took to leave by itself. */
-  async stop(p: Proc): Promise<number | undefined> {
+  async stop(p: NodeProcess): Promise<number | undefined> {
     const t0 = realClock.now();
     p.leaving = true;
     this.signal(p, 'SIGTERM');
@@ -184,7 +184,7 @@
       await Promise.all(
         this.procs.map(async (p) => {
           if (!p.up) {
-            p.well = false;
+            p.healthy = false;
             return;
           }
           try {
@@ -194,10 +194,10 @@
               bodyTimeout: 800,
             });
             await r.body.dump();
-            p.well = r.statusCode === 200;
-            p.answers = p.up;
+            p.healthy = r.statusCode === 200;
+            p.responding = p.up;
           } catch {
-            p.well = false;
+            p.healthy = false;
           }
         }),
       );
@@ -216,10 +216,10 @@
     return n;
   }
 
-  readonly way: Way = {
+  readonly clientTransport: ClientTransport = {
     nodes: (domain) =>
       this.procs
-        .filter((p) => p.role === 'relay' && p.up && p.well && (domain === undefined || p.config.domain === domain))
+        .filter((p) => p.role === 'relay' && p.up && p.healthy && (domain === undefined || p.config.domain === domain))
         .map((p) => p.config.client),
     visit: async (node, method, body, timeoutMs) => {
       const ac = new AbortController();
@@ -296,6 +296,6 @@
     await Promise.all(this.procs.map((p) => this.gone(p, 6_000)));
     for (const p of this.procs) await this.kill(p);
     await this.agent.destroy();
-    for (const l of this.links.values()) await l.close();
+    for (const l of this.proxies.values()) await l.close();
   }
 }
--- a/packages/trial/src/scale.ts
+++ b/packages/trial/src/scale.ts
@@ -1,7 +1,7 @@
 import { deserializeValue, serializeValue } from '@harecross/control';
 import { configFaults, familyOf, type FleetConfig } from '@harecross/schema';
 import yargs from 'yargs';
-import { build, configOf, SMALL, type Site } from './scenario.js';
+import { createMachines, fleetConfigOf, SMALL, type DeploymentSpec } from './scenario.js';
 import { Sim } from './sim.js';
 
 const a = yargs(process.argv.slice(2))
@@ -59,7 +59,7 @@
 
 async function families(n: number): Promise<void> {
   const sim = new Sim(a.seed);
-  await build(sim, { ...SMALL, domains: ['a', 'b', 'c'], stores: 4, relays: 11, relayDisks: 4, consumers: 0 });
+  await createMachines(sim, { ...SMALL, domains: ['a', 'b', 'c'], stores: 4, relays: 11, relayDisks: 4, consumers: 0 });
   await sim.run(15_000);
   const ups = [...sim.nodes.values()];
   const { config, document } = large(n);
@@ -68,15 +68,15 @@
     kib: number[] = [],
     processorMs: number[] = [];
   for (let i = 1; i <= 5; i++) {
-    sim.traffic.clear();
-    sim.answers.clear();
-    sim.measure = true;
+    sim.requestTraffic.clear();
+    sim.responseBytes.clear();
+    sim.measureTraffic = true;
     const from = sim.now;
     const processor = process.cpuUsage();
     let answered = 0,
       everywhere = 0;
     const at = ups[Math.floor(sim.random.next() * ups.length)]!;
-    void sim.outside.visit(at.config.client, 'SubmitConfig', { revision: i, config, document }, 10_000).then(() => {
+    void sim.clientTransport.visit(at.config.client, 'SubmitConfig', { revision: i, config, document }, 10_000).then(() => {
       answered = sim.now;
     });
     while (!answered || !everywhere) {
@@ -86,10 +86,10 @@
     }
     const { user, system } = process.cpuUsage(processor);
     processorMs.push((user + system) / 1_000);
-    sim.measure = false;
+    sim.measureTraffic = false;
     told.push(answered - from);
     all.push(everywhere - from);
-    const bytes = [...[...sim.traffic].map(([m, t]): [string, number] => [m, t.bytes]), ...sim.answers];
+    const bytes = [...[...sim.requestTraffic].map(([m, t]): [string, number] => [m, t.bytes]), ...sim.responseBytes];
     kib.push(bytes.filter(([m]) => m.startsWith('Reg')).reduce((x, [, b]) => x + b, 0) / 1024);
     await sim.run(sim.now + 1_000);
   }
@@ -116,7 +116,7 @@
 
 for (const size of a.sizes.split(',').map(Number)) {
   const stores = Math.max(3, Math.round(size / 5));
-  const site: Site = {
+  const site: DeploymentSpec = {
     ...SMALL,
     domains: ['a', 'b', 'c', 'd', 'e'],
     stores,
@@ -125,7 +125,7 @@
     consumers: 0,
   };
   const sim = new Sim(a.seed);
-  const m = await build(sim, site);
+  const m = await createMachines(sim, site);
   await sim.run(15_000);
   const register = (n: (typeof m.stores)[number]) => n.kernel!.use('register');
   const ups = [...sim.nodes.values()];
@@ -142,10 +142,10 @@
     );
 
   // Quiet traffic over ten seconds.
-  sim.measure = true;
+  sim.measureTraffic = true;
   await sim.run(25_000);
-  sim.measure = false;
-  const total = [...sim.traffic.values()].reduce((x, t) => ({ n: x.n + t.n, bytes: x.bytes + t.bytes }), {
+  sim.measureTraffic = false;
+  const total = [...sim.requestTraffic.values()].reduce((x, t) => ({ n: x.n + t.n, bytes: x.bytes + t.bytes }), {
     n: 0,
     bytes: 0,
   });
@@ -155,8 +155,8 @@
   for (let i = 0; i < 5; i++) {
     const at = ups[Math.floor(sim.random.next() * ups.length)]!;
     let told = 0;
-    void sim.outside
-      .visit(at.config.client, 'SubmitConfig', { changeId: `s${i}`, config: configOf(site) }, 10_000)
+    void sim.clientTransport
+      .visit(at.config.client, 'SubmitConfig', { changeId: `s${i}`, config: fleetConfigOf(site) }, 10_000)
       .then(() => {
         told = sim.now;
       });
@@ -201,7 +201,7 @@
     `${size} nodes (${m.disks.length} disks): ${(total.n / size / 10).toFixed(1)} peer visits and ${(total.bytes / size / 10 / 1024).toFixed(1)} KiB per node and s; configuration everywhere ${spread.map((x) => Math.round(x)).join('/')} ms after its answer; frozen machine suspected by the first after ${Math.round(first)} ms, by all after ${Math.round(last)} ms; its ${lost.length} keys served after ${Math.round(served)} ms; ${movedElse} other keys moved\n`,
   );
   if (a.methods)
-    for (const [k, t] of [...sim.traffic].sort((x, y) => y[1].bytes - x[1].bytes))
+    for (const [k, t] of [...sim.requestTraffic].sort((x, y) => y[1].bytes - x[1].bytes))
       process.stdout.write(
         `   ${k}: ${(t.n / size / 10).toFixed(2)} visits, ${(t.bytes / size / 10 / 1024).toFixed(2)} KiB per node and s\n`,
       );
--- a/packages/trial/src/scenario.ts
+++ b/packages/trial/src/scenario.ts
@@ -1,13 +1,13 @@
 import type { FleetValue } from '@harecross/control';
 import { randomSample, sleep } from '@harecross/kernel';
 import type { FleetConfig } from '@harecross/schema';
-import { audit, Consumer, Operator, Pipeliner, Sender, type World } from './actors.js';
-import { Journal, type Seen } from './journal.js';
-import { judge, SETTLE_MS, type Bounds, type Violation } from './oracle.js';
-import { seeded, Sim, type SimNode, type SimOpts } from './sim.js';
+import { audit, Consumer, Operator, PipelinedSender, Sender, type ClientContext } from './simulated-clients.js';
+import { Journal, type JournalEvent } from './journal.js';
+import { checkJournal, SETTLE_MS, type CheckLimits, type Violation } from './oracle.js';
+import { seededRandom, Sim, type SimNode, type SimOptions } from './sim.js';
 
 /** A deployment's shape. */
-export interface Site {
+export interface DeploymentSpec {
   name: string;
   domains: string[];
   relays: number;
@@ -19,14 +19,14 @@
     prefix: string;
     topics: number;
     urgency: 'urgent' | 'routine';
-    perS: number;
+    messagesPerS: number;
     memoryS: number;
     patienceMs: number;
   }[];
 }
 
 /** The two deployments of the brief at full size. */
-export const SINE_SALOUM: Site = {
+export const SINE_SALOUM: DeploymentSpec = {
   name: 'sine-saloum',
   domains: ['kaolack', 'fatick', 'foundiougne'],
   relays: 12,
@@ -34,11 +34,11 @@
   stores: 3,
   consumers: 400,
   families: [
-    { name: 'payments', prefix: 'pay/', topics: 420, urgency: 'routine', perS: 70, memoryS: 35, patienceMs: 3_000 },
-    { name: 'warnings', prefix: 'warn/', topics: 30, urgency: 'urgent', perS: 25, memoryS: 25, patienceMs: 2_000 },
+    { name: 'payments', prefix: 'pay/', topics: 420, urgency: 'routine', messagesPerS: 70, memoryS: 35, patienceMs: 3_000 },
+    { name: 'warnings', prefix: 'warn/', topics: 30, urgency: 'urgent', messagesPerS: 25, memoryS: 25, patienceMs: 2_000 },
   ],
 };
-export const DUNARE: Site = {
+export const DUNARE: DeploymentSpec = {
   name: 'dunare-carpati',
   domains: ['galati', 'braila', 'tulcea', 'focsani'],
   relays: 11,
@@ -46,12 +46,12 @@
   stores: 4,
   consumers: 410,
   families: [
-    { name: 'levels', prefix: 'level/', topics: 260, urgency: 'routine', perS: 50, memoryS: 35, patienceMs: 3_000 },
-    { name: 'floods', prefix: 'flood/', topics: 30, urgency: 'urgent', perS: 25, memoryS: 25, patienceMs: 2_000 },
+    { name: 'levels', prefix: 'level/', topics: 260, urgency: 'routine', messagesPerS: 50, memoryS: 35, patienceMs: 3_000 },
+    { name: 'floods', prefix: 'flood/', topics: 30, urgency: 'urgent', messagesPerS: 25, memoryS: 25, patienceMs: 2_000 },
   ],
 };
 /** A site of the same shape, small enough for many seeds. */
-export const SMALL: Site = {
+export const SMALL: DeploymentSpec = {
   name: 'small',
   domains: ['a', 'b', 'c'],
   relays: 6,
@@ -59,8 +59,8 @@
   stores: 3,
   consumers: 24,
   families: [
-    { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', perS: 14, memoryS: 35, patienceMs: 3_000 },
-    { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', perS: 6, memoryS: 25, patienceMs: 2_000 },
+    { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', messagesPerS: 14, memoryS: 35, patienceMs: 3_000 },
+    { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', messagesPerS: 6, memoryS: 25, patienceMs: 2_000 },
   ],
 };
 
@@ -69,7 +69,7 @@
  * @example
  * configOf(SMALL, [{ name: 'x', topics: ['x/*'], urgency: 'routine', patienceMs: 2000, memoryS: 30 }])
  */
-export function configOf(site: Site, extra: FleetConfig['families'] = []): FleetConfig {
+export function fleetConfigOf(site: DeploymentSpec, extra: FleetConfig['families'] = []): FleetConfig {
   return {
     families: [
       ...site.families.map((f) => ({
@@ -88,9 +88,9 @@
 const followed = (topics: number): number => Math.max(1, topics - Math.ceil(topics / 10));
 
 /** Stand-ins for a site's callers. */
-export interface Crowd {
+export interface SimulatedClients {
   consumers: Consumer[];
-  senders: (Sender | Pipeliner)[];
+  senders: (Sender | PipelinedSender)[];
   operator: Operator;
   topics: string[];
 }
@@ -100,9 +100,9 @@
  * @example
  * for (const c of crowd(world, SMALL).consumers) c.start();
  */
-export function crowd(w: World, site: Site, consumerOptions: { staysUntilEnd?: boolean } = {}): Crowd {
+export function createClients(w: ClientContext, site: DeploymentSpec, consumerOptions: { staysUntilEnd?: boolean } = {}): SimulatedClients {
   const consumers: Consumer[] = [];
-  const senders: (Sender | Pipeliner)[] = [];
+  const senders: (Sender | PipelinedSender)[] = [];
   const topics = site.families.flatMap((f) => Array.from({ length: f.topics }, (_, i) => `${f.prefix}${i}`));
   for (let i = 0; i < site.consumers; i++) {
     const mine = new Set<string>();
@@ -123,7 +123,7 @@
         .filter((t) => t % n === i || (t % 7 === 0 && t % n === (i + 1) % n))
         .map((t) => `${f.prefix}${t}`);
       senders.push(
-        new Sender(w, `${f.name}-${i}`, site.domains[i % site.domains.length]!, own, (1000 * n) / f.perS, {
+        new Sender(w, `${f.name}-${i}`, site.domains[i % site.domains.length]!, own, (1000 * n) / f.messagesPerS, {
           triesN: 8,
           repeats: 0.15,
         }),
@@ -132,48 +132,48 @@
     // Some have several on the way at once on one topic.
     for (const i of [0, 1])
       senders.push(
-        new Pipeliner(w, `${f.name}-pipe${i}`, site.domains[i % site.domains.length]!, `${f.prefix}${i}`, 200),
+        new PipelinedSender(w, `${f.name}-pipe${i}`, site.domains[i % site.domains.length]!, `${f.prefix}${i}`, 200),
       );
   }
   return { consumers, senders, operator: new Operator(w, 'op'), topics };
 }
 
-export interface Stage {
+export interface ScenarioContext {
   sim: Sim;
-  world: World;
-  site: Site;
-  crowd: Crowd;
+  clientContext: ClientContext;
+  site: DeploymentSpec;
+  crowd: SimulatedClients;
   stores: SimNode[];
   relays: SimNode[];
   disks: SimNode[];
   random: { next(): number };
   note(s: string): void;
   /** What is wrong beside what the judge sees in the journal. */
-  wrong(rule: Violation['rule'], what: string): void;
+  reportViolation(rule: Violation['rule'], what: string): void;
 }
-export interface Run {
-  seen: Seen[];
-  bad: Violation[];
+export interface ScenarioResult {
+  seen: JournalEvent[];
+  violations: Violation[];
   sim: Sim;
   notes: string[];
   counters: Map<string, number>;
 }
 
 export interface Scenario {
-  site?: Site;
-  opts?: SimOpts;
+  site?: DeploymentSpec;
+  opts?: SimOptions;
   /** Clocks of the machines differ by up to this much. */
   skewMs?: number;
   /** What goes wrong, while traffic runs. */
-  faults: (s: Stage) => Promise<void>;
+  faults: (s: ScenarioContext) => Promise<void>;
   /** Length of the part with faults. */
-  forMs?: number;
+  faultPhaseMs?: number;
   /** Makes and starts the machines; those of the site where left out. */
-  machines?: (sim: Sim, site: Site) => Promise<Machines>;
+  machines?: (sim: Sim, site: DeploymentSpec) => Promise<Machines>;
   /** Brings the first configuration into force; the site's by one change where left out. */
-  first?: (stage: Stage) => Promise<unknown>;
+  first?: (stage: ScenarioContext) => Promise<unknown>;
   /** What the judge allows; the simulator's usual bounds where left out. */
-  bounds?: Bounds;
+  bounds?: CheckLimits;
 }
 
 /** The nodes of a run, by what they are for. */
@@ -188,7 +188,7 @@
  * @example
  * const { stores, relays, disks } = await build(sim, SMALL);
  */
-export async function build(sim: Sim, site: Site, skewMs = 0): Promise<Machines> {
+export async function createMachines(sim: Sim, site: DeploymentSpec, skewMs = 0): Promise<Machines> {
   const skew = (): number => (skewMs ? Math.round((sim.random.next() * 2 - 1) * skewMs) : 0);
   const stores = Array.from({ length: site.stores }, (_, i) =>
     sim.add(`store${i + 1}`, {
@@ -213,7 +213,7 @@
 }
 
 /** Sets of replica hosts that have no majority of live members, or might have none after so many more losses; by name. */
-export function weakSets(sim: Sim, losses: number): { broken: string[]; thin: string[] } {
+export function weakReplicaSets(sim: Sim, losses: number): { broken: string[]; thin: string[] } {
   const v = valueOf(sim);
   if (!v) return { broken: ['no value'], thin: [] };
   const live = new Set([...sim.nodes.values()].filter((n) => n.up && !n.frozen).map(diskOf));
@@ -274,8 +274,8 @@
     well: well.map((n) => n.config.client).sort(),
     ailing,
     able,
-    rough: sim.rough(),
-    poor: [...sim.thin.keys(), ...sim.deaf],
+    rough: sim.isDegraded(),
+    poor: [...sim.linkBytesPerS.keys(), ...sim.halfOpenConsumers],
   };
 }
 
@@ -299,27 +299,27 @@
  * @example
  * const r = await play(7, { faults: async ({ sim, stores }) => { sim.kill(stores[0]!); } });
  */
-export async function play(seed: number, sc: Scenario): Promise<Run> {
+export async function runScenario(seed: number, sc: Scenario): Promise<ScenarioResult> {
   const site = sc.site ?? SMALL;
   const sim = new Sim(seed, sc.opts);
-  const m = await (sc.machines ? sc.machines(sim, site) : build(sim, site, sc.skewMs));
+  const m = await (sc.machines ? sc.machines(sim, site) : createMachines(sim, site, sc.skewMs));
   const journal = new Journal(() => sim.now);
-  const world: World = { clock: sim.clock, random: seeded(seed ^ 0x5eed), way: sim.outside, journal };
-  const cr = crowd(world, site);
+  const world: ClientContext = { clock: sim.clock, random: seededRandom(seed ^ 0x5eed), clientTransport: sim.clientTransport, journal };
+  const cr = createClients(world, site);
   const notes: string[] = [];
   const wrong: Violation[] = [];
-  const stage: Stage = {
+  const stage: ScenarioContext = {
     sim,
-    world,
+    clientContext: world,
     site,
     crowd: cr,
     ...m,
-    random: seeded(seed ^ 0xfa17),
+    random: seededRandom(seed ^ 0xfa17),
     note: (s) => {
       notes.push(`${(sim.now / 1000).toFixed(3)} ${s}`);
       sim.lines.push(`${(sim.now / 1000).toFixed(3)} ** ${s}`);
     },
-    wrong: (rule, what) => wrong.push({ rule, t: Math.round(sim.now), what }),
+    reportViolation: (rule, what) => wrong.push({ rule, t: Math.round(sim.now), what }),
   };
   await sim.run(6_000);
   let fault: unknown;
@@ -338,7 +338,7 @@
     for (const until = sim.now + limitMs; !kept && sim.now < until;) await sim.run(sim.now + 250);
     return kept;
   };
-  const first = sc.first ? sc.first(stage) : cr.operator.submit('first', configOf(site), true);
+  const first = sc.first ? sc.first(stage) : cr.operator.submit('first', fleetConfigOf(site), true);
   await sim.run(12_000);
   if (!(await drive(first, 60_000))) notes.push('the first configuration was never answered');
   for (const n of sim.nodes.values())
@@ -374,9 +374,9 @@
   })();
   await sim.run(17_000);
   const from = sim.now;
-  if (!(await drive(sc.faults(stage), (sc.forMs ?? 20_000) + 120_000))) notes.push('the faults never ended');
+  if (!(await drive(sc.faults(stage), (sc.faultPhaseMs ?? 20_000) + 120_000))) notes.push('the faults never ended');
   if (fault) throw fault;
-  await sim.run(Math.max(sim.now, from + (sc.forMs ?? 20_000)));
+  await sim.run(Math.max(sim.now, from + (sc.faultPhaseMs ?? 20_000)));
   await sim.run(sim.now + 3_000);
   for (const s of cr.senders) s.stop();
   await sim.run(sim.now + 2_000);
@@ -394,12 +394,12 @@
   watching = false;
   if (!(await drive(cr.operator.read(true), 90_000))) notes.push('the last read was never answered');
   journal.add({ k: 'end' });
-  const bad = [...judge(journal.seen, sc.bounds), ...wrong];
+  const bad = [...checkJournal(journal.seen, sc.bounds), ...wrong];
   const counters = new Map<string, number>();
   for (const n of sim.nodes.values())
     for (const [k, v] of n.kernel?.counters ?? []) counters.set(k, (counters.get(k) ?? 0) + v);
   for (const n of notes.filter((x) => x.includes('never'))) bad.push({ rule: 'unanswered', t: 0, what: n });
   for (const e of sim.errors) bad.push({ rule: 'served', t: 0, what: `unexpected error: ${e}` });
   sim.close();
-  return { seen: journal.seen, bad, sim, notes, counters };
+  return { seen: journal.seen, violations: bad, sim, notes, counters };
 }
--- a/packages/trial/src/sim-disk.ts
+++ b/packages/trial/src/sim-disk.ts
@@ -17,7 +17,7 @@
 const LOG = 'state.db-wal';
 
 /** What the disk needs of its machine. */
-export interface DiskSurroundings {
+export interface DiskEnvironment {
   /** Runs `fn` once a sync that begins now is done. */
   afterSync(fn: () => void): void;
 }
@@ -39,7 +39,7 @@
 
   constructor(
     private readonly root: string,
-    private readonly surroundings: DiskSurroundings,
+    private readonly surroundings: DiskEnvironment,
   ) {}
 
   private folder(life = this.life): string {
--- a/packages/trial/src/sim.ts
+++ b/packages/trial/src/sim.ts
@@ -18,7 +18,7 @@
 import { join } from 'node:path';
 import Database from 'better-sqlite3';
 import type { Json } from './json.js';
-import type { Way } from './actors.js';
+import type { ClientTransport } from './simulated-clients.js';
 import { SimDisk } from './sim-disk.js';
 
 /**
@@ -26,7 +26,7 @@
  * @example
  * seeded(7).next(); // the same number every time
  */
-export function seeded(seed: number): RandomSource {
+export function seededRandom(seed: number): RandomSource {
   let a = seed >>> 0;
   return {
     next() {
@@ -96,7 +96,7 @@
 }
 
 /** What frames cost a machine, so that one that is sent too many falls behind. */
-export interface Load {
+export interface MachineCapacity {
   /** The machine's share of a core: a frame that comes or goes takes `FRAME_CORE_MS` of it and more for its length. */
   coreShare: number;
   /** Bytes that its link carries in a millisecond, each way. */
@@ -125,23 +125,23 @@
   sql?: Database.Database;
   /** With `SimOpts.files`: its files, as the product's own disk code writes them. */
   disk?: SimDisk;
-  life: number;
+  incarnation: number;
   up: boolean;
   frozen: boolean;
   /** Work put off while frozen. */
-  frozenWork: (() => void)[];
-  slowMs: number;
+  deferredWork: (() => void)[];
+  maxExtraDelayMs: number;
   diskMs: number;
   /** Frames cost nothing where left out. */
-  load?: Load;
+  capacity?: MachineCapacity;
   busy: Busy;
   /** Frames sent and received, and their bytes, requests and answers; counted while `measure` is set. */
   frames: { n: number; bytes: number };
   /** Syncs that stop the whole loop, for a time between these. */
-  stallMs?: [number, number];
+  syncStallMs?: [number, number];
   /** Rate of its clock (see setRate), and what its wall clock was corrected by while running. */
   rate: number;
-  stepMs: number;
+  wallStepMs: number;
   handle?: (f: string) => Promise<string>;
   kernel?: Kernel;
   edge?: Edge;
@@ -149,13 +149,13 @@
   /** When connections of it were last reset. */
   resetAt?: number;
   /** The disk takes no more: the process is expected to notice and end. */
-  fullDisk?: boolean;
+  diskFull?: boolean;
   /** Calls under way at this node; they break when it dies. */
   calls: Set<() => void>;
   streams: Set<() => void>;
 }
 
-export interface SimOpts {
+export interface SimOptions {
   delayMs?: [number, number];
   loss?: number;
   log?: boolean;
@@ -175,12 +175,12 @@
   readonly nodes = new Map<string, SimNode>();
   readonly lines: string[] = [];
   events = 0;
-  delay: [number, number];
+  delayRangeMs: [number, number];
   loss: number;
   /** Consumers whose link takes only so many bytes a second. */
-  readonly thin = new Map<string, number>();
+  readonly linkBytesPerS = new Map<string, number>();
   /** Consumers whose stream of now is half-open: nothing on it arrives, and neither side is told. */
-  readonly deaf = new Set<string>();
+  readonly halfOpenConsumers = new Set<string>();
   /** Directed pairs between which nothing arrives. */
   readonly cuts = new Set<string>();
   private heap = new Heap();
@@ -188,10 +188,10 @@
   private byPeer = new Map<string, SimNode>();
   private byClient = new Map<string, SimNode>();
   /** Peer visits and their bytes, by method; filled when `measure` is set. */
-  readonly traffic = new Map<string, { n: number; bytes: number }>();
+  readonly requestTraffic = new Map<string, { n: number; bytes: number }>();
   /** Bytes of the answers to them. */
-  readonly answers = new Map<string, number>();
-  measure = false;
+  readonly responseBytes = new Map<string, number>();
+  measureTraffic = false;
   /** Unexpected errors of node code. */
   readonly errors: string[] = [];
   /** Where the machines' files are, with `files`. */
@@ -199,10 +199,10 @@
 
   constructor(
     readonly seed: number,
-    private opts: SimOpts = {},
+    private opts: SimOptions = {},
   ) {
-    this.random = seeded(seed);
-    this.delay = opts.delayMs ?? [0.5, 6];
+    this.random = seededRandom(seed);
+    this.delayRangeMs = opts.delayMs ?? [0.5, 6];
     this.loss = opts.loss ?? 0;
     if (opts.files) this.folder = mkdtempSync(join(tmpdir(), 'harecross-sim-'));
   }
@@ -250,16 +250,16 @@
       name,
       config,
       skewMs: x.skewMs ?? 0,
-      life: 0,
+      incarnation: 0,
       up: false,
       frozen: false,
-      frozenWork: [],
-      slowMs: 0,
+      deferredWork: [],
+      maxExtraDelayMs: 0,
       diskMs: 2,
       busy: { coreUntil: 0, inUntil: 0, outUntil: 0 },
       frames: { n: 0, bytes: 0 },
       rate: 1,
-      stepMs: 0,
+      wallStepMs: 0,
       calls: new Set(),
       streams: new Set(),
     };
@@ -276,9 +276,9 @@
   }
 
   private work(n: SimNode, life: number, fn: () => void): void {
-    if (!n.up || n.life !== life) return;
+    if (!n.up || n.incarnation !== life) return;
     if (n.frozen) {
-      n.frozenWork.push(() => this.work(n, life, fn));
+      n.deferredWork.push(() => this.work(n, life, fn));
       return;
     }
     fn();
@@ -286,7 +286,7 @@
 
   /** The way there (or back) takes this long; a lost packet is sent again after 200 ms and more. */
   private way(slow = 0): number {
-    let d = this.delay[0] + (this.delay[1] - this.delay[0]) * this.random.next() + slow * this.random.next();
+    let d = this.delayRangeMs[0] + (this.delayRangeMs[1] - this.delayRangeMs[0]) * this.random.next() + slow * this.random.next();
     for (let back = 200; this.random.next() < this.loss && back < 4_000; back *= 2) d += back;
     return d;
   }
@@ -301,11 +301,11 @@
 
   /** Puts a frame through a machine's link and processor; gives how long it takes from now, after what came before it. */
   private through(n: SimNode, bytes: number, direction: 'inUntil' | 'outUntil'): number {
-    if (this.measure) {
+    if (this.measureTraffic) {
       n.frames.n++;
       n.frames.bytes += bytes;
     }
-    const { load, busy } = n;
+    const { capacity: load, busy } = n;
     if (!load) return 0;
     const core = (FRAME_CORE_MS + (FRAME_CORE_MS_PER_KIB * bytes) / 1024) / load.coreShare;
     busy.coreUntil = Math.max(this.now, busy.coreUntil) + core;
@@ -321,35 +321,35 @@
     this.cuts.add(`${a}>${b}`);
     if (both) this.cuts.add(`${b}>${a}`);
   }
-  mend(a: string, b: string): void {
+  heal(a: string, b: string): void {
     this.cuts.delete(`${a}>${b}`);
     this.cuts.delete(`${b}>${a}`);
   }
-  heal(): void {
+  healAll(): void {
     this.cuts.clear();
   }
   /** Whether some machine or way is worse than it should be. */
-  rough(): boolean {
+  isDegraded(): boolean {
     return (
       this.loss > 0 ||
       this.cuts.size > 0 ||
-      this.delay[1] > 20 ||
-      [...this.nodes.values()].some((n) => n.slowMs > 0 || n.diskMs > 10 || n.stallMs !== undefined)
+      this.delayRangeMs[1] > 20 ||
+      [...this.nodes.values()].some((n) => n.maxExtraDelayMs > 0 || n.diskMs > 10 || n.syncStallMs !== undefined)
     );
   }
 
   async start(n: SimNode): Promise<void> {
     if (n.up) return;
-    const life = ++n.life;
+    const life = ++n.incarnation;
     n.up = true;
     n.frozen = false;
-    n.frozenWork = [];
-    const random = seeded(Math.floor(this.random.next() * 2 ** 32));
+    n.deferredWork = [];
+    const random = seededRandom(Math.floor(this.random.next() * 2 ** 32));
     // A wrong rate begins where the clock stands; timers run at it too.
     const clock: Clock = {
       now: () => EPOCH_MS + this.now * n.rate + n.skewMs,
-      wall: () => clock.now() + n.stepMs,
-      after: (ms, fn) => this.at(ms / n.rate + n.slowMs * random.next(), () => this.work(n, life, fn)),
+      wall: () => clock.now() + n.wallStepMs,
+      after: (ms, fn) => this.at(ms / n.rate + n.maxExtraDelayMs * random.next(), () => this.work(n, life, fn)),
     };
     const net: Net = {
       serve: async (h) => {
@@ -376,7 +376,7 @@
       log: { info: note(''), warn: note('! ') },
       terminate: () => this.kill(n),
     };
-    if (n.config.data && n.disk !== undefined && n.fullDisk) {
+    if (n.config.data && n.disk !== undefined && n.diskFull) {
       // The product's programs: a relay goes on without a disk until there is room again, others end.
       if (n.config.role !== 'relay') {
         this.kill(n);
@@ -396,14 +396,14 @@
       ...clock,
       after: (ms, fn) =>
         clock.after(ms, () => {
-          const by = n.stallMs;
+          const by = n.syncStallMs;
           if (!by) {
             fn();
             return;
           }
           n.frozen = true;
           this.at(by[0] + (by[1] - by[0]) * random.next(), () => {
-            if (!n.up || n.life !== life) return;
+            if (!n.up || n.incarnation !== life) return;
             n.frozen = false;
             fn();
             this.runFrozen(n);
@@ -416,7 +416,7 @@
   private openDisk(n: SimNode, clock: Clock, random: RandomSource, log: Log): SyncedDatabase | undefined {
     const onFault = (e: Error): void => {
       this.lines.push(`${(this.now / 1000).toFixed(3)} ${n.name} disk fault: ${e.message}`);
-      if (!n.fullDisk) this.errors.push(`${n.name} disk: ${e.message}`);
+      if (!n.diskFull) this.errors.push(`${n.name} disk: ${e.message}`);
       this.kill(n);
     };
     const syncMs = (): number => n.diskMs * (0.5 + random.next());
@@ -439,13 +439,13 @@
   kill(n: SimNode): void {
     if (!n.up) return;
     n.up = false;
-    n.life++;
+    n.incarnation++;
     n.db?.discardUnsynced();
     n.kernel?.stopLoops();
     n.disk?.endProcess();
     n.handle = undefined;
     n.frozen = false;
-    n.frozenWork = [];
+    n.deferredWork = [];
     for (const f of Array.from(n.calls)) f();
     n.calls.clear();
     for (const f of Array.from(n.streams)) f();
@@ -460,10 +460,10 @@
 
   /** SIGTERM, and the hard kill 6 s later. Gives whether it left by itself. */
   async stop(n: SimNode): Promise<boolean> {
-    const life = n.life;
+    const life = n.incarnation;
     let left = false;
     const hard = this.at(6_000, () => {
-      if (n.life === life) this.kill(n);
+      if (n.incarnation === life) this.kill(n);
     });
     const k = n.kernel!;
     const sql = n.sql;
@@ -478,7 +478,7 @@
       }),
     ]);
     hard();
-    if (n.life === life) this.kill(n);
+    if (n.incarnation === life) this.kill(n);
     n.sql = sql;
     return left;
   }
@@ -493,7 +493,7 @@
 
   /** No more room on the disk, or room again. */
   fillDisk(n: SimNode, full: boolean): void {
-    n.fullDisk = full;
+    n.diskFull = full;
     const runsWithout = n.up && n.config.data !== undefined && n.kernel !== undefined && !n.kernel.host.db;
     if (!full && runsWithout) void this.stop(n).then(() => this.start(n));
     if (n.sql?.open)
@@ -509,8 +509,8 @@
     this.runFrozen(n);
   }
   private runFrozen(n: SimNode): void {
-    const w = n.frozenWork;
-    n.frozenWork = [];
+    const w = n.deferredWork;
+    n.deferredWork = [];
     for (const f of w) this.at(this.random.next(), f);
   }
   /** From now on the node's clock runs at this rate; it goes on from where it stands. */
@@ -522,10 +522,10 @@
   private call(from: SimNode, life: number, peer: string, frame: string, timeoutMs: number): Promise<string> {
     const to = this.byPeer.get(peer);
     let m = '';
-    if (this.measure) {
+    if (this.measureTraffic) {
       m = /^(\w+) /.exec(frame)?.[1] ?? '?';
-      const t = this.traffic.get(m) ?? { n: 0, bytes: 0 };
-      this.traffic.set(m, { n: t.n + 1, bytes: t.bytes + frame.length });
+      const t = this.requestTraffic.get(m) ?? { n: 0, bytes: 0 };
+      this.requestTraffic.set(m, { n: t.n + 1, bytes: t.bytes + frame.length });
     }
     return new Promise((res, rej) => {
       let over = false;
@@ -544,9 +544,9 @@
         );
         return;
       }
-      const conn = `${from.name}/${life}>${to.name}/${to.life}`;
+      const conn = `${from.name}/${life}>${to.name}/${to.incarnation}`;
       const leaves = this.through(from, frame.length, 'outUntil');
-      this.at(this.inOrder(conn, leaves + this.way(from.slowMs + to.slowMs)), () => {
+      this.at(this.inOrder(conn, leaves + this.way(from.maxExtraDelayMs + to.maxExtraDelayMs)), () => {
         if (this.isCut(from.name, to.name)) return; // silence until the time limit
         if (!to.up || !to.handle) {
           this.at(this.way(), () =>
@@ -554,7 +554,7 @@
           );
           return;
         }
-        const toLife = to.life;
+        const toLife = to.incarnation;
         broken = () => {
           this.at(this.way(), () => {
             if (!this.isCut(to.name, from.name))
@@ -566,10 +566,10 @@
           this.work(to, toLife, () => {
             to.handle!(frame).then(
               (s) => {
-                if (m) this.answers.set(m, (this.answers.get(m) ?? 0) + s.length);
-                if (!to.up || to.life !== toLife) return;
+                if (m) this.responseBytes.set(m, (this.responseBytes.get(m) ?? 0) + s.length);
+                if (!to.up || to.incarnation !== toLife) return;
                 const answered = this.through(to, s.length, 'outUntil');
-                this.at(this.inOrder(`${conn} back`, answered + this.way(from.slowMs + to.slowMs)), () => {
+                this.at(this.inOrder(`${conn} back`, answered + this.way(from.maxExtraDelayMs + to.maxExtraDelayMs)), () => {
                   if (!this.isCut(to.name, from.name)) this.loaded(from, s.length, () => end(() => res(s)));
                 });
               },
@@ -591,7 +591,7 @@
   }
 
   /** The outside's way in. `outside` is the name cuts use for it. */
-  readonly outside: Way = {
+  readonly clientTransport: ClientTransport = {
     nodes: (domain) =>
       [...this.nodes.values()]
         .filter(
@@ -606,7 +606,7 @@
     visit: (node, method, body, timeoutMs, line) =>
       new Promise((res) => {
         const to = this.byClient.get(node)!;
-        const life = to.life;
+        const life = to.incarnation;
         let over = false;
         const end = (x: { status: number; body: Json } | undefined): void => {
           if (!over) {
@@ -621,7 +621,7 @@
         };
         const stop = this.at(timeoutMs, () => end(undefined));
         const sent = JSON.stringify(body);
-        let way = this.way(to.slowMs);
+        let way = this.way(to.maxExtraDelayMs);
         // What is written to one connection arrives in order.
         if (line) {
           way = Math.max(way, line.at - this.now);
@@ -629,16 +629,16 @@
         }
         const back = (w: number): number => (line ? this.inOrder(`${node} ${line.name} back`, w) : w);
         this.at(way, () => {
-          if (!to.up || to.life !== life || !to.edge) {
+          if (!to.up || to.incarnation !== life || !to.edge) {
             end(undefined);
             return;
           }
           to.calls.add(broken);
           const taken = (): void => {
             void to.edge!.handle(method, JSON.parse(sent)).then((r) => {
-              if (!to.up || to.life !== life) return;
+              if (!to.up || to.incarnation !== life) return;
               const raw = JSON.stringify(r.body);
-              this.at(back(this.way(to.slowMs)), () => end({ status: r.status, body: JSON.parse(raw) }));
+              this.at(back(this.way(to.maxExtraDelayMs)), () => end({ status: r.status, body: JSON.parse(raw) }));
             });
           };
           line?.waiting.push(taken);
@@ -650,7 +650,7 @@
       }),
     attach: (node, body, onFrame, onEnd) => {
       const to = this.byClient.get(node)!;
-      const life = to.life;
+      const life = to.incarnation;
       let closed = false;
       let id = '';
       let last = 0;
@@ -664,23 +664,23 @@
         this.at(this.way(), ended);
       };
       const name = (body as { consumer?: string }).consumer ?? '';
-      this.deaf.delete(name);
+      this.halfOpenConsumers.delete(name);
       // One stream is one TCP connection: what is written arrives in order.
       const toClient = (fn: () => void): void => {
-        const t = Math.max(last, this.now + this.way(to.slowMs));
+        const t = Math.max(last, this.now + this.way(to.maxExtraDelayMs));
         last = t;
         this.at(t - this.now, fn);
       };
-      this.at(this.way(to.slowMs), () => {
+      this.at(this.way(to.maxExtraDelayMs), () => {
         if (closed) return;
-        if (!to.up || to.life !== life || !to.edge) {
+        if (!to.up || to.incarnation !== life || !to.edge) {
           ended();
           return;
         }
         to.streams.add(reset);
         this.work(to, life, () => {
           if (closed) return;
-          const rate = this.thin.get(name);
+          const rate = this.linkBytesPerS.get(name);
           let backlog = 0;
           const r = to.edge!.attach(body, {
             write: (frames) => {
@@ -699,7 +699,7 @@
               }
               toClient(() => {
                 for (const line of s.split('\n'))
-                  if (line && !closed && !this.deaf.has(name)) onFrame(JSON.parse(line) as Frame);
+                  if (line && !closed && !this.halfOpenConsumers.has(name)) onFrame(JSON.parse(line) as Frame);
               });
               return backlog <= 65_536;
             },
--- a/packages/trial/src/actors.ts
+++ b/packages/trial/src/simulated-clients.ts
@@ -7,40 +7,40 @@
  * A connection on which several visits may be on their way: when the last of them arrives, and those that arrived and
  * were not read. Answers come back in the order in which they were given.
  */
-export interface Line {
+export interface OrderedConnection {
   name: string;
   at: number;
   waiting: (() => void)[];
 }
 
 /** The outside's way to a fleet; the simulator's and the real one stand behind it. Nodes are client addresses. */
-export interface Way {
+export interface ClientTransport {
   /** With a `line`, visits to one node arrive in the order in which they were made; real ones may not. */
   visit(
     node: string,
     method: string,
     body: unknown,
     timeoutMs: number,
-    line?: Line,
+    line?: OrderedConnection,
   ): Promise<{ status: number; body: Json } | undefined>;
   attach(node: string, body: unknown, onFrame: (f: Frame) => void, onEnd: () => void): () => void;
   /** What a platform knows: nodes that take conns and call themselves well, in a domain or anywhere. */
   nodes(domain?: string): string[];
 }
 
-export interface World {
+export interface ClientContext {
   clock: Clock;
   random: RandomSource;
-  way: Way;
+  clientTransport: ClientTransport;
   journal: Journal;
 }
 
 /** Every try to publish has a number of its own. */
 let tries = 0;
 
-const pick = (w: World, domain?: string): string | undefined => {
-  const near = w.way.nodes(domain);
-  return randomSample(w.random, near.length ? near : w.way.nodes(), 1)[0];
+const pick = (w: ClientContext, domain?: string): string | undefined => {
+  const near = w.clientTransport.nodes(domain);
+  return randomSample(w.random, near.length ? near : w.clientTransport.nodes(), 1)[0];
 };
 
 /**
@@ -65,7 +65,7 @@
   readonly want: Set<string>;
 
   constructor(
-    private w: World,
+    private w: ClientContext,
     readonly name: string,
     public domain: string,
     topics: string[],
@@ -87,10 +87,10 @@
   }
   stop(): void {
     this.running = false;
-    this.drop('stop');
+    this.disconnect('stop');
   }
   /** The conn breaks; the consumer comes back by itself. */
-  drop(why = 'drop'): void {
+  disconnect(why = 'drop'): void {
     this.end(why);
   }
   /** The phone is gone without closing anything: no check-ins, nothing read, the other side is told nothing. */
@@ -102,9 +102,9 @@
     f?.();
   }
   /** Drops off and stays away for a while. */
-  async away(ms: number): Promise<void> {
+  async disconnectFor(ms: number): Promise<void> {
     this.running = false;
-    this.drop('away');
+    this.disconnect('away');
     await sleep(this.w.clock, ms);
     this.start();
   }
@@ -113,7 +113,7 @@
     this.want.delete(topic);
     const conn = this.conn;
     if (!conn) return;
-    const r = await this.w.way.visit(this.node!, 'Unsubscribe', { conn, topic }, 2_000);
+    const r = await this.w.clientTransport.visit(this.node!, 'Unsubscribe', { conn, topic }, 2_000);
     if (r?.status === 200) this.w.journal.add({ k: 'unsub.ok', consumer: this.name, conn, topic });
   }
 
@@ -158,7 +158,7 @@
 
   /** One conn's life; gives the time to wait before the next. */
   private one(node: string): Promise<number> {
-    const { random, way, clock, journal } = this.w;
+    const { random, clientTransport: way, clock, journal } = this.w;
     return new Promise((res) => {
       this.end('superseded');
       const life = ++this.life;
@@ -258,7 +258,7 @@
   }
 
   private async probes(conn: string, life: number, node: string): Promise<void> {
-    const { clock, random, way } = this.w;
+    const { clock, random, clientTransport: way } = this.w;
     let behind: number | undefined;
     while (this.life === life) {
       await sleep(clock, this.pingMs * (0.9 + 0.2 * random.next()));
@@ -278,7 +278,7 @@
   }
 
   async subscribe(conn: string, topic: string, life: number, node: string): Promise<void> {
-    const { clock, random, way, journal } = this.w;
+    const { clock, random, clientTransport: way, journal } = this.w;
     for (let i = 0; this.life === life && this.want.has(topic); i++) {
       const cursor = this.cursors.get(topic);
       journal.add({ k: 'sub.ask', consumer: this.name, conn, topic, cursor });
@@ -316,7 +316,7 @@
   private busy = new Set<string>();
   private running = false;
   constructor(
-    private w: World,
+    private w: ClientContext,
     readonly name: string,
     public domain: string,
     private topics: string[],
@@ -345,7 +345,7 @@
   async publish(topic: string): Promise<void> {
     if (this.busy.has(topic)) return;
     this.busy.add(topic);
-    const { clock, random, way, journal } = this.w;
+    const { clock, random, clientTransport: way, journal } = this.w;
     const seq = (this.seqs.get(topic) ?? 0) + 1;
     this.seqs.set(topic, seq);
     const body = `${this.name}:${topic}:${seq}:${Math.floor(random.next() * 1e6)}`.padEnd(
@@ -421,14 +421,14 @@
 type Told = { out: 'accepted' | 'rejected' | 'unknown'; tag: string; answered: boolean };
 /** One try to publish, written down. */
 async function publishOnce(
-  w: World,
+  w: ClientContext,
   p: { sender: string; topic: string; seq: number; body: string; node: string; domain: string; line?: string },
-  line?: Line,
+  line?: OrderedConnection,
 ): Promise<Told> {
   const n = ++tries;
   const { sender, topic, seq, body, node } = p;
   w.journal.add({ k: 'pub.try', try: n, ...p });
-  const r = await w.way.visit(node, 'Publish', { sender, topic, seq, body }, 5_000, line);
+  const r = await w.clientTransport.visit(node, 'Publish', { sender, topic, seq, body }, 5_000, line);
   const retryMs: number | undefined = r?.body?.rejected?.retryAfterMs ?? r?.body?.error?.retryAfterMs;
   const offset: number | undefined = r?.body?.accepted?.offset;
   const tag: string = offset !== undefined ? '' : (r?.body?.rejected?.reason ?? r?.body?.error?.tag ?? 'no answer');
@@ -456,16 +456,16 @@
  * @example
  * new Pipeliner(world, 'pipe', 'kaolack', 'warn/1', 80).start();
  */
-export class Pipeliner {
+export class PipelinedSender {
   private seq = 0;
   private running = false;
   /** Numbers without a final answer, in order; `again` when they must be sent anew. */
   private open = new Map<number, { body: string; again: boolean; tries: number }>();
   private node?: string;
-  private line: Line;
+  private line: OrderedConnection;
   private lines = 0;
   constructor(
-    private w: World,
+    private w: ClientContext,
     readonly name: string,
     public domain: string,
     readonly topic: string,
@@ -474,7 +474,7 @@
   ) {
     this.line = this.connection();
   }
-  private connection(): Line {
+  private connection(): OrderedConnection {
     return { name: `${this.name}/${++this.lines}`, at: 0, waiting: [] };
   }
 
@@ -541,7 +541,7 @@
  */
 export class Operator {
   constructor(
-    private w: World,
+    private w: ClientContext,
     private name: string,
   ) {}
 
@@ -551,7 +551,7 @@
     valid: boolean,
     expect?: number,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, clientTransport: way, random } = this.w;
     for (let i = 0; i < 25; i++) {
       const node = randomSample(random, way.nodes(), 1)[0];
       if (!node) {
@@ -594,7 +594,7 @@
     valid: boolean,
     document: unknown,
   ): Promise<{ out: string; version?: number }> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, clientTransport: way, random } = this.w;
     const changeId = `revision-${revision}`;
     for (let i = 0; i < 60; i++) {
       const node = randomSample(random, way.nodes(), 1)[0];
@@ -621,7 +621,7 @@
   }
 
   async read(last = false): Promise<number | undefined> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, clientTransport: way, random } = this.w;
     for (let i = 0; i < 20; i++) {
       const node = randomSample(random, way.nodes(), 1)[0];
       const asked = clock.now();
@@ -658,7 +658,7 @@
 
   /** Any operator's visit, again until it has an answer that is not 'come back'. */
   async ask(method: string, body: unknown): Promise<{ status: number; body: Json }> {
-    const { clock, way, random } = this.w;
+    const { clock, clientTransport: way, random } = this.w;
     for (let i = 0; i < 30; i++) {
       const node = randomSample(random, way.nodes(), 1)[0];
       const r = node ? await way.visit(node, method, body, 9_000) : undefined;
@@ -670,7 +670,7 @@
 
   /** Asks nodes which version they serve by. */
   async look(nodes: string[]): Promise<void> {
-    const { clock, journal, way } = this.w;
+    const { clock, journal, clientTransport: way } = this.w;
     await Promise.all(
       nodes.map(async (node) => {
         const asked = clock.now();
@@ -694,7 +694,7 @@
   }
 
   async count(topic: string): Promise<void> {
-    const { clock, journal, way, random } = this.w;
+    const { clock, journal, clientTransport: way, random } = this.w;
     const node = randomSample(random, way.nodes(), 1)[0];
     if (!node) return;
     const asked = clock.now();
@@ -713,13 +713,13 @@
  * @example
  * const m = new Marker(world); m.at = 3; m.start(nodes);
  */
-export class Marker {
+export class MarkerChecker {
   /** The newest marker; the one before is asked for too. */
   at = 0;
   private running = false;
   private seq = 0;
   constructor(
-    private w: World,
+    private w: ClientContext,
     private everyMs = 50,
   ) {}
 
@@ -735,7 +735,7 @@
   }
 
   private async ask(node: string, by: 'Publish' | 'Subscribe'): Promise<void> {
-    const { clock, way, journal } = this.w;
+    const { clock, clientTransport: way, journal } = this.w;
     let conn = '';
     for (let i = 0; this.running; i++) {
       await sleep(clock, this.everyMs);
@@ -805,7 +805,7 @@
  * @example
  * await audit(world, 'audit-1', config);
  */
-export async function audit(w: World, name: string, config: FleetConfig, forMs = 8_000): Promise<number> {
+export async function audit(w: ClientContext, name: string, config: FleetConfig, forMs = 8_000): Promise<number> {
   const { clock, journal } = w;
   const now = clock.now();
   const least = new Map<string, number>();
--- a/packages/trial/src/soak.ts
+++ b/packages/trial/src/soak.ts
@@ -5,14 +5,14 @@
 import { realClock, sleep } from '@harecross/kernel';
 import { consola } from 'consola';
 import yargs from 'yargs';
-import { audit, type Way, type World } from './actors.js';
-import { Fleet } from './fleet.js';
+import { audit, type ClientTransport, type ClientContext } from './simulated-clients.js';
+import { Fleet } from './process-fleet.js';
 import { Journal } from './journal.js';
-import { judge, SETTLE_MS, TIMELESS_RULES, type Violation } from './oracle.js';
-import { configOf, crowd, SMALL, type Site } from './scenario.js';
-import { seeded } from './sim.js';
+import { checkJournal, SETTLE_MS, TIMING_INDEPENDENT_RULES, type Violation } from './oracle.js';
+import { fleetConfigOf, createClients, SMALL, type DeploymentSpec } from './scenario.js';
+import { seededRandom } from './sim.js';
 import { drawSoak } from './soak/schedule.js';
-import { SOAK_LOSSES, SoakStage } from './soak/stage.js';
+import { SOAK_LOSSES, SoakStage } from './soak/fault-context.js';
 
 const options = yargs(process.argv.slice(2))
   .scriptName('soak')
@@ -38,16 +38,16 @@
 const IN_FORCE_MS = 3_000;
 
 /** Clients go on with a node until its process is gone, whatever it says of its condition. */
-const untilGone = (fleet: Fleet): Way => ({
-  ...fleet.way,
+const untilGone = (fleet: Fleet): ClientTransport => ({
+  ...fleet.clientTransport,
   nodes: (domain) =>
     fleet.relays
       .filter((proc) => proc.up && (domain === undefined || proc.config.domain === domain))
       .map((proc) => proc.config.client),
 });
 
-async function startFleet(site: Site, folder: string): Promise<Fleet> {
-  const fleet = await Fleet.of(site, folder);
+async function startFleet(site: DeploymentSpec, folder: string): Promise<Fleet> {
+  const fleet = await Fleet.create(site, folder);
   for (const proc of fleet.procs) {
     proc.config.losses = SOAK_LOSSES;
     fleet.writeConfig(proc);
@@ -57,18 +57,18 @@
 }
 
 async function soak(seed: number): Promise<boolean> {
-  const site: Site = { ...SMALL, relays: options.relays, relayDisks: 0, stores: options.stores };
+  const site: DeploymentSpec = { ...SMALL, relays: options.relays, relayDisks: 0, stores: options.stores };
   const folder = mkdtempSync(join(tmpdir(), 'harecross-soak-'));
   const beganAt = realClock.now();
-  const clock: World['clock'] = {
+  const clock: ClientContext['clock'] = {
     now: () => realClock.now() - beganAt,
     wall: () => realClock.wall(),
     after: (ms, fn) => realClock.after(ms, fn),
   };
   const journal = new Journal(() => clock.now());
   const fleet = await startFleet(site, folder);
-  const world: World = { clock, random: seeded(seed), way: untilGone(fleet), journal };
-  const { consumers, senders, operator } = crowd(world, site, { staysUntilEnd: true });
+  const world: ClientContext = { clock, random: seededRandom(seed), clientTransport: untilGone(fleet), journal };
+  const { consumers, senders, operator } = createClients(world, site, { staysUntilEnd: true });
   const tellNode = ({ config, role }: Fleet['procs'][number]): void =>
     journal.add({ k: 'node', node: config.client, domain: config.domain, role });
   const say = (line: string): void => {
@@ -77,17 +77,17 @@
   fleet.procs.forEach(tellNode);
   journal.add({ k: 'weather', well: [], ailing: [], able: true, rough: true, poor: [] });
   await sleep(realClock, START_MS);
-  await operator.submit('first', configOf(site), true);
+  await operator.submit('first', fleetConfigOf(site), true);
   for (const actor of [...consumers, ...senders]) actor.start();
   await sleep(realClock, CALM_MS);
 
-  const entries = drawSoak(seeded(seed), options.forS * 1000);
+  const entries = drawSoak(seededRandom(seed), options.forS * 1000);
   const stage = new SoakStage(fleet, site, operator, say, tellNode);
   await stage.play(entries);
   await sleep(realClock, CALM_MS);
   for (const sender of senders) sender.stop();
   await sleep(realClock, CALM_MS);
-  const audited = await audit(world, 'audit', configOf(site), AUDIT_MS);
+  const audited = await audit(world, 'audit', fleetConfigOf(site), AUDIT_MS);
   await sleep(realClock, SETTLE_MS);
   await operator.read(true);
   const ended = stage.endedByThemselves();
@@ -95,8 +95,8 @@
   for (const consumer of consumers) consumer.stop();
   await fleet.close();
 
-  const bad = judge(journal.seen, { wayMs: WAY_MS, timed: false, inForceMs: IN_FORCE_MS }).filter(({ rule }) =>
-    TIMELESS_RULES.includes(rule),
+  const bad = checkJournal(journal.seen, { observationDelayMs: WAY_MS, timed: false, configInForceMs: IN_FORCE_MS }).filter(({ rule }) =>
+    TIMING_INDEPENDENT_RULES.includes(rule),
   );
   report(seed, entries.length, fleet, journal, audited, bad);
   for (const process of ended) consola.error(`ended by itself: ${process}`);
--- a/packages/trial/src/soak/stage.ts
+++ b/packages/trial/src/soak/fault-injector.ts
@@ -1,11 +1,11 @@
 /** Does the entries of a soak to a fleet of real processes, within what the fleet has to bear. */
 import { rmSync } from 'node:fs';
 import { randomInt, randomSample, sleep, realClock, type RandomSource } from '@harecross/kernel';
-import type { Operator } from '../actors.js';
-import type { Fleet, Proc } from '../fleet.js';
-import { configOf, type Site } from '../scenario.js';
-import { seeded } from '../sim.js';
-import { Tolerance, type Claim, type Losable } from '../trouble/tolerance.js';
+import type { Operator } from '../simulated-clients.js';
+import type { Fleet, NodeProcess } from '../process-fleet.js';
+import { fleetConfigOf, type DeploymentSpec } from '../scenario.js';
+import { seededRandom } from '../sim.js';
+import { LossBudget, type LossClaim, type Losable } from '../trouble/loss-budget.js';
 import type { SoakEntry, SoakKind } from './schedule.js';
 
 /** Machines with a disk that may be lost at once. */
@@ -26,7 +26,7 @@
   removed = false;
   struck = false;
 
-  constructor(readonly proc: Proc) {}
+  constructor(readonly proc: NodeProcess) {}
 
   get counted(): boolean {
     return this.proc.config.data !== undefined;
@@ -42,16 +42,16 @@
 /** The fleet of a soak, and what can be done to it. */
 export class SoakStage {
   private readonly machines: Machine[];
-  private readonly tolerance = new Tolerance<Machine>(realClock, SOAK_LOSSES, SYNC_MS);
+  private readonly tolerance = new LossBudget<Machine>(realClock, SOAK_LOSSES, SYNC_MS);
   private readonly actions: Record<SoakKind, Action>;
   private changes = 0;
 
   constructor(
     private readonly fleet: Fleet,
-    private readonly site: Site,
+    private readonly site: DeploymentSpec,
     private readonly operator: Operator,
     private readonly say: (line: string) => void,
-    private readonly added: (proc: Proc) => void,
+    private readonly added: (proc: NodeProcess) => void,
   ) {
     this.machines = fleet.procs.map((proc) => new Machine(proc));
     this.actions = {
@@ -72,12 +72,12 @@
     const running: Promise<void>[] = [];
     for (const entry of entries) {
       await sleep(realClock, Math.max(0, beganAt + entry.atMs - realClock.now()));
-      running.push(this.actions[entry.kind](seeded(entry.seed)));
+      running.push(this.actions[entry.kind](seededRandom(entry.seed)));
     }
     await Promise.all(running);
   }
 
-  private async strike(random: RandomSource, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
+  private async strike(random: RandomSource, what: string, act: (proc: NodeProcess) => Promise<void>): Promise<void> {
     const claim = await this.tolerance.claim(() => this.strikable(), 1, random);
     if (!claim) return;
     await this.during(claim, what, act);
@@ -91,7 +91,7 @@
     return there.filter((machine) => machine.proc.role !== 'relay' || relays > LEAST_RELAYS);
   }
 
-  private async during(claim: Claim<Machine>, what: string, act: (proc: Proc) => Promise<void>): Promise<void> {
+  private async during(claim: LossClaim<Machine>, what: string, act: (proc: NodeProcess) => Promise<void>): Promise<void> {
     for (const machine of claim.machines) {
       machine.struck = true;
       this.say(`${what} ${machine.proc.name}`);
@@ -101,19 +101,19 @@
     for (const machine of claim.machines) machine.struck = false;
   }
 
-  private async terminate(proc: Proc, random: RandomSource): Promise<void> {
+  private async terminate(proc: NodeProcess, random: RandomSource): Promise<void> {
     await this.fleet.stop(proc);
     await sleep(realClock, between(random, RESTART_MS));
     this.fleet.start(proc);
   }
 
-  private async kill(proc: Proc, random: RandomSource): Promise<void> {
+  private async kill(proc: NodeProcess, random: RandomSource): Promise<void> {
     await this.fleet.kill(proc);
     await sleep(realClock, between(random, RESTART_MS));
     this.fleet.start(proc);
   }
 
-  private async freeze(proc: Proc, random: RandomSource): Promise<void> {
+  private async freeze(proc: NodeProcess, random: RandomSource): Promise<void> {
     this.fleet.signal(proc, 'SIGSTOP');
     await sleep(realClock, between(random, FREEZE_MS));
     this.fleet.signal(proc, 'SIGCONT');
@@ -141,7 +141,7 @@
 
   /** Only of processes that serve: one that is still loading has no handler for the signal yet. */
   private async reload(random: RandomSource): Promise<void> {
-    const serving = this.machines.filter((other) => !other.removed && other.isUp() && other.proc.well);
+    const serving = this.machines.filter((other) => !other.removed && other.isUp() && other.proc.healthy);
     const [machine] = randomSample(random, serving, 1);
     if (!machine) return;
     this.say(`SIGHUP ${machine.proc.name}`);
@@ -156,7 +156,7 @@
   private async change(): Promise<void> {
     const name = `extra${++this.changes}`;
     const family = { name, topics: [`${name}/*`], urgency: 'routine' as const, patienceMs: 2_000, memoryS: 30 };
-    const { out } = await this.operator.submit(`soak-${name}`, configOf(this.site, [family]), true);
+    const { out } = await this.operator.submit(`soak-${name}`, fleetConfigOf(this.site, [family]), true);
     this.say(`configuration with ${name}: ${out}`);
   }
 
@@ -170,7 +170,7 @@
     const successor = await this.addLike(old.proc);
     await hasStarted(successor.proc);
     successor.struck = false;
-    claim.succeeded(successor);
+    claim.replacedBy(successor);
     await sleep(realClock, SYNC_MS + randomInt(random, SYNC_MS));
     this.say(`${old.proc.name} goes for good`);
     old.removed = true;
@@ -178,7 +178,7 @@
     rmSync(old.proc.config.data!, { recursive: true, force: true });
   }
 
-  private async addLike(old: Proc): Promise<Machine> {
+  private async addLike(old: NodeProcess): Promise<Machine> {
     const proc = await this.fleet.add('store', old.config.domain);
     const { peer, client, data, seeds } = proc.config;
     Object.assign(proc.config, old.config, { peer, client, data, seeds });
@@ -197,9 +197,9 @@
 }
 
 /** A machine is back once its process answers: on a busy machine loading it takes seconds. */
-async function hasStarted(proc: Proc): Promise<void> {
+async function hasStarted(proc: NodeProcess): Promise<void> {
   const until = realClock.now() + START_LIMIT_MS;
-  while (!proc.answers && realClock.now() < until) await sleep(realClock, 50);
+  while (!proc.responding && realClock.now() < until) await sleep(realClock, 50);
 }
 
 const between = (random: RandomSource, [least, most]: readonly [number, number]): number =>
--- a/packages/trial/src/sweep.ts
+++ b/packages/trial/src/sweep.ts
@@ -1,12 +1,12 @@
 import { fork } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
-import { SCENARIOS } from './faults.js';
-import { recovery } from './oracle.js';
-import { DUNARE, play, SINE_SALOUM, SMALL, type Run, type Scenario, type Site } from './scenario.js';
-import { planOf, pairOf, showPlan, shrink, storm, type Step } from './storm.js';
+import { FAULT_SCENARIOS } from './faults.js';
+import { recoveryTimes } from './oracle.js';
+import { DUNARE, runScenario, SINE_SALOUM, SMALL, type ScenarioResult, type Scenario, type DeploymentSpec } from './scenario.js';
+import { randomFaults, faultPair, formatFaults, minimizeFaults, scheduleScenario, type ScheduledFault } from './fault-schedule.js';
 import yargs from 'yargs';
 
-const SITES = new Map<string, Site>([SMALL, SINE_SALOUM, DUNARE].map((s) => [s.name, s]));
+const SITES = new Map<string, DeploymentSpec>([SMALL, SINE_SALOUM, DUNARE].map((s) => [s.name, s]));
 
 const a = yargs(process.argv.slice(2))
   .scriptName('sweep')
@@ -46,26 +46,26 @@
 const keep = a.keep?.split(',').map(Number);
 
 /** What one name stands for, at a seed. */
-function scenarioOf(name: string, site: string, seed: number): { sc: Scenario; steps?: Step[] } {
+function scenarioOf(name: string, site: string, seed: number): { sc: Scenario; steps?: ScheduledFault[] } {
   const of = site === '-' ? undefined : SITES.get(site)!;
   if (name === 'pair' || name === 'storm') {
-    const all = name === 'pair' ? pairOf(seed) : planOf(seed, a.storm ?? 4);
+    const all = name === 'pair' ? faultPair(seed) : randomFaults(seed, a.storm ?? 4);
     const steps = all.filter((_, i) => !keep || keep.includes(i));
-    return { sc: storm(steps, of), steps };
+    return { sc: scheduleScenario(steps, of), steps };
   }
-  const sc = SCENARIOS.get(name)!;
+  const sc = FAULT_SCENARIOS.get(name)!;
   return { sc: { ...sc, ...(of ? { site: of } : {}), opts: { ...sc.opts, log: a.log } } };
 }
 
 async function one(name: string, site: string, seed: number): Promise<boolean> {
   const { sc, steps } = scenarioOf(name, site, seed);
   const label = `${site === '-' ? '' : `${site} `}${name} seed ${seed}`;
-  let r: Run;
+  let r: ScenarioResult;
   try {
-    r = await play(seed, sc);
+    r = await runScenario(seed, sc);
   } catch (e) {
     process.stdout.write(
-      `${label}: ${steps ? `${showPlan(steps)}: ` : ''}the run itself failed: ${e instanceof Error ? e.message : String(e)}\n`,
+      `${label}: ${steps ? `${formatFaults(steps)}: ` : ''}the run itself failed: ${e instanceof Error ? e.message : String(e)}\n`,
     );
     return false;
   }
@@ -75,12 +75,12 @@
   const lat = r.seen
     .flatMap((s) => (s.k === 'pub.answer' && s.out === 'accepted' ? [s.t - tried.get(s.try)!] : []))
     .sort((x, y) => x - y);
-  const back = recovery(r.seen);
+  const back = recoveryTimes(r.seen);
   let out = `${label}: ${acc}/${n('pub.try')} accepted, ${n('deliver')} delivered, ${n('conn.open')} conns, ${r.sim.events} events, accept p50/p99 ${quantile(lat, 0.5)}/${quantile(lat, 0.99)} ms, `;
   if (back)
     out += `back after ${back.accepted.quarterMs}/${back.accepted.mostMs} accepted and ${back.delivered.quarterMs}/${back.delivered.mostMs} delivered ms, `;
-  out += `${r.bad.length} violations\n`;
-  if (steps && (a.notes || r.bad.length)) out += `   ${showPlan(steps)}\n`;
+  out += `${r.violations.length} violations\n`;
+  if (steps && (a.notes || r.violations.length)) out += `   ${formatFaults(steps)}\n`;
   if (a.notes) for (const x of r.notes) out += `   ${x}\n`;
   if (a.counters)
     out += `   ${[...r.counters]
@@ -89,35 +89,35 @@
       .map(([k, v]) => `${k} ${v}`)
       .join(', ')}\n`;
   const rules = new Map<string, number>();
-  for (const v of r.bad) rules.set(v.rule, (rules.get(v.rule) ?? 0) + 1);
-  if (r.bad.length) out += `   BAD ${[...rules].map(([k, v]) => `${k} ${v}`).join(', ')}\n`;
-  for (const v of r.bad.slice(0, 8)) out += `   ${v.rule} at ${v.t}: ${v.what}\n`;
-  if (r.bad.length && a.lines) out += r.sim.lines.slice(-a.lines).join('\n') + '\n';
+  for (const v of r.violations) rules.set(v.rule, (rules.get(v.rule) ?? 0) + 1);
+  if (r.violations.length) out += `   BAD ${[...rules].map(([k, v]) => `${k} ${v}`).join(', ')}\n`;
+  for (const v of r.violations.slice(0, 8)) out += `   ${v.rule} at ${v.t}: ${v.what}\n`;
+  if (r.violations.length && a.lines) out += r.sim.lines.slice(-a.lines).join('\n') + '\n';
   process.stdout.write(out);
-  if (r.bad.length && steps && a.shrink) {
-    const least = await shrink(
+  if (r.violations.length && steps && a.shrink) {
+    const least = await minimizeFaults(
       steps,
-      async (some) => (await play(seed, storm(some, SITES.get(site)))).bad.map((v) => v.rule),
-      r.bad[0]!.rule,
+      async (some) => (await runScenario(seed, scheduleScenario(some, SITES.get(site)))).violations.map((v) => v.rule),
+      r.violations[0]!.rule,
     );
     const ids = least.map((s) => steps.indexOf(s)).join(',');
     process.stdout.write(
-      `   fewest: ${showPlan(least)}\n   again: npm run sweep -- --${name === 'pair' ? 'pairs' : `storm ${steps.length}`} --keep ${ids}${site === '-' ? '' : ` --site ${site}`} --from ${seed} --seeds 1\n`,
+      `   fewest: ${formatFaults(least)}\n   again: npm run sweep -- --${name === 'pair' ? 'pairs' : `storm ${steps.length}`} --keep ${ids}${site === '-' ? '' : ` --site ${site}`} --from ${seed} --seeds 1\n`,
     );
   }
-  return r.bad.length === 0;
+  return r.violations.length === 0;
 }
 
 if (a.run !== undefined) {
   const [site, name, seed] = a.run.split('/') as [string, string, string];
   process.exit((await one(name, site, Number(seed))) ? 0 : 1);
 }
-let names = a.only ? a.only.split(',') : [...SCENARIOS.keys()];
+let names = a.only ? a.only.split(',') : [...FAULT_SCENARIOS.keys()];
 if (a.storm !== undefined) names = ['storm'];
 if (a.pairs) names = ['pair'];
 for (const n of names) {
-  if (!SCENARIOS.has(n) && n !== 'pair' && n !== 'storm') {
-    process.stderr.write(`no scenario ${n}; there are: ${[...SCENARIOS.keys()].join(', ')}\n`);
+  if (!FAULT_SCENARIOS.has(n) && n !== 'pair' && n !== 'storm') {
+    process.stderr.write(`no scenario ${n}; there are: ${[...FAULT_SCENARIOS.keys()].join(', ')}\n`);
     process.exit(2);
   }
 }
--- a/packages/trial/src/test/acknowledged.test.ts
+++ b/packages/trial/src/test/acknowledged.test.ts
@@ -86,7 +86,7 @@
     const lone = f.controls[seed % 3]!;
     const others = f.controls.filter((c) => c !== lone);
     for (const c of others) f.sim.cut(lone.name, c.name);
-    const vain = f.sim.outside.visit(
+    const vain = f.sim.clientTransport.visit(
       lone.config.client,
       'SubmitConfig',
       { revision: 8, document: { n: 8 }, config: { families: FAMILIES } },
@@ -98,7 +98,7 @@
     // It may learn from the other side, through stores, that a higher one is in force: then 8 is settled.
     t.true(r === undefined || r.status !== 200 || r.body.revision === 9, JSON.stringify(r));
     t.is(await revisionAt(f, others[1]!), 9);
-    f.sim.heal();
+    f.sim.healAll();
     await f.pass(3_000);
     for (const n of f.controls) t.is(await revisionAt(f, n), 9, `seed ${seed}, ${n.name}`);
     f.sim.close();
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -1,4 +1,4 @@
-import { callFleet, newChangeId, type HttpAnswer, type Outcome } from 'harecross';
+import { callFleet, newChangeId, type HttpResponse, type Outcome } from 'harecross';
 import { Kernel, MEMBERSHIP, PEER_RPCS, isRepeatable, type PeerRpc, type RepeatablePeerRpc } from '@harecross/kernel';
 import { mayRepeat, Rpcs, type Method } from '@harecross/schema';
 import { emit } from '@harecross/schema/openapi';
@@ -77,7 +77,7 @@
 async function calling(
   method: Method,
   body: object,
-  answers: (HttpAnswer | { fails: string })[],
+  answers: (HttpResponse | { fails: string })[],
 ): Promise<{ outcome: Outcome; sent: number }> {
   let sent = 0;
   let now = 0;
@@ -93,12 +93,12 @@
         now += ms;
       },
     },
-    { at: ['a', 'b'], method, body, limitMs: 1_000, waitMs: 3_000 },
+    { at: ['a', 'b'], method, body, timeoutMs: 1_000, retryForMs: 3_000 },
   );
   return { outcome, sent };
 }
-const DONE: HttpAnswer = { status: 200, body: {} };
-const refusal = (tag: string): HttpAnswer => ({ status: 503, body: { error: { tag, step: 's', peer: 'p' } } });
+const DONE: HttpResponse = { status: 200, body: {} };
+const refusal = (tag: string): HttpResponse => ({ status: 503, body: { error: { tag, step: 's', peer: 'p' } } });
 /** A body that has what tells a repeat apart. */
 const KEYED = { changeId: 'one', revision: 1 };
 
@@ -202,13 +202,13 @@
   const s = await smallFleet(23);
   const [slow, quick] = s.relays as [SimNode, SimNode];
   await s.pass(2_000);
-  slow.slowMs = 300;
+  slow.maxExtraDelayMs = 300;
   for (let i = 0; i < 8; i++) {
     const name = `phone${i}`;
     let earlierEnded = false;
     let laterEnded = false;
     const attach = (n: SimNode, ended: () => void): (() => void) =>
-      s.sim.outside.attach(n.config.client, { consumer: name, pingS: 2 }, () => undefined, ended);
+      s.sim.clientTransport.attach(n.config.client, { consumer: name, pingS: 2 }, () => undefined, ended);
     attach(slow, () => {
       earlierEnded = true;
     });
--- a/packages/trial/src/test/client.test.ts
+++ b/packages/trial/src/test/client.test.ts
@@ -6,7 +6,7 @@
 import test from 'ava';
 import openapiTS, { astToString } from 'openapi-typescript';
 import ts from 'typescript';
-import { Fleet } from '../fleet.js';
+import { Fleet } from '../process-fleet.js';
 import { SMALL } from '../scenario.js';
 
 const schema = new URL('../../../schema/harecross.openapi.json', import.meta.url);
@@ -47,7 +47,7 @@
   rmSync(dir, { recursive: true, force: true });
   mkdirSync(dir, { recursive: true });
   const folder = mkdtempSync(join(tmpdir(), 'harecross-client-'));
-  const f = await Fleet.of({ ...SMALL, relays: 1, relayDisks: 0 }, folder);
+  const f = await Fleet.create({ ...SMALL, relays: 1, relayDisks: 0 }, folder);
   try {
     writeFileSync(join(dir, 'package.json'), '{"type":"module"}');
     writeFileSync(join(dir, 'harecross.d.ts'), astToString(await openapiTS(schema)));
@@ -62,7 +62,7 @@
     );
     t.regex(compile(dir, join(dir, 'wrong.ts')).join('\n'), /topik/, 'a wrong field does not compile');
     f.startAll();
-    for (let i = 0; i < 1_200 && !f.way.nodes().length; i++) await new Promise((r) => setTimeout(r, 50));
+    for (let i = 0; i < 1_200 && !f.clientTransport.nodes().length; i++) await new Promise((r) => setTimeout(r, 50));
     const { live } = (await import(pathToFileURL(join(dir, 'out', 'day.js')).href)) as {
       live: (base: string) => Promise<unknown>;
     };
--- a/packages/trial/src/test/config.test.ts
+++ b/packages/trial/src/test/config.test.ts
@@ -12,7 +12,7 @@
 import { familyOf, isUrgent, Patterns, urgencyOf, type Family, type FleetConfig, type Frame } from '@harecross/schema';
 import test from 'ava';
 import fc from 'fast-check';
-import { seeded, Sim, type SimNode } from '../sim.js';
+import { seededRandom, Sim, type SimNode } from '../sim.js';
 import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
 
 const SEED = 20_262;
@@ -459,7 +459,7 @@
     const s = await smallFleet(200 + i);
     const { sim } = s;
     const nodes = [...s.stores, ...s.relays];
-    const random = seeded(i);
+    const random = seededRandom(i);
     const what = (x: unknown): string => `run ${i}: ${JSON.stringify(x)}`;
     const sent = new Map(os.map((o) => [o.revision, o]));
     const told: { t: number; revision: number }[] = [];
@@ -469,7 +469,7 @@
         const asked = sim.now;
         tries++;
         const at = nodes[Math.floor(random.next() * nodes.length)]!;
-        const r = await sim.outside.visit(
+        const r = await sim.clientTransport.visit(
           at.config.client,
           'SubmitConfig',
           { revision: o.revision, document: o.document, config: o.config },
@@ -533,7 +533,7 @@
             break;
           case 'cut':
             for (const o of nodes) if (o !== n) sim.cut(o.name, n.name);
-            sim.clock.after(x.forMs, () => sim.heal());
+            sim.clock.after(x.forMs, () => sim.healAll());
             break;
         }
       });
@@ -578,7 +578,7 @@
   const nodes = [...s.stores, ...s.relays];
   const submit = async (n: SimNode, revision: number): Promise<{ ms: number; revision: number }> => {
     const from = s.sim.now;
-    const r = await s.sim.outside.visit(
+    const r = await s.sim.clientTransport.visit(
       n.config.client,
       'SubmitConfig',
       { revision, config: { families: FAMILIES } },
@@ -701,7 +701,7 @@
   // Without a bound on losses a founder waits some 4 s for other disks.
   await sim.run(2_000);
   let told: { status: number; body: unknown } | undefined;
-  void sim.outside
+  void sim.clientTransport
     .visit(nodes[2]!.config.client, 'SubmitConfig', { revision: 2, config: { families: FAMILIES } }, 9_000)
     .then((r) => {
       told = r;
@@ -712,7 +712,7 @@
   t.like(told?.body, { error: { tag: 'not_ready' } });
   await sim.run(8_000);
   for (const n of nodes) t.is(n.kernel!.use('register').value!.revision, 2);
-  const again = sim.outside.visit(
+  const again = sim.clientTransport.visit(
     nodes[1]!.config.client,
     'SubmitConfig',
     { revision: 2, config: { families: FAMILIES } },
@@ -729,7 +729,7 @@
   for (const n of s.stores) s.sim.kill(n);
   const got: string[] = [];
   const send = (revision: number): void => {
-    void s.sim.outside
+    void s.sim.clientTransport
       .visit(r1.config.client, 'SubmitConfig', { revision, config: { families: FAMILIES } }, 30_000)
       .then((r) => got.push(`${r!.status} ${r!.body.error?.tag ?? r!.body.revision}`));
   };
@@ -754,7 +754,7 @@
 
 /** Sends a revision and hangs up after 100 ms. */
 function sendOff(s: Small, n: SimNode, revision: number): void {
-  void s.sim.outside.visit(n.config.client, 'SubmitConfig', { revision, config: { families: FAMILIES } }, 100);
+  void s.sim.clientTransport.visit(n.config.client, 'SubmitConfig', { revision, config: { families: FAMILIES } }, 100);
 }
 
 test('a value is written once: its text is kept with it, an altered copy has its own, and a copy that says the same may have it', (t) => {
--- a/packages/trial/src/test/control-fleet.ts
+++ b/packages/trial/src/test/control-fleet.ts
@@ -80,7 +80,7 @@
       return machine;
     },
     ask: async (machine, method, body) =>
-      (await settled(sim, sim.outside.visit(machine.config.client, method, body, 6_000))) ?? {
+      (await settled(sim, sim.clientTransport.visit(machine.config.client, method, body, 6_000))) ?? {
         status: 0,
         body: undefined,
       },
--- a/packages/trial/src/test/cost.test.ts
+++ b/packages/trial/src/test/cost.test.ts
@@ -8,17 +8,17 @@
   await s.pass(15_000);
   const commits = (): number => s.sim.get(s.stores[0]!.name).db!.commits;
   const before = s.stores.map((n) => n.db!.commits);
-  s.sim.traffic.clear();
-  s.sim.measure = true;
+  s.sim.requestTraffic.clear();
+  s.sim.measureTraffic = true;
   await s.pass(10_000);
   t.deepEqual(
     s.stores.map((n) => n.db!.commits),
     before,
   );
   t.true(commits() > 0);
-  t.is(s.sim.traffic.get('Append'), undefined);
+  t.is(s.sim.requestTraffic.get('Append'), undefined);
   const pairs = s.stores.length * (s.stores.length - 1);
-  const beats = s.sim.traffic.get('Beats')!.n;
+  const beats = s.sim.requestTraffic.get('Beats')!.n;
   t.true(beats > 0 && beats <= pairs * 27, `${beats} beats between ${pairs} pairs in 25 periods`);
   const owned = s.stores.flatMap((n) => n.kernel!.use('owner').ownedShards());
   t.is(owned.length, 32);
@@ -41,7 +41,7 @@
   const last = (n: typeof copy): number => lastIdx(n.kernel!.use('copies').get(shard));
   await s.pass(600);
   t.true(last(copy) < last(owner));
-  s.sim.heal();
+  s.sim.healAll();
   await s.pass(3_000);
   t.is(last(copy), last(owner));
   s.sim.close();
--- a/packages/trial/src/test/cut-off.test.ts
+++ b/packages/trial/src/test/cut-off.test.ts
@@ -49,7 +49,7 @@
   limitMs = 6_000,
 ): Promise<Answer> {
   const askedAt = fleet.sim.now;
-  const result = await fleet.sim.outside.visit(node.config.client, method, body, limitMs);
+  const result = await fleet.sim.clientTransport.visit(node.config.client, method, body, limitMs);
   return {
     askedAt,
     tookMs: fleet.sim.now - askedAt,
@@ -115,12 +115,12 @@
     record(run.answers.others, send(fleet, other, 'ReadConfig', {}));
     if (sim.now < startedAt + 5_000)
       record(run.answers.orders, send(fleet, isolated, 'EmptyDisk', { disk: fleet.stores[0]!.name }));
-    if (sim.now > startedAt + 8_000) isolated.stepMs = seed % 2 ? 3_600_000 : -3_600_000;
+    if (sim.now > startedAt + 8_000) isolated.wallStepMs = seed % 2 ? 3_600_000 : -3_600_000;
     await fleet.pass(700);
     const isStale = isolated.kernel!.use('register').value!.revision !== ACKNOWLEDGED_REVISION;
     if (isStale && isolated.kernel!.use('register').hasReadLease()) run.servedOldMs.push(sim.now - acknowledgedAt);
   }
-  sim.heal();
+  sim.healAll();
   await fleet.pass(10_000);
   await Promise.all(pending);
   for (const node of [...controls, ...relays]) run.end.push(await readRevision(fleet, node));
@@ -205,7 +205,7 @@
   await fleet.pass(OUTAGE_MS);
   const before = relays[0]!.kernel!.use('register').value!.revision === INTERRUPTED_REVISION;
   for (const node of frozen.get(outage) ?? []) sim.thaw(node);
-  sim.heal();
+  sim.healAll();
   await fleet.pass(8_000);
   const after = (await readRevision(fleet, relays[0]!)) === INTERRUPTED_REVISION;
   sim.close();
