--- a/packages/trial/src/test/disk.test.ts
+++ b/packages/trial/src/test/disk.test.ts
@@ -20,7 +20,7 @@
 import { openDatabase, realClock, type Log } from '@harecross/kernel';
 import { lastIdx, NO_FENCE, DurableState, type Entry } from '@harecross/state';
 import test from 'ava';
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 const folder = (): string => mkdtempSync(join(tmpdir(), 'harecross-disk-'));
 const told: string[] = [];
@@ -236,7 +236,7 @@
       for (let i = 0; i < 5; i++) await new Promise((r) => setImmediate(r));
     };
     /** A file of which each block, and its cut, is as it was synced last or as it was made since. */
-    const random = seeded(7);
+    const random = seededRandom(7);
     const mixed = (f: string, lost: number): Buffer => {
       const [synced, is] = [safe.get(f)!, readFileSync(f)];
       const was = random.next() < lost ? synced : synced.subarray(0, is.length);
@@ -440,7 +440,7 @@
   await Promise.all(
     Array.from({ length: LANES }, async (_, lane) => {
       const dir = folder();
-      const random = seeded(lane + 1);
+      const random = seededRandom(lane + 1);
       const last = Array<number>(SHARDS).fill(0);
       const promised = Array<string>(SHARDS).fill(NO_FENCE);
       for (let i = 0; i < KILLS; i++) {
--- a/packages/trial/src/test/full-disk.test.ts
+++ b/packages/trial/src/test/full-disk.test.ts
@@ -5,8 +5,8 @@
 import { join } from 'node:path';
 import { isDiskUsable } from '@harecross/kernel';
 import test, { type ExecutionContext } from 'ava';
-import { seeded, type SimNode } from '../sim.js';
-import { freePorts } from '../fleet.js';
+import { seededRandom, type SimNode } from '../sim.js';
+import { freePorts } from '../process-fleet.js';
 import { controlFleet, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
@@ -25,7 +25,7 @@
 
 /** Text that does not compress, so that each order needs room on the voters' disks. */
 function textOf(revision: number): string {
-  const random = seeded(revision);
+  const random = seededRandom(revision);
   return Array.from({ length: DOCUMENT_PARTS + 200 * revision }, () => random.next().toString(36)).join('');
 }
 
--- a/packages/trial/src/test/gossip.test.ts
+++ b/packages/trial/src/test/gossip.test.ts
@@ -11,7 +11,7 @@
 import type { Clock } from '@harecross/kernel';
 import type { Fact, FleetValue } from '@harecross/control';
 import test from 'ava';
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 /** A clock that advances only when the test calls for it. */
 function manualClock(): Clock & { advance(ms: number): void } {
@@ -81,7 +81,7 @@
   const members = Array.from({ length: 90 }, (_, i) => `10.0.0.${i}:7100`);
   const inViews = new Map<string, number>();
   for (let node = 0; node < 300; node++) {
-    const view = new PeerView(seeded(node), 12);
+    const view = new PeerView(seededRandom(node), 12);
     for (const member of members) view.offer(member);
     t.is(view.peers().length, 12);
     for (const peer of view.peers()) inViews.set(peer, (inViews.get(peer) ?? 0) + 1);
--- a/packages/trial/src/test/grown-start.test.ts
+++ b/packages/trial/src/test/grown-start.test.ts
@@ -29,7 +29,7 @@
   const nodes: SimNode[] = [];
   const add = (name: string, role: 'control' | 'relay' | 'store', domain: string): void => {
     const n = sim.add(name, { role, domain, disk: role !== 'relay' });
-    n.load = { control: CONTROL, relay: RELAY, store: STORE }[role];
+    n.capacity = { control: CONTROL, relay: RELAY, store: STORE }[role];
     n.diskMs = 5;
     Object.assign(n.config, { losses: 2, applyMs: 4_000, firstStart: true });
     if (role === 'control') n.config.diskUses = ['seat', 'copies'];
@@ -41,7 +41,7 @@
     for (let i = 1; i <= stores; i++) add(`store-${zone}-${i}`, 'store', zone);
   }
   const seeds = nodes.slice(0, 3).map((n) => n.config.peer);
-  sim.measure = true;
+  sim.measureTraffic = true;
   for (const n of nodes) {
     n.config.seeds = seeds;
     sim.clock.after(sim.random.next() * START_MS, () => void sim.start(n));
@@ -74,7 +74,7 @@
 async function configure(sim: Sim, nodes: SimNode[]): Promise<void> {
   for (let i = 0; ; i++) {
     const at = nodes[i % ZONES.length]!;
-    const answer = await sim.outside.visit(
+    const answer = await sim.clientTransport.visit(
       at.config.client,
       'SubmitConfig',
       { revision: 1, ...longConfiguration() },
--- a/packages/trial/src/test/hunt.test.ts
+++ b/packages/trial/src/test/hunt.test.ts
@@ -3,11 +3,11 @@
 import { DurableState } from '@harecross/state';
 import test from 'ava';
 import type { Rule } from '../oracle.js';
-import { playDay } from '../trouble/day.js';
-import { DEPLOYMENTS, lightOf, type Deployment } from '../trouble/deployment.js';
-import { drawSchedule, readSchedule, showSchedule } from '../trouble/schedule.js';
+import { runFaultSchedule } from '../trouble/fault-run.js';
+import { DEPLOYMENTS, withFewClients, type Deployment } from '../trouble/deployment.js';
+import { drawSchedule, parseSchedule, formatSchedule } from '../trouble/schedule.js';
 
-const light = (name: string): Deployment => lightOf(DEPLOYMENTS.get(name)!);
+const light = (name: string): Deployment => withFewClients(DEPLOYMENTS.get(name)!);
 
 /** Days that every change must pass; seeds that a wider hunt found are added with their deployment. */
 const DAYS: [deployment: string, seed: number, troubles: number][] = [
@@ -18,9 +18,9 @@
 for (const [name, seed, count] of DAYS)
   test.serial(`${name}, seed ${seed}: a day of ${count} drawn troubles keeps the rules`, async (t) => {
     const troubles = drawSchedule(seed, count);
-    t.log(showSchedule(troubles));
-    const run = await playDay(seed, light(name), troubles);
-    t.deepEqual(run.bad, []);
+    t.log(formatSchedule(troubles));
+    const run = await runFaultSchedule(seed, light(name), troubles);
+    t.deepEqual(run.violations, []);
     t.true(run.seen.filter((s) => s.k === 'deliver').length > 200, 'the day was not empty');
   });
 
@@ -46,7 +46,7 @@
   target[plant.method] = plant.fault(old);
   try {
     for (const seed of plant.seeds) {
-      const { bad } = await playDay(seed, plant.deployment, readSchedule(plant.troubles));
+      const { violations: bad } = await runFaultSchedule(seed, plant.deployment, parseSchedule(plant.troubles));
       for (const { rule } of bad) rules.add(rule);
       if (plant.rules.some((rule) => rules.has(rule))) return 'found';
     }
--- a/packages/trial/src/test/linearizable.test.ts
+++ b/packages/trial/src/test/linearizable.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import { explain, type OrderAnswer, type RegisterCall } from '../linearizable.js';
+import { explain, type SubmitResponse, type RegisterCall } from '../linearizable.js';
 
-type Outcome = OrderAnswer['outcome'];
+type Outcome = SubmitResponse['outcome'];
 
 /** A submit from `invoked` to `returned`; `told` is the version and the revision in its answer. */
 function submit(
--- a/packages/trial/src/test/model-calls.test.ts
+++ b/packages/trial/src/test/model-calls.test.ts
@@ -1,6 +1,6 @@
 import { AcceptedConnection, AcceptedConnections, PeerLink, CONTROL_ID } from '@harecross/kernel';
 import test from 'ava';
-import { CALLS_PLAN, playCalls, type CallsPlan } from '../model-calls.js';
+import { CALLS_PLAN, simulateCalls, type CallsPlan } from '../model-calls.js';
 
 const SEEDS = 300;
 
@@ -43,7 +43,7 @@
   }
   try {
     for (let seed = 1; seed <= SEEDS; seed++) {
-      const { bad } = await playCalls(seed, plan);
+      const { violations: bad } = await simulateCalls(seed, plan);
       if (bad.length) return bad;
     }
     return [];
@@ -174,10 +174,10 @@
     let events = 0;
     const ended = new Map<string, number>();
     for (let seed = 1; seed <= SEEDS; seed++) {
-      const r = await playCalls(seed);
-      t.deepEqual(r.bad, [], `seed ${seed}`);
+      const r = await simulateCalls(seed);
+      t.deepEqual(r.violations, [], `seed ${seed}`);
       events += r.events;
-      for (const [how, n] of r.ended) ended.set(how, (ended.get(how) ?? 0) + n);
+      for (const [how, n] of r.outcomes) ended.set(how, (ended.get(how) ?? 0) + n);
     }
     t.log(`${events} events; ${JSON.stringify(Object.fromEntries(ended))}`);
     // A run in which nothing goes wrong shows nothing.
@@ -186,7 +186,7 @@
 );
 
 test.serial('the same seed gives the same run', async (t) => {
-  t.deepEqual(await playCalls(11), await playCalls(11));
+  t.deepEqual(await simulateCalls(11), await simulateCalls(11));
 });
 
 for (const plant of plants)
--- a/packages/trial/src/test/model.test.ts
+++ b/packages/trial/src/test/model.test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
-import { explore, PLANS, type ModelPlan } from '../model.js';
-import { exploreKey, KEY_PLANS, type KeyPlan } from '../model-key.js';
+import { exploreRegister, REGISTER_PLANS, type ModelPlan } from '../model.js';
+import { exploreShard, SHARD_PLANS, type ShardPlan } from '../model-key.js';
 
 // Sizes at which every order of messages can be followed; the command `npm run model` goes further.
-const TWO: ModelPlan = { ...PLANS.get('two-changes')!, retries: 0 };
-const LOSSY: ModelPlan = { ...PLANS.get('lossy-change')!, retries: 0 };
+const TWO: ModelPlan = { ...REGISTER_PLANS.get('two-changes')!, retries: 0 };
+const LOSSY: ModelPlan = { ...REGISTER_PLANS.get('lossy-change')!, retries: 0 };
 
 /**
  * States of each search, exactly: one more or fewer means that the code sends, accepts or hears something else, and is to be understood.
@@ -21,81 +21,81 @@
 ];
 for (const [what, plan, states] of WHOLE_SEARCHES) {
   test(`${what}, in every order: one chain of values, and nothing done is gone`, async (t) => {
-    const r = await explore(plan);
-    t.is(r.bad, undefined);
-    t.true(r.whole);
+    const r = await exploreRegister(plan);
+    t.is(r.violation, undefined);
+    t.true(r.complete);
     t.is(r.states, states);
   });
 }
 
 test('a seat goes to another disk beside a change: as far as the search goes', async (t) => {
-  const r = await explore({ ...PLANS.get('seat-change')!, mostStates: 4_000 });
-  t.is(r.bad, undefined);
+  const r = await exploreRegister({ ...REGISTER_PLANS.get('seat-change')!, maxStates: 4_000 });
+  t.is(r.violation, undefined);
   t.is(r.states, 4_000);
 });
 
 test('a voter is replaced by another in one step beside a change: as far as the search goes', async (t) => {
-  const r = await explore({ ...PLANS.get('voter-replaced')!, mostStates: 4_000 });
-  t.is(r.bad, undefined);
+  const r = await exploreRegister({ ...REGISTER_PLANS.get('voter-replaced')!, maxStates: 4_000 });
+  t.is(r.violation, undefined);
   t.is(r.states, 4_000);
 });
 
-const planted: [NonNullable<ModelPlan['planted']>, ModelPlan][] = [
+const planted: [NonNullable<ModelPlan['injectedFault']>, ModelPlan][] = [
   ['accepts below its promise', TWO],
   ['forgets its promise', TWO],
   ['hides what it accepted', TWO],
   ['comes back older', { ...TWO, restarts: 1 }],
-  ['heeds no voters before', PLANS.get('voter-replaced')!],
+  ['heeds no voters before', REGISTER_PLANS.get('voter-replaced')!],
 ];
 for (const [fault, plan] of planted) {
   test(`a seat that ${fault} is found out`, async (t) => {
-    const r = await explore({ ...plan, planted: fault });
-    t.truthy(r.bad);
-    t.log(`${r.states} states: ${r.bad!.what}`);
+    const r = await exploreRegister({ ...plan, injectedFault: fault });
+    t.truthy(r.violation);
+    t.log(`${r.states} states: ${r.violation!.what}`);
   });
 }
 
-const HANDOVER = KEY_PLANS.get('handover')!;
+const HANDOVER = SHARD_PLANS.get('handover')!;
 
 test('a key goes to another owner while a message is on its way, in every order', async (t) => {
-  const r = await exploreKey(HANDOVER);
-  t.is(r.bad, undefined);
-  t.true(r.whole);
+  const r = await exploreShard(HANDOVER);
+  t.is(r.violation, undefined);
+  t.true(r.complete);
   t.log(`${r.states} states`);
   t.true(r.states > 25_000, 'there were 53,648');
 });
 
 test('messages of a sender with a visit or an answer lost, in every order', async (t) => {
-  const r = await exploreKey(KEY_PLANS.get('lossy')!);
-  t.is(r.bad, undefined);
-  t.true(r.whole);
+  const r = await exploreShard(SHARD_PLANS.get('lossy')!);
+  t.is(r.violation, undefined);
+  t.true(r.complete);
   t.log(`${r.states} states`);
   t.true(r.states > 1_500, 'there were 3,383');
 });
 
 test('a key goes to another owner and a node begins anew: as far as the search goes', async (t) => {
-  const r = await exploreKey({ ...KEY_PLANS.get('handover-restart')!, mostStates: 10_000 });
-  t.is(r.bad, undefined);
+  const r = await exploreShard({ ...SHARD_PLANS.get('handover-restart')!, maxStates: 10_000 });
+  t.is(r.violation, undefined);
   t.is(r.states, 10_000);
 });
 
 test('a copy is replaced in one step while an owner of the generation before takes the key: as far as the search goes', async (t) => {
-  const r = await exploreKey({ ...KEY_PLANS.get('replacement')!, mostStates: 10_000 });
-  t.is(r.bad, undefined);
+  const r = await exploreShard({ ...SHARD_PLANS.get('replacement')!, maxStates: 10_000 });
+  t.is(r.violation, undefined);
   t.is(r.states, 10_000);
 });
 
-const plantedKey: [NonNullable<KeyPlan['planted']>, KeyPlan][] = [
+const plantedKey: [NonNullable<ShardPlan['injectedFault']>, ShardPlan][] = [
   ['takes lower fences', HANDOVER],
   ['hides its history', HANDOVER],
-  ['heeds no copies before', KEY_PLANS.get('replacement')!],
+  ['heeds no copies before', SHARD_PLANS.get('replacement')!],
   ['forgets its promise', { ...HANDOVER, restarts: 1 }],
   ['answers before it has synced', { ...HANDOVER, restarts: 1 }],
 ];
 for (const [fault, plan] of plantedKey) {
   test(`a copy that ${fault} is found out`, async (t) => {
-    const r = await exploreKey({ ...plan, planted: fault });
-    t.truthy(r.bad);
-    t.log(`${r.states} states: ${r.bad!.what}`);
+    const r = await exploreShard({ ...plan, injectedFault: fault });
+    t.truthy(r.violation);
+    t.log(`${r.states} states: ${r.violation!.what}`);
   });
 }
--- a/packages/trial/src/test/oracle.test.ts
+++ b/packages/trial/src/test/oracle.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava';
-import { SCENARIOS } from '../faults.js';
-import type { Seen } from '../journal.js';
-import { judge, RULES, type Rule } from '../oracle.js';
-import { configOf, play, SMALL } from '../scenario.js';
+import { FAULT_SCENARIOS } from '../faults.js';
+import type { JournalEvent } from '../journal.js';
+import { checkJournal, RULES, type Rule } from '../oracle.js';
+import { fleetConfigOf, runScenario, SMALL } from '../scenario.js';
 
-type Of<K extends Seen['k']> = Extract<Seen, { k: K }>;
+type Of<K extends JournalEvent['k']> = Extract<JournalEvent, { k: K }>;
 const SEED = 11;
 
 /** A clean day with everything in it, then one lie told about it for each rule. */
-const run = play(SEED, {
-  forMs: 60_000,
+const run = runScenario(SEED, {
+  faultPhaseMs: 60_000,
   faults: async (s) => {
-    await SCENARIOS.get('churn')!.faults(s);
-    await SCENARIOS.get('late-change')!.faults(s);
+    await FAULT_SCENARIOS.get('churn')!.faults(s);
+    await FAULT_SCENARIOS.get('late-change')!.faults(s);
     await s.crowd.operator.submit('broken', { families: 3 }, false);
-    s.world.journal.add({ k: 'closing' });
+    s.clientContext.journal.add({ k: 'closing' });
     await new Promise<void>((r) => {
       s.sim.clock.after(17_000, r);
     });
@@ -22,32 +22,32 @@
 });
 const clean = run.then((r) => r.seen);
 
-const find = <K extends Seen['k']>(seen: Seen[], k: K, ok: (s: Of<K>) => boolean = () => true): Of<K> => {
+const find = <K extends JournalEvent['k']>(seen: JournalEvent[], k: K, ok: (s: Of<K>) => boolean = () => true): Of<K> => {
   const s = seen.find((x) => x.k === k && ok(x as Of<K>));
   if (!s) throw new Error(`the clean day has no fitting ${k}`);
   return s as Of<K>;
 };
-const after = (seen: Seen[], s: Seen, ...more: Seen[]): Seen[] => [
+const after = (seen: JournalEvent[], s: JournalEvent, ...more: JournalEvent[]): JournalEvent[] => [
   ...seen.slice(0, seen.indexOf(s) + 1),
   ...more,
   ...seen.slice(seen.indexOf(s) + 1),
 ];
-const change = (seen: Seen[], s: Seen, x: object): Seen[] => seen.map((y) => (y === s ? ({ ...y, ...x } as Seen) : y));
+const change = (seen: JournalEvent[], s: JournalEvent, x: object): JournalEvent[] => seen.map((y) => (y === s ? ({ ...y, ...x } as JournalEvent) : y));
 /** A delivery that has others before and behind it on its conn and topic. */
-const middle = (seen: Seen[]): Of<'deliver'> => {
+const middle = (seen: JournalEvent[]): Of<'deliver'> => {
   const n = new Map<string, Of<'deliver'>[]>();
   for (const s of seen)
     if (s.k === 'deliver') n.set(`${s.conn} ${s.topic}`, [...(n.get(`${s.conn} ${s.topic}`) ?? []), s]);
   return [...n.values()].find((l) => l.length >= 5)![2]!;
 };
 /** A delivery at a time when nothing was wrong, on a conn that lives on. */
-const calm = (seen: Seen[]): Of<'deliver'> => {
+const calm = (seen: JournalEvent[]): Of<'deliver'> => {
   const ends = new Map(seen.flatMap((s) => (s.k === 'conn.end' ? [[s.conn, s.t] as const] : [])));
   return find(seen, 'deliver', (s) => s.t > 26_000 && s.t < 28_000 && (ends.get(s.conn) ?? Infinity) > s.t + 4_000);
 };
-const taken = (seen: Seen[]): Of<'cfg.answer'> => find(seen, 'cfg.answer', (s) => s.out === 'taken' && s.version! > 2);
+const taken = (seen: JournalEvent[]): Of<'cfg.answer'> => find(seen, 'cfg.answer', (s) => s.out === 'taken' && s.version! > 2);
 
-const lies: Record<Rule, (seen: Seen[]) => Seen[]> = {
+const lies: Record<Rule, (seen: JournalEvent[]) => JournalEvent[]> = {
   once: (l) => {
     const d = middle(l);
     return after(l, d, { ...d });
@@ -179,7 +179,7 @@
   read_back: (l) => {
     const r = find(l, 'cfg.read', (s) => s.last === true);
     return change(l, r, {
-      config: configOf(SMALL, [{ name: 'other', topics: ['o'], urgency: 'routine', patienceMs: 1_000, memoryS: 5 }]),
+      config: fleetConfigOf(SMALL, [{ name: 'other', topics: ['o'], urgency: 'routine', patienceMs: 1_000, memoryS: 5 }]),
     });
   },
   served: (l) => {
@@ -211,7 +211,7 @@
 };
 
 /** Lies that the judge of the first landing let pass (docs/measurements.md has its verdicts). */
-const sharper: [string, Rule, (seen: Seen[]) => Seen[]][] = [
+const sharper: [string, Rule, (seen: JournalEvent[]) => JournalEvent[]][] = [
   [
     'a message on a topic nobody follows is not there when it is read back',
     'lost',
@@ -242,7 +242,7 @@
     (l) => {
       const d = middle(l);
       const end = l.at(-1)!.t;
-      const gone: Seen[] = [
+      const gone: JournalEvent[] = [
         { k: 'cfg.submit', t: end - 900, changeId: 'void', config: { families: [] }, valid: true },
         { k: 'cfg.answer', t: end - 800, changeId: 'void', out: 'taken', version: 10_000 },
         { k: 'cfg.read', t: end - 100, asked: end - 500, version: 10_000, config: { families: [] }, last: true },
@@ -323,7 +323,7 @@
       const tries = new Set(l.flatMap((s) => (s.k === 'pub.try' && s.domain === 'b' ? [s.try] : [])));
       return l.map((s) =>
         s.k === 'pub.answer' && s.t > c.t && tries.has(s.try)
-          ? ({ ...s, out: 'rejected', offset: undefined } as Seen)
+          ? ({ ...s, out: 'rejected', offset: undefined } as JournalEvent)
           : s,
       );
     },
@@ -400,7 +400,7 @@
               status: 503,
               tag: 'not_ready',
               retryMs: 500,
-            } as Seen)
+            } as JournalEvent)
           : s,
       );
     },
@@ -499,8 +499,8 @@
     'skipped',
     (l) => {
       const d = middle(l);
-      const families = configOf(SMALL).families.map((f) => ({ ...f, name: `${f.name} anew` }));
-      return l.flatMap((s): Seen[] =>
+      const families = fleetConfigOf(SMALL).families.map((f) => ({ ...f, name: `${f.name} anew` }));
+      return l.flatMap((s): JournalEvent[] =>
         s !== d
           ? [s]
           : [
@@ -520,28 +520,28 @@
   ],
 ];
 /** Configurations by revision, taken at these times. */
-function revised(xs: [revision: number, version: number, t: number][]): Seen[] {
-  return xs.flatMap(([revision, version, t]): Seen[] => [
+function revised(xs: [revision: number, version: number, t: number][]): JournalEvent[] {
+  return xs.flatMap(([revision, version, t]): JournalEvent[] => [
     {
       k: 'cfg.submit',
       t: t - 100,
       changeId: `revision-${revision}`,
       revision,
       document: { n: revision },
-      config: configOf(SMALL),
+      config: fleetConfigOf(SMALL),
       valid: true,
     },
     { k: 'cfg.answer', t, asked: t - 100, changeId: `revision-${revision}`, out: 'taken', version, revision },
   ]);
 }
 /** Configurations with a marker each, taken at these times. */
-function marked(xs: [mark: number, version: number, t: number][]): Seen[] {
-  return xs.flatMap(([mark, version, t]): Seen[] => [
+function marked(xs: [mark: number, version: number, t: number][]): JournalEvent[] {
+  return xs.flatMap(([mark, version, t]): JournalEvent[] => [
     {
       k: 'cfg.submit',
       t: t - 100,
       changeId: `m${mark}`,
-      config: configOf(SMALL, [
+      config: fleetConfigOf(SMALL, [
         { name: 'm', topics: [`mark/${mark}`], urgency: 'routine', patienceMs: 1_000, memoryS: 5 },
       ]),
       valid: true,
@@ -553,7 +553,7 @@
 for (const [what, rule, lie] of sharper) {
   test(`the oracle sees a lie: ${what}`, async (t) => {
     const l = await clean;
-    const told = judge(lie(l));
+    const told = checkJournal(lie(l));
     if (process.env.OLD_JUDGE) {
       const old = await import(process.env.OLD_JUDGE);
       t.log(
@@ -569,12 +569,12 @@
 
 test('a clean day is called clean', async (t) => {
   t.log(`seed ${SEED}`);
-  t.deepEqual((await run).bad, []);
+  t.deepEqual((await run).violations, []);
 });
 
 for (const rule of RULES) {
   test(`the oracle sees a lie about: ${rule}`, async (t) => {
-    const told = judge(lies[rule](await clean));
+    const told = checkJournal(lies[rule](await clean));
     t.true(
       told.some((v) => v.rule === rule),
       `got ${[...new Set(told.map((v) => v.rule))].join(', ') || 'nothing'}`,
--- a/packages/trial/src/test/order-race.ts
+++ b/packages/trial/src/test/order-race.ts
@@ -1,6 +1,6 @@
 import { REGISTER, sleep } from '@harecross/kernel';
 import type { RegisterCall } from '../linearizable.js';
-import { seeded, type SimNode } from '../sim.js';
+import { seededRandom, type SimNode } from '../sim.js';
 import { FAMILIES, settled, smallFleet, type Small } from './small-fleet.js';
 
 /** An operator goes elsewhere after a second of silence. */
@@ -39,7 +39,7 @@
  */
 export async function race(seed: number, operators: number): Promise<Race> {
   const s = await smallFleet(seed);
-  const random = seeded(seed + 77_777);
+  const random = seededRandom(seed + 77_777);
   const nodes = [...s.stores, ...s.relays];
   const any = <T>(list: readonly T[]): T => list[Math.floor(random.next() * list.length)]!;
   const seen: Race = { calls: [], wrong: [], lost: 0, conflicts: 0 };
@@ -49,7 +49,7 @@
   const send = async (order: Order): Promise<void> => {
     const { sim } = s;
     const invoked = sim.now;
-    const got = await sim.outside.visit(any(nodes).config.client, 'SubmitConfig', bodyOf(order), PATIENCE_MS);
+    const got = await sim.clientTransport.visit(any(nodes).config.client, 'SubmitConfig', bodyOf(order), PATIENCE_MS);
     const base = { kind: 'submit' as const, invoked, ...order };
     if (got && random.next() < LOST_SHARE) seen.lost++;
     else if (got?.status === 200) {
@@ -69,7 +69,7 @@
   };
   const read = async (node: SimNode, patienceMs: number): Promise<boolean> => {
     const invoked = s.sim.now;
-    const got = await s.sim.outside.visit(node.config.client, 'ReadConfig', {}, patienceMs);
+    const got = await s.sim.clientTransport.visit(node.config.client, 'ReadConfig', {}, patienceMs);
     if (got?.status !== 200) return false;
     const { version, revision, document } = got.body;
     const content = document?.content;
@@ -130,7 +130,7 @@
   } else if (kind < 0.6) {
     for (const other of sim.nodes.values()) if (other !== node) sim.cut(node.name, other.name, kind < 0.5);
     await pause(TROUBLE_MS * length);
-    sim.heal();
+    sim.healAll();
   } else if (kind < 0.8) {
     sim.freeze(node);
     await pause(TROUBLE_MS * length);
--- a/packages/trial/src/test/orders.test.ts
+++ b/packages/trial/src/test/orders.test.ts
@@ -198,7 +198,7 @@
     const disk = a.kernel!.use('register').disk!;
     register.callVoters = (disks, method, body) =>
       callVoters(method === 'RegAccept' ? disks.filter((d) => d === disk) : disks, method, body);
-    void fleet.sim.outside.visit(r1.config.client, 'SubmitConfig', submission, 900);
+    void fleet.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', submission, 900);
     await fleet.pass(60);
     for (const other of [b, c, r2]) fleet.sim.cut(a.name, other.name);
     fleet.sim.kill(r1);
@@ -209,7 +209,7 @@
       [400, 'invalid_config'],
       `${by}: the planned move is in the past`,
     );
-    fleet.sim.heal();
+    fleet.sim.healAll();
     await fleet.pass(10_000);
     t.is((await fleet.ask(b, 'ReadConfig', {})).body.version, 1, `${by}: it stays rejected`);
     fleet.sim.close();
@@ -226,10 +226,10 @@
     for (const node of fleet.sim.nodes.values()) if (node !== r1) fleet.sim.cut(r1.name, node.name);
     await fleet.pass(1_000);
     const submission = { revision: 50, config: configOf('late') };
-    void fleet.sim.outside.visit(r1.config.client, 'SubmitConfig', submission, 900);
+    void fleet.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', submission, 900);
     await fleet.pass(waitMs);
     t.is(valueOf(fleet.stores[0]!).revision, undefined);
-    fleet.sim.heal();
+    fleet.sim.healAll();
     await fleet.pass(30_000);
     for (const node of fleet.sim.nodes.values())
       t.is(valueOf(node).revision, takesEffect ? 50 : undefined, `${waitMs} ms, at ${node.name}`);
@@ -243,7 +243,7 @@
   for (const node of fleet.stores) fleet.sim.kill(node);
   const received = new Map<string, number>();
   const send = (submission: object): void => {
-    void fleet.sim.outside.visit(r1.config.client, 'SubmitConfig', submission, 30_000).then((answer) => {
+    void fleet.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', submission, 30_000).then((answer) => {
       const tag = `${answer!.status} ${answer!.body.error?.tag}`;
       received.set(tag, (received.get(tag) ?? 0) + 1);
     });
@@ -283,7 +283,7 @@
     const submissions = Array.from({ length: 8 }, async (_, i) => {
       const changed = families.map((f, j) => (j === i ? { ...f, patienceMs: 1_000 + i } : f));
       const submission = { revision: 10 + i, config: { families: changed }, document: { routes: changed } };
-      const answer = await fleet.sim.outside.visit(
+      const answer = await fleet.sim.clientTransport.visit(
         nodes[i % nodes.length]!.config.client,
         'SubmitConfig',
         submission,
--- a/packages/trial/src/test/overlapping-losses.test.ts
+++ b/packages/trial/src/test/overlapping-losses.test.ts
@@ -80,7 +80,7 @@
     await fleet.pass(1_500);
     faults.push(...(await staleReads(fleet, newest)));
   }
-  fleet.sim.heal();
+  fleet.sim.healAll();
   await fleet.pass(8_000);
   faults.push(...(await staleReads(fleet, newest)));
   for (const { topic, seq, offset } of acknowledged) {
--- a/packages/trial/src/test/peer-net.test.ts
+++ b/packages/trial/src/test/peer-net.test.ts
@@ -10,7 +10,7 @@
   type TransportLimits,
 } from '@harecross/kernel';
 import test, { type ExecutionContext } from 'ava';
-import { freePorts } from '../fleet.js';
+import { freePorts } from '../process-fleet.js';
 
 const LONG = 60_000;
 const fault = (p: Promise<unknown>): Promise<ErrorDetails | 'answered'> =>
--- a/packages/trial/src/test/plant-tests.ts
+++ b/packages/trial/src/test/plant-tests.ts
@@ -16,9 +16,9 @@
 import { SHARD, SyncedDatabase, HarecrossError } from '@harecross/kernel';
 import { senderKey, DurableState } from '@harecross/state';
 import test from 'ava';
-import { SCENARIOS } from '../faults.js';
+import { FAULT_SCENARIOS } from '../faults.js';
 import type { Rule } from '../oracle.js';
-import { play, type Scenario } from '../scenario.js';
+import { runScenario, type Scenario } from '../scenario.js';
 
 /** Puts a fault into the code itself, runs days until one shows it, and puts the code back. */
 async function planted(
@@ -37,7 +37,7 @@
   const out = new Map<Rule, number>();
   try {
     for (const s of seeds) {
-      for (const v of (await play(s, sc)).bad) out.set(v.rule, (out.get(v.rule) ?? 0) + 1);
+      for (const v of (await runScenario(s, sc)).violations) out.set(v.rule, (out.get(v.rule) ?? 0) + 1);
       if (rules.some((r) => out.has(r))) break;
     }
   } finally {
@@ -45,7 +45,7 @@
   }
   return out;
 }
-const of = (name: string): Scenario => SCENARIOS.get(name)!;
+const of = (name: string): Scenario => FAULT_SCENARIOS.get(name)!;
 
 interface Plant {
   what: string;
--- a/packages/trial/src/test/platform-access.test.ts
+++ b/packages/trial/src/test/platform-access.test.ts
@@ -7,7 +7,7 @@
 import test, { type ExecutionContext } from 'ava';
 import fc from 'fast-check';
 import type { Json } from '../json.js';
-import { freePorts } from '../fleet.js';
+import { freePorts } from '../process-fleet.js';
 import { LineClient } from './platform-client.js';
 
 const SEED = 20_261;
--- a/packages/trial/src/test/platform-management.test.ts
+++ b/packages/trial/src/test/platform-management.test.ts
@@ -13,7 +13,7 @@
 import fc from 'fast-check';
 import { request } from 'undici';
 import type { Json } from '../json.js';
-import { freePorts } from '../fleet.js';
+import { freePorts } from '../process-fleet.js';
 import type { SimNode } from '../sim.js';
 import { LineClient } from './platform-client.js';
 import { smallFleet, type Small } from './small-fleet.js';
@@ -506,7 +506,7 @@
   for (const n of s.sim.nodes.values()) if (n !== relay) s.sim.cut(relay.name, n.name);
   await s.pass(REGISTER.applyMs);
   t.is(await ready(a), '503 draining', 'cut off');
-  s.sim.heal();
+  s.sim.healAll();
   await s.pass(3_000);
   t.is(await ready(a), '200 in_service', 'and back');
   const stopped = s.sim.stop(relay);
--- a/packages/trial/src/test/process.test.ts
+++ b/packages/trial/src/test/process.test.ts
@@ -8,8 +8,8 @@
 import test from 'ava';
 import type { Json } from '../json.js';
 import { request } from 'undici';
-import { Fleet, type Proc } from '../fleet.js';
-import { configOf, SMALL } from '../scenario.js';
+import { Fleet, type NodeProcess } from '../process-fleet.js';
+import { fleetConfigOf, SMALL } from '../scenario.js';
 
 const SITE = { ...SMALL, relays: 2, relayDisks: 0 };
 const program = (name: string): string => fileURLToPath(new URL(`../../../${name}/dist/main.js`, import.meta.url));
@@ -38,17 +38,17 @@
   throw new Error(`never: ${what}`);
 }
 
-const lines = (p: Proc): string => readFileSync(p.file.replace(/\.json$/, '.log'), 'utf8');
+const lines = (p: NodeProcess): string => readFileSync(p.file.replace(/\.json$/, '.log'), 'utf8');
 
 test.serial('a fleet of processes: founded, served, killed, restarted, reread, stopped', async (t) => {
   const folder = mkdtempSync(join(tmpdir(), 'harecross-test-'));
-  const f = await Fleet.of(SITE, folder);
+  const f = await Fleet.create(SITE, folder);
   try {
     f.startAll();
-    const [r1, r2] = f.relays as [Proc, Proc];
-    await eventually('both relays are ready', () => f.way.nodes().length === 2);
+    const [r1, r2] = f.relays as [NodeProcess, NodeProcess];
+    await eventually('both relays are ready', () => f.clientTransport.nodes().length === 2);
     const file = join(folder, 'families.json');
-    writeFileSync(file, JSON.stringify(configOf(SITE)));
+    writeFileSync(file, JSON.stringify(fleetConfigOf(SITE)));
     const at = ['--at', `${r1.config.client},${r2.config.client}`];
     const submit = await run('harecross', ['submit', file, '--change-id', 'one', ...at]);
     t.is(submit.code, 0, submit.err);
@@ -74,7 +74,7 @@
     const mine = JSON.parse((await run('harecross', ['read', ...at])).out);
     t.deepEqual(
       [mine.version, mine.revision, mine.document, mine.config],
-      [2, 30, { any: ['words', null] }, configOf(SITE)],
+      [2, 30, { any: ['words', null] }, fleetConfigOf(SITE)],
     );
     writeFileSync(file, '{"families": 5}');
     const bad = await run('harecross', ['submit', file, ...at]);
@@ -84,14 +84,14 @@
 
     // A consumer over HTTP.
     const frames: Frame[] = [];
-    const attach = (p: Proc): (() => void) =>
-      f.way.attach(
+    const attach = (p: NodeProcess): (() => void) =>
+      f.clientTransport.attach(
         p.config.client,
         { consumer: 'phone' },
         (x) => frames.push(x),
         () => undefined,
       );
-    const visit = (p: Proc, m: string, b: unknown) => f.way.visit(p.config.client, m, b, 30_000);
+    const visit = (p: NodeProcess, m: string, b: unknown) => f.clientTransport.visit(p.config.client, m, b, 30_000);
     const conn = (): string => (frames.filter((x) => x.t === 'ATTACHED').at(-1) as { conn: string }).conn;
     attach(r1);
     await eventually('attached', () => frames.length > 0);
@@ -99,7 +99,7 @@
     const publish = async (seq: number): Promise<number> => {
       let off = 0;
       await eventually(`message ${seq} accepted`, async () => {
-        const p = f.way.nodes().map((n) => f.relays.find((x) => x.config.client === n)!)[0];
+        const p = f.clientTransport.nodes().map((n) => f.relays.find((x) => x.config.client === n)!)[0];
         const r = p && (await visit(p, 'Publish', { sender: 's', topic: 'r/1', seq, body: `m${seq}` }));
         off = r?.body?.accepted?.offset ?? 0;
         return off > 0;
@@ -113,7 +113,7 @@
     // The whole fleet loses power; what was accepted is still there, and the same seq has its first outcome.
     await Promise.all(f.procs.map((p) => f.kill(p)));
     f.startAll();
-    await eventually('ready again', () => f.way.nodes().length === 2);
+    await eventually('ready again', () => f.clientTransport.nodes().length === 2);
     t.is(await publish(1), 1);
     t.is(await publish(2), 2);
     const n = frames.length;
--- a/packages/trial/src/test/rejoin.test.ts
+++ b/packages/trial/src/test/rejoin.test.ts
@@ -72,7 +72,7 @@
   const from = l.fleet.sim.now;
   await change(l, asked);
   if (l.fleet.sim.now - from > CURRENT_MS) l.wrong.push(`a change with its vote took ${l.fleet.sim.now - from} ms`);
-  l.fleet.sim.heal();
+  l.fleet.sim.healAll();
   await l.fleet.pass(2_000);
 }
 
@@ -120,7 +120,7 @@
   {
     what: 'cut off for long',
     leave: isolate,
-    back: (l) => l.fleet.sim.heal(),
+    back: (l) => l.fleet.sim.healAll(),
   },
   {
     what: 'frozen for long',
@@ -134,7 +134,7 @@
       l.fleet.sim.kill(n);
       void l.fleet.sim.start(n);
     },
-    back: (l) => l.fleet.sim.heal(),
+    back: (l) => l.fleet.sim.healAll(),
   },
 ];
 
@@ -169,7 +169,7 @@
       isolate(l, n);
       await l.fleet.pass(4_000 + i * 437);
       await change(l, l.fleet.controls[0]!);
-      l.fleet.sim.heal();
+      l.fleet.sim.healAll();
       await untilCurrent(l, n);
       await l.fleet.pass(3_000);
     }
@@ -187,7 +187,7 @@
   const victim = round % 2 ? third : first;
   l.revision++;
   const body = { revision: l.revision, document: {}, config: { families: FAMILIES } };
-  const sent = l.fleet.sim.outside.visit(first.config.client, 'SubmitConfig', body, 6_000);
+  const sent = l.fleet.sim.clientTransport.visit(first.config.client, 'SubmitConfig', body, 6_000);
   await l.fleet.pass(1 + round * 2);
   l.fleet.sim.kill(victim);
   await l.fleet.pass(round % 3 ? 2_000 : 50);
--- a/packages/trial/src/test/repair-priority.test.ts
+++ b/packages/trial/src/test/repair-priority.test.ts
@@ -40,7 +40,7 @@
       const body = { revision, document: { n: revision }, config: { families: FAMILIES } };
       for (let pauseMs = 50; !this.stopped; pauseMs = Math.min(800, 2 * pauseMs)) {
         const { client } = this.controls[at % this.controls.length]!.config;
-        const answer = await this.sim.outside.visit(client, 'SubmitConfig', body, OPERATOR_TIMEOUT_MS);
+        const answer = await this.sim.clientTransport.visit(client, 'SubmitConfig', body, OPERATOR_TIMEOUT_MS);
         if (answer?.status === 200) this.acknowledged = Math.max(this.acknowledged, revision);
         if (answer !== undefined && answer.status < 500) break;
         at++;
@@ -52,7 +52,7 @@
   private async read(first: number): Promise<void> {
     for (let at = first; !this.stopped; at++) {
       const { client } = this.controls[at % this.controls.length]!.config;
-      await this.sim.outside.visit(client, 'ReadConfig', {}, OPERATOR_TIMEOUT_MS);
+      await this.sim.clientTransport.visit(client, 'ReadConfig', {}, OPERATOR_TIMEOUT_MS);
       await sleep(this.sim.clock, 30);
     }
   }
--- a/packages/trial/src/test/resume.test.ts
+++ b/packages/trial/src/test/resume.test.ts
@@ -20,16 +20,16 @@
     };
     const subscribe = async (conn: string): Promise<void> => {
       while (!over) {
-        const r = await sim.outside.visit(relay, 'Subscribe', { conn, topic, cursor }, 2_000);
+        const r = await sim.clientTransport.visit(relay, 'Subscribe', { conn, topic, cursor }, 2_000);
         if (r?.status === 200) break;
         await sleep(sim.clock, 300);
       }
       while (!over) {
         await sleep(sim.clock, 1_500);
-        void sim.outside.visit(relay, 'CheckIn', { conn }, 1_000);
+        void sim.clientTransport.visit(relay, 'CheckIn', { conn }, 1_000);
       }
     };
-    const close = sim.outside.attach(
+    const close = sim.clientTransport.attach(
       relay,
       { consumer: name, pingS: 2 },
       (x: Frame) => {
@@ -56,7 +56,7 @@
     let n = 0;
     const say = (topic: string): void => {
       const relay = f.relays[Math.floor(random.next() * f.relays.length)]!;
-      void sim.outside
+      void sim.clientTransport
         .visit(relay.config.client, 'Publish', { sender: `desk${++n}`, topic, seq: 1, body: `message ${n}` }, 2_000)
         .then((r) => {
           if (r?.body.accepted) accepted.get(topic)!.push(r.body.accepted.offset);
--- a/packages/trial/src/test/retries.test.ts
+++ b/packages/trial/src/test/retries.test.ts
@@ -32,7 +32,7 @@
   const say = (): void => {
     under++;
     const topic = seq % 5 === 0 ? `alarm/${seq % 7}` : `feed/${seq % 40}`;
-    void sim.outside
+    void sim.clientTransport
       .visit(relay.config.client, 'Publish', { sender: `desk${seq}`, topic, seq: ++seq, body: 'x' }, 4_000)
       .then((r) => {
         under--;
@@ -57,7 +57,7 @@
   await traffic(4);
   const during = await traffic(4);
   t.true(under < 200, `${under} requests wait: refusals come at once`);
-  sim.heal();
+  sim.healAll();
   await traffic(3);
   const after = await traffic(3);
   t.log(
@@ -75,11 +75,11 @@
   const others = [...f.relays, ...f.stores];
   for (const n of [...f.controls, ...others]) f.sim.kill(n);
   for (const n of others) void f.sim.start(n);
-  f.sim.measure = true;
+  f.sim.measureTraffic = true;
   const asked = async (s: number): Promise<number> => {
-    f.sim.traffic.clear();
+    f.sim.requestTraffic.clear();
     await f.pass(s * 1_000);
-    return (f.sim.traffic.get('RegGet')?.n ?? 0) / s / others.length;
+    return (f.sim.requestTraffic.get('RegGet')?.n ?? 0) / s / others.length;
   };
   const first = await asked(3);
   await f.pass(500);
--- a/packages/trial/src/test/scale.test.ts
+++ b/packages/trial/src/test/scale.test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import { build, SMALL } from '../scenario.js';
+import { createMachines, SMALL } from '../scenario.js';
 import { Sim } from '../sim.js';
 
 /** KiB and visits between peers, per node and second, of a quiet fleet. */
 async function quiet(size: number): Promise<{ visits: number; kib: number }> {
   const sim = new Sim(71);
   const stores = Math.round(size / 4);
-  await build(sim, { ...SMALL, stores, relays: size - stores, relayDisks: 0, consumers: 0 });
+  await createMachines(sim, { ...SMALL, stores, relays: size - stores, relayDisks: 0, consumers: 0 });
   await sim.run(12_000);
-  sim.measure = true;
+  sim.measureTraffic = true;
   await sim.run(16_000);
-  const all = [...sim.traffic.values()];
+  const all = [...sim.requestTraffic.values()];
   sim.close();
   return {
     visits: all.reduce((n, t) => n + t.n, 0) / size / 4,
--- a/packages/trial/src/test/senders.test.ts
+++ b/packages/trial/src/test/senders.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import type { Json } from '../json.js';
 import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
-import { build, configOf, SMALL } from '../scenario.js';
+import { createMachines, fleetConfigOf, SMALL } from '../scenario.js';
 import { Sim, type SimNode } from '../sim.js';
 
 const TOPIC = 'feed/7';
@@ -86,14 +86,14 @@
   const owner = s.ownerOf(TOPIC);
   // The owner hears its relays but not its copies: what it takes now is on no majority, and will be on none.
   for (const o of s.stores) if (o !== owner) s.sim.cut(owner.name, o.name);
-  const high = s.sim.outside.visit(
+  const high = s.sim.clientTransport.visit(
     r1.config.client,
     'Publish',
     { sender: 'desk', topic: TOPIC, seq: 9, body: 'nine' },
     6_000,
   );
   await s.pass(50);
-  const low = s.sim.outside.visit(
+  const low = s.sim.clientTransport.visit(
     r1.config.client,
     'Publish',
     { sender: 'desk', topic: TOPIC, seq: 5, body: 'five' },
@@ -108,7 +108,7 @@
   await s.pass(5_000);
   const told = [await low, await high].map((x) => x?.body);
   for (const b of told) t.not(b?.rejected?.reason, 'stale_seq');
-  s.sim.heal();
+  s.sim.healAll();
   await s.pass(4_000);
   // Whatever became of them: each number has one outcome, and a final no only under a higher one that was accepted.
   const five = (await publish(s, r2, 5)).body;
@@ -167,7 +167,7 @@
       sent.push(x);
       open++;
       const body = { sender: 'desk', topic: TOPIC, seq: x.seq, body: `message ${x.seq}` };
-      void s.sim.outside.visit(r1.config.client, 'Publish', body, 6_000, line).then((r) => {
+      void s.sim.clientTransport.visit(r1.config.client, 'Publish', body, 6_000, line).then((r) => {
         open--;
         x.told = s.sim.now;
         x.answer = r?.body?.accepted ? 'accepted' : (r?.body?.rejected?.reason ?? r?.body?.error?.tag ?? 'no answer');
@@ -232,12 +232,12 @@
 test('a machine that is cut from some others does not make those look gone: their keys stay where they are', async (t) => {
   for (const seed of [121, 122, 123]) {
     const sim = new Sim(seed);
-    const m = await build(sim, SMALL);
+    const m = await createMachines(sim, SMALL);
     await sim.run(7_000);
-    void sim.outside.visit(
+    void sim.clientTransport.visit(
       m.relays[5]!.config.client,
       'SubmitConfig',
-      { changeId: 'c', config: configOf(SMALL) },
+      { changeId: 'c', config: fleetConfigOf(SMALL) },
       9_000,
     );
     await sim.run(16_000);
--- a/packages/trial/src/test/sim.test.ts
+++ b/packages/trial/src/test/sim.test.ts
@@ -1,11 +1,11 @@
 import { createHash } from 'node:crypto';
 import test from 'ava';
-import { SCENARIOS } from '../faults.js';
-import { play } from '../scenario.js';
+import { FAULT_SCENARIOS } from '../faults.js';
+import { runScenario } from '../scenario.js';
 
 test('a seed gives one identical run, and another seed another', async (t) => {
   const digest = async (seed: number): Promise<string> => {
-    const r = await play(seed, SCENARIOS.get('mixed')!);
+    const r = await runScenario(seed, FAULT_SCENARIOS.get('mixed')!);
     // Conn ids and answers carry everything nodes drew; lines carry every change of state.
     return createHash('sha256')
       .update(JSON.stringify(r.seen.map((s) => ('try' in s ? { ...s, try: 0 } : s))))
--- a/packages/trial/src/test/small-fleet.ts
+++ b/packages/trial/src/test/small-fleet.ts
@@ -64,13 +64,13 @@
     stores,
     relays,
     ask: async (node, method, body) => {
-      const answer = await awaitAnswer(sim.outside.visit(node.config.client, method, body, 20_000));
+      const answer = await awaitAnswer(sim.clientTransport.visit(node.config.client, method, body, 20_000));
       return answer ?? { status: 0, body: undefined };
     },
     attach: async (node, consumer, pingS = 2) => {
       const frames: Frame[] = [];
       let hasEnded = false;
-      const close = sim.outside.attach(
+      const close = sim.clientTransport.attach(
         node.config.client,
         { consumer, pingS },
         (frame) => frames.push(frame),
--- a/packages/trial/src/test/soak.test.ts
+++ b/packages/trial/src/test/soak.test.ts
@@ -2,15 +2,15 @@
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import test from 'ava';
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 import { drawSoak, SOAK_KINDS } from '../soak/schedule.js';
 
 const SEED = 20261204;
 
 test('a soak is drawn from its seed: entries in order, of every kind, some close together', (t) => {
-  const entries = drawSoak(seeded(SEED), 600_000);
-  t.deepEqual(entries, drawSoak(seeded(SEED), 600_000));
-  t.notDeepEqual(entries, drawSoak(seeded(SEED + 1), 600_000));
+  const entries = drawSoak(seededRandom(SEED), 600_000);
+  t.deepEqual(entries, drawSoak(seededRandom(SEED), 600_000));
+  t.notDeepEqual(entries, drawSoak(seededRandom(SEED + 1), 600_000));
   t.deepEqual([...new Set(entries.map((entry) => entry.kind))].sort(), [...SOAK_KINDS].sort());
   const gaps = entries.slice(1).map((entry, i) => entry.atMs - entries[i]!.atMs);
   t.true(gaps.every((gap) => gap >= 0));
--- a/packages/trial/src/test/tools.test.ts
+++ b/packages/trial/src/test/tools.test.ts
@@ -1,15 +1,15 @@
 import { SHARD, shardOf } from '@harecross/kernel';
 import test from 'ava';
 import {
-  answer,
-  diff,
-  look,
-  type Ask,
-  parse,
-  place,
-  planFaults,
+  runQuery,
+  diffConfig,
+  fetchFleetView,
+  type CallNode,
+  parseQuery,
+  solvePlacement,
+  findPlanViolations,
   table,
-  trust,
+  describeCompleteness,
   type Constraints,
   type Disk,
   type Row,
@@ -30,9 +30,9 @@
     row({ shard: 2, owner: undefined, behind: 1 }),
   ];
   const run = (q: string): string => {
-    const p = parse(q);
+    const p = parseQuery(q);
     if (p.tag === 'wrong') return p.why;
-    const r = answer(p.query, rows);
+    const r = runQuery(p.query, rows);
     return r.tag === 'wrong' ? r.why : table(r.fields, r.rows);
   };
   t.snapshot(
@@ -62,9 +62,9 @@
     memoryS,
   });
   const now = { families: [f('a', ['a/*', 'b']), f('c', ['c/*'])], copies: 3 };
-  t.deepEqual(diff(now, now), []);
+  t.deepEqual(diffConfig(now, now), []);
   t.snapshot(
-    diff(now, {
+    diffConfig(now, {
       families: [f('a', ['a/*'], 40), f('a', ['b']), f('d', ['c/d/*'])],
       limits: { subscriptionsPerConn: 9 },
     }),
@@ -101,19 +101,19 @@
     ['Node', node],
   ]);
   let at = 0;
-  const v = await look(
+  const v = await fetchFleetView(
     ['c0', 'c1'],
-    (async (client: string, m: string) => (client === 'c1' ? (answers.get(m) ?? { moves: [] }) : undefined)) as Ask,
+    (async (client: string, m: string) => (client === 'c1' ? (answers.get(m) ?? { moves: [] }) : undefined)) as CallNode,
     () => (at += 7),
   );
   t.deepEqual(v!.silent, ['p2']);
   t.is(
-    trust(v!),
+    describeCompleteness(v!),
     'from 1 of 2 nodes within 7 ms; members as p1 knows them, live ones heard of at most 10 ms before; NO ANSWER from p2',
   );
   t.is(v!.tables.get('keys')![0]!.get('owner'), undefined, 'a key that nobody owns is shown');
   t.is(
-    await look(
+    await fetchFleetView(
       ['c9'],
       async () => undefined,
       () => 0,
@@ -130,21 +130,21 @@
     pins: [{ node: disks[1]!.peer, topics: ['flood/1'] }],
     exclude: [{ node: disks[5]!.peer, shards: [0, 1] }],
   };
-  const r = place(c, disks, now);
+  const r = solvePlacement(c, disks, now);
   if (r.tag !== 'plan') {
     t.fail(JSON.stringify(r));
     return;
   }
-  t.deepEqual(planFaults(c, disks, r.plan.placement), []);
+  t.deepEqual(findPlanViolations(c, disks, r.plan.placement), []);
   t.true(r.plan.placement.find((p) => p.shard === shardOf('flood/1'))!.nodes.includes(disks[1]!.peer));
   t.true(r.plan.moved > 0 && r.plan.moved < SHARD.shardCount * 2, `${r.plan.moved} moves`);
-  t.is((place({ copies: 3 }, disks, now) as { plan: { moved: number } }).plan.moved, 0, 'nothing moves without need');
+  t.is((solvePlacement({ copies: 3 }, disks, now) as { plan: { moved: number } }).plan.moved, 0, 'nothing moves without need');
 
   // The check by counting sees a wrong plan, for each kind of constraint.
   const wrong = (f: (p: { shard: number; nodes: string[] }[]) => void, k: Constraints = c): string[] => {
     const p = structuredClone(r.plan.placement);
     f(p);
-    return planFaults(k, disks, p);
+    return findPlanViolations(k, disks, p);
   };
   t.regex(
     wrong((p) => {
@@ -186,7 +186,7 @@
 });
 
 test('placements that cannot be: the constraints in conflict are named, and none that is not', (t) => {
-  const r = place(
+  const r = solvePlacement(
     {
       copies: 3,
       perDomain: 1,
@@ -206,9 +206,9 @@
     ],
   });
   t.snapshot({
-    room: place({ copies: 3, capacity: { '*': 5 }, pins: [{ node: disks[0]!.peer, shards: [1] }] }, disks, now),
-    domain: place({ copies: 3, domains: ['nowhere'] }, disks, now),
-    wrong: place({ copies: 4, pins: [{ node: 'x', shards: [99] }], capacity: { y: 1 } }, disks, now),
-    shape: place({ copies: 'three' }, disks, now),
+    room: solvePlacement({ copies: 3, capacity: { '*': 5 }, pins: [{ node: disks[0]!.peer, shards: [1] }] }, disks, now),
+    domain: solvePlacement({ copies: 3, domains: ['nowhere'] }, disks, now),
+    wrong: solvePlacement({ copies: 4, pins: [{ node: 'x', shards: [99] }], capacity: { y: 1 } }, disks, now),
+    shape: solvePlacement({ copies: 'three' }, disks, now),
   });
 });
--- a/packages/trial/src/test/transcripts.test.ts
+++ b/packages/trial/src/test/transcripts.test.ts
@@ -162,7 +162,7 @@
   await s.pass(1_000);
   t.is(owner.queues()[0]!.length, 0, 'nothing waits on in the holding of an owner that lost its majority');
   // Once healed, the same seq gets one outcome, and only one message is there.
-  s.sim.heal();
+  s.sim.healAll();
   await s.pass(4_000);
   const again = await s.ask(s.relays[1]!, 'Publish', { sender: 'desk', topic, seq: 1, body: 'one' });
   t.deepEqual(again.body, { accepted: { offset: 1 } });
--- a/packages/trial/src/test/trouble.test.ts
+++ b/packages/trial/src/test/trouble.test.ts
@@ -3,48 +3,48 @@
 import { join } from 'node:path';
 import { sleep, type SyncedDatabase, type Log } from '@harecross/kernel';
 import test from 'ava';
-import { seeded, Sim } from '../sim.js';
+import { seededRandom, Sim } from '../sim.js';
 import { SimDisk } from '../sim-disk.js';
 import { DEPLOYMENTS } from '../trouble/deployment.js';
-import { playOf } from '../trouble/kinds.js';
-import { Machines, type Machine } from '../trouble/machines.js';
-import { drawSchedule, KIND_NAMES, readSchedule, showSchedule } from '../trouble/schedule.js';
-import { shrink } from '../trouble/shrink.js';
-import { Tolerance } from '../trouble/tolerance.js';
+import { actionOf } from '../trouble/fault-actions.js';
+import { MachineFleet, type Machine } from '../trouble/machine-fleet.js';
+import { drawSchedule, FAULT_KINDS, parseSchedule, formatSchedule } from '../trouble/schedule.js';
+import { shrinkSchedule } from '../trouble/shrink.js';
+import { LossBudget } from '../trouble/loss-budget.js';
 
 test('a drawn schedule is the same for a seed, and what is printed is read back', (t) => {
   const kinds = new Set<string>();
   for (let seed = 1; seed <= 200; seed++) {
     const troubles = drawSchedule(seed, 8);
     t.deepEqual(troubles, drawSchedule(seed, 8));
-    t.deepEqual(readSchedule(showSchedule(troubles)), troubles);
+    t.deepEqual(parseSchedule(formatSchedule(troubles)), troubles);
     for (const { kind } of troubles) kinds.add(kind);
   }
-  t.deepEqual([...kinds].sort(), [...KIND_NAMES].sort(), 'every kind is drawn');
-  t.throws(() => readSchedule('node_kill@now'), { message: "not a trouble: 'node_kill@now'" });
+  t.deepEqual([...kinds].sort(), [...FAULT_KINDS].sort(), 'every kind is drawn');
+  t.throws(() => parseSchedule('node_kill@now'), { message: "not a trouble: 'node_kill@now'" });
 });
 
 test('every kind is played', (t) => {
-  for (const kind of KIND_NAMES) t.notThrows(() => playOf(kind));
+  for (const kind of FAULT_KINDS) t.notThrows(() => actionOf(kind));
 });
 
 test('a failing schedule is shrunk to what it fails by', async (t) => {
   const fails = (some: number[]): Promise<boolean> => Promise.resolve(some.includes(3) && some.includes(11));
-  t.deepEqual(await shrink([1, 2, 3, 5, 7, 11, 13], fails), [3, 11]);
-  t.deepEqual(await shrink([3, 11], fails), [3, 11]);
+  t.deepEqual(await shrinkSchedule([1, 2, 3, 5, 7, 11, 13], fails), [3, 11]);
+  t.deepEqual(await shrinkSchedule([3, 11], fails), [3, 11]);
 });
 
 test('never more machines are lost than may be, and each counts until repair had its time', async (t) => {
   for (const name of ['sss-control', 'hidrocross-grown']) {
     const deployment = DEPLOYMENTS.get(name)!;
     const sim = new Sim(1);
-    const fleet = new Machines(sim, deployment, 0);
+    const fleet = new MachineFleet(sim, deployment, 0);
     for (let i = 0; i < 6; i++) fleet.add('store').nodes[0]!.up = true;
-    const stores = fleet.of('store');
-    const tolerance = new Tolerance(sim.clock, deployment.losses, deployment.syncMs);
+    const stores = fleet.ofClass('store');
+    const tolerance = new LossBudget(sim.clock, deployment.losses, deployment.repairMs);
     const lostUntil = new Map<Machine, number>();
     let strikes = 0;
-    const random = seeded(7);
+    const random = seededRandom(7);
     const trouble = async (): Promise<void> => {
       await sleep(sim.clock, 20_000 * random.next());
       const claim = await tolerance.claim(() => stores, 1 + Math.floor(2 * random.next()), random);
@@ -54,7 +54,7 @@
       t.true(lost <= deployment.losses, `${lost} are lost`);
       await sleep(sim.clock, 1_000 * random.next());
       claim?.back();
-      for (const machine of claim?.machines ?? []) lostUntil.set(machine, sim.now + deployment.syncMs);
+      for (const machine of claim?.machines ?? []) lostUntil.set(machine, sim.now + deployment.repairMs);
     };
     for (let i = 0; i < 8; i++) void trouble();
     await sim.run(120_000);
@@ -69,7 +69,7 @@
 test('a loss of power takes only what was not synced, block by block or all of it', async (t) => {
   const root = mkdtempSync(join(tmpdir(), 'harecross-trouble-'));
   const sim = new Sim(3);
-  const random = seeded(3);
+  const random = seededRandom(3);
   let outcomes = { kept: 0, gone: 0 };
   let acknowledged = 0;
   let written = 0;
--- a/packages/trial/src/trouble/deployment.ts
+++ b/packages/trial/src/trouble/deployment.ts
@@ -1,5 +1,5 @@
 /** The shapes of the deployments under test, with the platform's timers, scaled down in their clients. */
-import type { Site } from '../scenario.js';
+import type { DeploymentSpec } from '../scenario.js';
 
 /** A deployment: which machines there are, what may be lost at once, and the platform's figures. */
 export interface Deployment {
@@ -13,7 +13,7 @@
   /** Machines with a disk that may be lost at once while every rule holds. */
   losses: number;
   /** A machine counts as lost for this long after it is back. */
-  syncMs: number;
+  repairMs: number;
   applyMs: number;
   /** The operator's list of machines lags by this much. */
   seedDelayMs: number;
@@ -24,8 +24,8 @@
   consumers: number;
 }
 
-const SMALL = { losses: 1, syncMs: 4_000, applyMs: 3_000, seedDelayMs: 3_000, contactMs: 4_000, consumers: 24 };
-const GROWN = { losses: 2, syncMs: 6_000, applyMs: 4_000, seedDelayMs: 3_000, contactMs: 5_000, consumers: 36 };
+const SMALL = { losses: 1, repairMs: 4_000, applyMs: 3_000, seedDelayMs: 3_000, contactMs: 4_000, consumers: 24 };
+const GROWN = { losses: 2, repairMs: 6_000, applyMs: 4_000, seedDelayMs: 3_000, contactMs: 5_000, consumers: 36 };
 const SINE_SALOUM = ['fatick', 'kaffrine', 'foundiougne'];
 const DANUBE = ['galati', 'braila', 'tulcea', 'calarasi'];
 
@@ -81,10 +81,10 @@
 );
 
 /** The same with few clients and relays, for days about what happens to the core and the stores. */
-export const lightOf = (d: Deployment): Deployment => ({ ...d, accessCount: 1, consumers: 6 });
+export const withFewClients = (d: Deployment): Deployment => ({ ...d, accessCount: 1, consumers: 6 });
 
 /** Topics and rates of a day: as many as a small fleet shows its faults with. */
-export function siteOf(d: Deployment): Site {
+export function siteOf(d: Deployment): DeploymentSpec {
   return {
     name: d.name,
     domains: d.zones,
@@ -93,8 +93,8 @@
     stores: d.storeCount,
     consumers: d.consumers,
     families: [
-      { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', perS: 14, memoryS: 35, patienceMs: 3_000 },
-      { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', perS: 6, memoryS: 25, patienceMs: 2_000 },
+      { name: 'routine', prefix: 'r/', topics: 24, urgency: 'routine', messagesPerS: 14, memoryS: 35, patienceMs: 3_000 },
+      { name: 'urgent', prefix: 'u/', topics: 6, urgency: 'urgent', messagesPerS: 6, memoryS: 25, patienceMs: 2_000 },
     ],
   };
 }
--- a/packages/trial/src/trouble/day.ts
+++ b/packages/trial/src/trouble/fault-run.ts
@@ -1,15 +1,15 @@
 /** A day of drawn troubles in the simulator, on the shape of a deployment. */
-import { play, weakSets, type Run, type Scenario, type Stage } from '../scenario.js';
-import { Marker } from '../actors.js';
-import { seeded } from '../sim.js';
+import { runScenario, weakReplicaSets, type ScenarioResult, type Scenario, type ScenarioContext } from '../scenario.js';
+import { MarkerChecker } from '../simulated-clients.js';
+import { seededRandom } from '../sim.js';
 import type { Deployment } from './deployment.js';
 import { siteOf } from './deployment.js';
-import { playOf } from './kinds.js';
-import { Machines } from './machines.js';
-import { Orders } from './orders.js';
-import type { Trouble } from './schedule.js';
-import { note, pause, type TroubleStage } from './stage.js';
-import { Tolerance } from './tolerance.js';
+import { actionOf } from './fault-actions.js';
+import { MachineFleet } from './machine-fleet.js';
+import { Orders } from './platform-operators.js';
+import type { ScheduledFault } from './schedule.js';
+import { note, pause, type TroubleStage } from './fault-context.js';
+import { LossBudget } from './loss-budget.js';
 
 /** Clocks of the machines differ by up to this much. */
 const SKEW_MS = 200;
@@ -26,29 +26,29 @@
 const WAY_MS = 250;
 
 interface Parts {
-  machines?: Machines;
+  machines?: MachineFleet;
   orders?: Orders;
 }
 
 /** A day as the stage plays it. */
-function dayOf(deployment: Deployment, troubles: readonly Trouble[], log: boolean): Scenario {
+function dayOf(deployment: Deployment, troubles: readonly ScheduledFault[], log: boolean): Scenario {
   const parts: Parts = {};
   const site = siteOf(deployment);
   return {
     site,
-    forMs: DAY_MS,
+    faultPhaseMs: DAY_MS,
     opts: { files: true, delayMs: [0.5, 4], log },
-    bounds: { wayMs: WAY_MS, timed: true, inForceMs: deployment.applyMs },
+    bounds: { observationDelayMs: WAY_MS, timed: true, configInForceMs: deployment.applyMs },
     machines: async (sim) => {
-      const machines = new Machines(sim, deployment, SKEW_MS);
+      const machines = new MachineFleet(sim, deployment, SKEW_MS);
       parts.machines = machines;
       machines.begin();
-      const nodes = (type: 'core' | 'store' | 'access') => machines.of(type).flatMap((m) => m.nodes);
+      const nodes = (type: 'core' | 'store' | 'access') => machines.ofClass(type).flatMap((m) => m.nodes);
       const relays = [...nodes('core'), ...nodes('access')].filter((n) => n.config.role === 'relay');
       return { stores: nodes('store'), relays, disks: machines.counted().map((m) => m.main) };
     },
     first: (stage) => {
-      parts.orders = new Orders(stage.world, parts.machines!, site);
+      parts.orders = new Orders(stage.clientContext, parts.machines!, site);
       // The day reads the newest configuration at its end; the platform's operator does so at a core machine.
       stage.crowd.operator = parts.orders.operator;
       return parts.orders.change();
@@ -58,18 +58,18 @@
 }
 
 async function playTroubles(
-  stage: Stage,
-  machines: Machines,
+  stage: ScenarioContext,
+  machines: MachineFleet,
   orders: Orders,
-  troubles: readonly Trouble[],
+  troubles: readonly ScheduledFault[],
 ): Promise<void> {
-  const { losses, syncMs } = machines.deployment;
+  const { losses, repairMs: syncMs } = machines.deployment;
   const s: TroubleStage = {
     stage,
     machines,
     orders,
-    tolerance: new Tolerance(machines.sim.clock, losses, syncMs, () => {
-      const { broken, thin } = weakSets(machines.sim, losses);
+    tolerance: new LossBudget(machines.sim.clock, losses, syncMs, () => {
+      const { broken, thin } = weakReplicaSets(machines.sim, losses);
       if (broken.length) stage.note(`without a majority already: ${broken.join(', ')}`);
       else if (thin.length) stage.note(`do not bear the declared losses yet: ${thin.join(', ')}`);
     }),
@@ -78,7 +78,7 @@
   await Promise.all(
     troubles.map(async (trouble) => {
       await pause(s, trouble.at);
-      await playOf(trouble.kind)(s, trouble, seeded(trouble.pick));
+      await actionOf(trouble.kind)(s, trouble, seededRandom(trouble.victimSeed));
     }),
   );
   while (s.tolerance.count() > 0) await pause(s, 500);
@@ -92,20 +92,20 @@
 
 /** After the last trouble every set has its majority again, bears the next loss, and clients are served. */
 function judgeWhole(s: TroubleStage): void {
-  const { broken, thin } = weakSets(s.machines.sim, s.machines.deployment.losses);
-  if (broken.length) s.stage.wrong('lost', `no majority is left of ${broken.join(', ')}`);
-  else if (thin.length) s.stage.wrong('lost', `the next loss would end the majority of ${thin.join(', ')}`);
-  const { seen } = s.stage.world.journal;
+  const { broken, thin } = weakReplicaSets(s.machines.sim, s.machines.deployment.losses);
+  if (broken.length) s.stage.reportViolation('lost', `no majority is left of ${broken.join(', ')}`);
+  else if (thin.length) s.stage.reportViolation('lost', `the next loss would end the majority of ${thin.join(', ')}`);
+  const { seen } = s.stage.clientContext.journal;
   const since = s.machines.sim.now - SERVED_MS;
   const answers = seen.filter((x) => x.k === 'pub.answer' && x.t > since && !x.topic.startsWith('mark/'));
   const accepted = answers.filter((x) => x.k === 'pub.answer' && x.out === 'accepted').length;
   if (accepted < answers.length * SERVED_SHARE || !accepted)
-    s.stage.wrong('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
+    s.stage.reportViolation('served', `${accepted} of ${answers.length} publishes were accepted at the end of the day`);
 }
 
 /** Asks every relay which configuration it serves by, all day. */
-function watchMarkers(stage: Stage, orders: Orders): { stop(): void } {
-  const marker = new Marker(stage.world, MARKER_MS);
+function watchMarkers(stage: ScenarioContext, orders: Orders): { stop(): void } {
+  const marker = new MarkerChecker(stage.clientContext, MARKER_MS);
   marker.start(stage.relays.map((n) => n.config.client));
   let on = true;
   const follow = (): void => {
@@ -126,6 +126,6 @@
  * @example
  * const run = await playDay(7, DEPLOYMENTS.get('sss-control')!, drawSchedule(7, 6));
  */
-export function playDay(seed: number, deployment: Deployment, troubles: readonly Trouble[], log = false): Promise<Run> {
-  return play(seed, dayOf(deployment, troubles, log));
+export function runFaultSchedule(seed: number, deployment: Deployment, troubles: readonly ScheduledFault[], log = false): Promise<ScenarioResult> {
+  return runScenario(seed, dayOf(deployment, troubles, log));
 }
--- a/packages/trial/src/trouble/tolerance.ts
+++ b/packages/trial/src/trouble/loss-budget.ts
@@ -1,6 +1,6 @@
 /** Who may be lost: troubles ask here before they strike a machine whose loss counts, and wait their turn. */
 import { sleep, randomSample, type Clock, type RandomSource } from '@harecross/kernel';
-import type { Machine } from './machines.js';
+import type { Machine } from './machine-fleet.js';
 
 /** A trouble that waits looks again this often (ms) ... */
 const LOOK_MS = 100;
@@ -17,12 +17,12 @@
 }
 
 /** Victims that a trouble may strike now. */
-export interface Claim<M extends Losable = Machine> {
+export interface LossClaim<M extends Losable = Machine> {
   machines: M[];
   /** They are back, with their process started: they count as lost for the time that repair may take. */
   back(): void;
   /** Another machine takes the place of one that is gone for good: it counts instead, from its start. */
-  succeeded(by: M): void;
+  replacedBy(by: M): void;
 }
 
 /**
@@ -30,7 +30,7 @@
  * @example
  * const claim = await tolerance.claim(stores, 1, random); ...; claim?.back();
  */
-export class Tolerance<M extends Losable = Machine> {
+export class LossBudget<M extends Losable = Machine> {
   private lost = new Set<M>();
   private syncing = new Map<M, number>();
   /** One trouble that strikes all at once is under way, or waits for the others to be over. */
@@ -55,7 +55,7 @@
   }
 
   /** Up to `count` of these machines that may be lost together now; undefined if their turn does not come. */
-  async claim(machines: () => readonly M[], count: number, random: RandomSource): Promise<Claim<M> | undefined> {
+  async claim(machines: () => readonly M[], count: number, random: RandomSource): Promise<LossClaim<M> | undefined> {
     for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, LOOK_MS)) {
       if (this.closed) continue;
       const lost = this.count();
@@ -69,7 +69,7 @@
   }
 
   /** Everything that counts, once nothing is lost: disks stay, power goes. Meanwhile nobody else is struck. */
-  async claimAll(machines: () => readonly M[]): Promise<Claim<M> | undefined> {
+  async claimAll(machines: () => readonly M[]): Promise<LossClaim<M> | undefined> {
     for (const until = this.clock.now() + GIVE_UP_MS; this.clock.now() < until; await sleep(this.clock, LOOK_MS)) {
       if (this.closed) continue;
       if (this.count() || this.lost.size) continue;
@@ -86,7 +86,7 @@
     return undefined;
   }
 
-  private taken(machines: M[]): Claim<M> {
+  private taken(machines: M[]): LossClaim<M> {
     if (machines.some((m) => m.counted)) this.onStrike(machines);
     for (const m of machines) this.lost.add(m);
     const over = (): void => {
@@ -99,7 +99,7 @@
         over();
         for (const m of machines) this.syncing.set(m, until());
       },
-      succeeded: (by) => {
+      replacedBy: (by) => {
         over();
         this.syncing.set(by, until());
       },
--- a/packages/trial/src/trouble/machine-kinds.ts
+++ b/packages/trial/src/trouble/machine-faults.ts
@@ -1,8 +1,8 @@
 /** Troubles of single machines: their processes, their clocks and their connections. */
 import { randomSample, type RandomSource } from '@harecross/kernel';
-import type { Machine } from './machines.js';
-import type { KindName, Trouble } from './schedule.js';
-import { claim, note, pause, targets, type Play, type TroubleStage } from './stage.js';
+import type { Machine } from './machine-fleet.js';
+import type { FaultKind, ScheduledFault } from './schedule.js';
+import { claim, note, pause, targets, type Play, type TroubleStage } from './fault-context.js';
 
 /** From the end of a process to its next start. */
 const RESTART_MS = 300;
@@ -16,9 +16,9 @@
 const HARD_TRIES = 6;
 
 /** Changes that are sent to a machine as it returns, or while it is cut off. */
-export function meet(s: TroubleStage, trouble: Trouble, machine: Machine): Promise<unknown>[] {
-  const orders = trouble.how.includes('race') ? 2 : Number(trouble.how.includes('meet'));
-  const tries = trouble.how.includes('hard') ? HARD_TRIES : 1;
+export function meet(s: TroubleStage, trouble: ScheduledFault, machine: Machine): Promise<unknown>[] {
+  const orders = trouble.modifiers.includes('race') ? 2 : Number(trouble.modifiers.includes('meet'));
+  const tries = trouble.modifiers.includes('hard') ? HARD_TRIES : 1;
   return Array.from({ length: orders }, () => s.orders.change('route', { machine, tries }));
 }
 
@@ -29,13 +29,13 @@
 const nodeKill: Play = async (s, trouble, random) => {
   const victims = await claim(s, trouble, random);
   if (!victims) return;
-  const power = trouble.how.includes('power');
+  const power = trouble.modifiers.includes('power');
   note(s, power ? 'power of' : 'kill', victims.machines);
   for (const m of victims.machines) {
     if (power) s.machines.powerOff(m);
     else s.machines.kill(m);
   }
-  await pause(s, power ? trouble.forMs : RESTART_MS);
+  await pause(s, power ? trouble.durationMs : RESTART_MS);
   await startAll(s, victims.machines);
   victims.back();
   await Promise.all(victims.machines.flatMap((m) => meet(s, trouble, m)));
@@ -46,7 +46,7 @@
   if (!victims) return;
   note(s, 'freeze', victims.machines);
   for (const m of victims.machines) s.machines.freeze(m);
-  await pause(s, trouble.forMs);
+  await pause(s, trouble.durationMs);
   note(s, 'thaw', victims.machines);
   for (const m of victims.machines) s.machines.thaw(m);
   victims.back();
@@ -57,43 +57,43 @@
   if (!victims) return;
   note(s, 'slow', victims.machines);
   const nodes = victims.machines.flatMap((m) => m.nodes);
-  for (const n of nodes) n.slowMs = SLOW_STEP_MS;
-  await pause(s, trouble.forMs);
-  for (const n of nodes) n.slowMs = 0;
+  for (const n of nodes) n.maxExtraDelayMs = SLOW_STEP_MS;
+  await pause(s, trouble.durationMs);
+  for (const n of nodes) n.maxExtraDelayMs = 0;
   note(s, 'quick again', victims.machines);
   victims.back();
 };
 
 const rollTerm: Play = async (s, trouble, random) => {
-  const removing = trouble.how.includes('remove') && trouble.on === 'access';
+  const removing = trouble.modifiers.includes('remove') && trouble.on === 'access';
   for (let i = 0; i < trouble.count; i++) {
     const victims = await claim(s, { ...trouble, count: 1 }, random);
     if (!victims) return;
     note(s, removing ? 'leaves' : 'stop', victims.machines);
     for (const m of victims.machines) await s.machines.stop(m);
-    if (removing && s.machines.of('access').length > 2) {
+    if (removing && s.machines.ofClass('access').length > 2) {
       for (const m of victims.machines) s.machines.remove(m);
     } else {
       await pause(s, RESTART_MS);
       await startAll(s, victims.machines);
     }
     victims.back();
-    await pause(s, trouble.forMs);
+    await pause(s, trouble.durationMs);
   }
 };
 
 /** The settings are read again, and say what they said. */
 const hup: Play = async (s, trouble, random) => {
-  const machines = randomSample(random, s.machines.of(trouble.on), trouble.count).filter((m) => m.isUp());
+  const machines = randomSample(random, s.machines.ofClass(trouble.on), trouble.count).filter((m) => m.isUp());
   note(s, 'SIGHUP', machines);
   for (const m of machines) {
     for (const n of m.nodes) if (n.up && !n.frozen) n.kernel?.use('membership').publishOwnRecord();
-    await pause(s, trouble.forMs / machines.length);
+    await pause(s, trouble.durationMs / machines.length);
   }
 };
 
 const resetConns: Play = async (s, trouble, random) => {
-  const machines = randomSample(random, s.machines.of(trouble.on), trouble.count);
+  const machines = randomSample(random, s.machines.ofClass(trouble.on), trouble.count);
   note(s, 'reset connections of', machines);
   for (const n of machines.flatMap((m) => m.nodes)) {
     n.resetAt = s.machines.sim.now;
@@ -103,12 +103,12 @@
 };
 
 const clockStep: Play = async (s, trouble, random) => {
-  const nodes = randomSample(random, s.machines.of(trouble.on), trouble.count).flatMap((m) => m.nodes);
-  const by = trouble.how.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
+  const nodes = randomSample(random, s.machines.ofClass(trouble.on), trouble.count).flatMap((m) => m.nodes);
+  const by = trouble.modifiers.includes('back') ? -CLOCK_STEP_MS : CLOCK_STEP_MS;
   s.stage.note(`the time of day jumps by ${by} ms on ${nodes.map((n) => n.name).join(' ')}`);
-  for (const n of nodes) n.stepMs += by;
-  await pause(s, trouble.forMs);
-  for (const n of nodes) n.stepMs -= by;
+  for (const n of nodes) n.wallStepMs += by;
+  await pause(s, trouble.durationMs);
+  for (const n of nodes) n.wallStepMs -= by;
 };
 
 const addNodes: Play = async (s, trouble) => {
@@ -123,20 +123,20 @@
   const old = victims?.machines[0];
   if (!victims || !old) return;
   const successor = s.machines.add(old.type, old.zone);
-  if (trouble.how.includes('planned')) {
+  if (trouble.modifiers.includes('planned')) {
     note(s, `${successor.name} comes for`, [old]);
     await s.machines.start(successor);
-    await pause(s, trouble.forMs);
+    await pause(s, trouble.durationMs);
     await s.machines.stop(old);
     s.machines.remove(old);
   } else {
     note(s, 'gone for good:', [old]);
     s.machines.remove(old);
-    await pause(s, trouble.forMs);
+    await pause(s, trouble.durationMs);
     note(s, `${successor.name} comes for`, [old]);
     await s.machines.start(successor);
   }
-  victims.succeeded(successor);
+  victims.replacedBy(successor);
 };
 
 const seedTurnover: Play = async (s, trouble, random) => {
@@ -144,7 +144,7 @@
   s.machines.turnOverSeeds(randomSample(random, targets(s, trouble), 1));
 };
 
-export const MACHINE_KINDS: Partial<Record<KindName, Play>> = {
+export const MACHINE_KINDS: Partial<Record<FaultKind, Play>> = {
   node_kill: nodeKill,
   node_freeze: nodeFreeze,
   node_slow: nodeSlow,
--- a/packages/trial/src/trouble/machines.ts
+++ b/packages/trial/src/trouble/machine-fleet.ts
@@ -43,7 +43,7 @@
 }
 
 /** The fleet of a deployment, and what can be done to its machines. */
-export class Machines {
+export class MachineFleet {
   readonly all: Machine[] = [];
   /** What the operator's list of core machines was, by time. */
   private lists: { at: number; core: Machine[] }[] = [];
@@ -65,7 +65,7 @@
     for (let i = 0; i < coreCount; i++) this.add('core');
     for (let i = 0; i < storeCount; i++) this.add('store');
     for (let i = 0; i < accessCount; i++) this.add('access');
-    const seeds = this.of('core')
+    const seeds = this.ofClass('core')
       .slice(0, SEED_COUNT)
       .map((m) => m.main.config.peer);
     for (const m of this.all)
@@ -113,7 +113,7 @@
     return machine;
   }
 
-  of(type: MachineClass): Machine[] {
+  ofClass(type: MachineClass): Machine[] {
     return this.all.filter((m) => m.type === type && !m.removed);
   }
   /** All whose loss counts. */
@@ -131,7 +131,7 @@
   listed(): Machine[] {
     const then = this.sim.now - this.deployment.seedDelayMs;
     const seen = this.lists.filter((l) => l.at <= then).at(-1) ?? this.lists[0];
-    return seen?.core ?? this.of('core');
+    return seen?.core ?? this.ofClass('core');
   }
 
   /** Tells processes other seeds: the newest of the listed machines. */
@@ -215,11 +215,11 @@
   private async watch(): Promise<void> {
     const endedAt = new Map<SimNode, number>();
     while (this.watching) {
-      const core = this.of('core').filter((m) => m.main.up);
+      const core = this.ofClass('core').filter((m) => m.main.up);
       this.lists.push({ at: this.sim.now, core });
       for (const m of this.all)
         for (const n of m.nodes) {
-          if (n.up || m.held || m.removed || !n.life) {
+          if (n.up || m.held || m.removed || !n.incarnation) {
             endedAt.delete(n);
             continue;
           }
--- a/packages/trial/src/trouble/orders.ts
+++ b/packages/trial/src/trouble/platform-operators.ts
@@ -1,8 +1,8 @@
 /** The platform's operators: their calls go to the core machines that a late list shows, and their acknowledgements may be lost. */
 import type { FleetConfig } from '@harecross/schema';
-import { Operator, type Way, type World } from '../actors.js';
-import { configOf, type Site } from '../scenario.js';
-import type { Machine, Machines } from './machines.js';
+import { Operator, type ClientTransport, type ClientContext } from '../simulated-clients.js';
+import { fleetConfigOf, type DeploymentSpec } from '../scenario.js';
+import type { Machine, MachineFleet } from './machine-fleet.js';
 
 /** Revisions are given in steps, so that an old one can be sent that nobody used. */
 const REVISION_STEP = 10;
@@ -31,23 +31,23 @@
   lastRead?: Acknowledged;
   private revision = 0;
   private waiters: ((a: Acknowledged) => void)[] = [];
-  private readonly way: Way;
+  private readonly way: ClientTransport;
 
   constructor(
-    private readonly world: World,
-    private readonly machines: Machines,
-    private readonly site: Site,
+    private readonly world: ClientContext,
+    private readonly machines: MachineFleet,
+    private readonly site: DeploymentSpec,
   ) {
     this.way = {
-      ...world.way,
+      ...world.clientTransport,
       nodes: () => machines.listed().map((m) => m.main.config.client),
       visit: (node, method, body, timeoutMs) => this.visit(node, method, body, timeoutMs),
     };
-    this.operator = new Operator({ ...world, way: this.way }, 'op');
+    this.operator = new Operator({ ...world, clientTransport: this.way }, 'op');
   }
 
-  private async visit(node: string, method: string, body: unknown, timeoutMs: number): ReturnType<Way['visit']> {
-    const answer = await this.world.way.visit(node, method, body, timeoutMs);
+  private async visit(node: string, method: string, body: unknown, timeoutMs: number): ReturnType<ClientTransport['visit']> {
+    const answer = await this.world.clientTransport.visit(node, method, body, timeoutMs);
     const machine = this.machines.ofClient(node);
     if (!machine || answer?.status !== 200) return answer;
     const seen = { machine, at: this.world.clock.now() };
@@ -68,7 +68,7 @@
   /** A configuration that keeps all topics of the site, with a marker of its own. */
   private configuration(kind: ChangeKind): FleetConfig {
     const mark = ++this.mark;
-    const { families } = configOf(this.site);
+    const { families } = fleetConfigOf(this.site);
     const varied = families.map((f) => (kind === 'timeout' ? { ...f, patienceMs: f.patienceMs + mark } : f));
     if (kind === 'route')
       varied.push({
@@ -101,14 +101,14 @@
   private operatorWith(machine: Machine, tries: number): Operator {
     let left = tries;
     const nodes = (): string[] => (left-- > 0 ? [machine.main.config.client] : this.way.nodes());
-    return new Operator({ ...this.world, way: { ...this.way, nodes } }, 'op');
+    return new Operator({ ...this.world, clientTransport: { ...this.way, nodes } }, 'op');
   }
 
   /** An order that must not come into force; `how` as in the platform's `bad_config`. */
   async bad(how: string): Promise<void> {
     if (how === 'old_version') {
       const revision = this.revision - 1 - Math.floor(this.world.random.next() * (REVISION_STEP - 2));
-      await this.operator.revise(revision, configOf(this.site), true, { revision });
+      await this.operator.revise(revision, fleetConfigOf(this.site), true, { revision });
       return;
     }
     this.revision += REVISION_STEP;
@@ -118,8 +118,8 @@
 }
 
 /** A configuration that no node may take. */
-function badConfiguration(how: string, site: Site): unknown {
-  const { families } = configOf(site);
+function badConfiguration(how: string, site: DeploymentSpec): unknown {
+  const { families } = fleetConfigOf(site);
   switch (how) {
     case 'no_timeout':
       return { families: families.map(({ patienceMs: _patience, ...f }) => f) };
--- a/packages/trial/src/trouble/schedule.ts
+++ b/packages/trial/src/trouble/schedule.ts
@@ -1,12 +1,12 @@
 /** A day's troubles: drawn from a seed, shown, and read back to be replayed. */
-import { seeded } from '../sim.js';
+import { seededRandom } from '../sim.js';
 
 /** Which machines a trouble strikes. */
-export const CLASSES = ['core', 'store', 'access'] as const;
-export type MachineClass = (typeof CLASSES)[number];
+export const MACHINE_CLASSES = ['core', 'store', 'access'] as const;
+export type MachineClass = (typeof MACHINE_CLASSES)[number];
 
 /** Every kind of trouble. */
-export const KIND_NAMES = [
+export const FAULT_KINDS = [
   'node_kill',
   'node_freeze',
   'node_slow',
@@ -32,19 +32,19 @@
   'retire',
   'closing',
 ] as const;
-export type KindName = (typeof KIND_NAMES)[number];
+export type FaultKind = (typeof FAULT_KINDS)[number];
 
 /** One trouble of a day. Times are ms from the begin of the troubles. */
-export interface Trouble {
+export interface ScheduledFault {
   at: number;
-  kind: KindName;
+  kind: FaultKind;
   on: MachineClass;
   /** Words that vary a kind; see `HOWS`. */
-  how: string[];
+  modifiers: string[];
   count: number;
-  forMs: number;
+  durationMs: number;
   /** By which its victims are drawn. */
-  pick: number;
+  victimSeed: number;
 }
 
 interface Draft {
@@ -56,7 +56,7 @@
 }
 
 /** The words that each kind takes, the classes that it strikes, and how long it lasts. */
-const DRAFTS: Record<KindName, Draft> = {
+const DRAFTS: Record<FaultKind, Draft> = {
   node_kill: {
     on: ['core', 'store', 'access'],
     how: [
@@ -130,17 +130,17 @@
 
 const oneOf = <T>(random: { next(): number }, xs: readonly T[]): T => xs[Math.floor(random.next() * xs.length)]!;
 
-function drawTrouble(kind: KindName, at: number, random: { next(): number }): Trouble {
+function drawTrouble(kind: FaultKind, at: number, random: { next(): number }): ScheduledFault {
   const draft = DRAFTS[kind];
   const [least, most] = draft.forMs ?? [0, 0];
   return {
     at: Math.round(at),
     kind,
     on: oneOf(random, draft.on),
-    how: (draft.how ?? []).map((words) => oneOf(random, words)).filter((word) => word !== ''),
+    modifiers: (draft.how ?? []).map((words) => oneOf(random, words)).filter((word) => word !== ''),
     count: 1 + Math.floor(random.next() * (draft.most ?? 1)),
-    forMs: Math.round(least + (most - least) * random.next()),
-    pick: Math.floor(random.next() * 2 ** 31),
+    durationMs: Math.round(least + (most - least) * random.next()),
+    victimSeed: Math.floor(random.next() * 2 ** 31),
   };
 }
 
@@ -149,9 +149,9 @@
  * @example
  * drawSchedule(7, 6)
  */
-export function drawSchedule(seed: number, count: number, only?: readonly KindName[]): Trouble[] {
-  const random = seeded(seed ^ 0x7d0b1e);
-  const names = (only ?? KIND_NAMES).filter((name) => name !== 'closing');
+export function drawSchedule(seed: number, count: number, only?: readonly FaultKind[]): ScheduledFault[] {
+  const random = seededRandom(seed ^ 0x7d0b1e);
+  const names = (only ?? FAULT_KINDS).filter((name) => name !== 'closing');
   const out = Array.from({ length: count }, () => drawTrouble(oneOf(random, names), DAY_MS * random.next(), random));
   if (random.next() < CLOSING_SHARE) out.push(drawTrouble('closing', DAY_MS, random));
   return out.sort((a, b) => a.at - b.at);
@@ -162,11 +162,11 @@
  * @example
  * showSchedule(drawSchedule(7, 2)); // 'node_kill@3000:on=core,how=power+leader,count=1,for=900,pick=7; ...'
  */
-export function showSchedule(troubles: readonly Trouble[]): string {
+export function formatSchedule(troubles: readonly ScheduledFault[]): string {
   return troubles
     .map(
       (t) =>
-        `${t.kind}@${t.at}:on=${t.on},how=${t.how.join('+') || '-'},count=${t.count},for=${t.forMs},pick=${t.pick}`,
+        `${t.kind}@${t.at}:on=${t.on},how=${t.modifiers.join('+') || '-'},count=${t.count},for=${t.durationMs},pick=${t.victimSeed}`,
     )
     .join('; ');
 }
@@ -176,11 +176,11 @@
  * @example
  * readSchedule('node_freeze@3000:on=store,how=-,count=1,for=900,pick=7')
  */
-export function readSchedule(line: string): Trouble[] {
+export function parseSchedule(line: string): ScheduledFault[] {
   return line.split(';').map((part) => {
     const m = /^\s*(\w+)@(\d+):on=(\w+),how=([\w+-]+),count=(\d+),for=(\d+),pick=(\d+)\s*$/.exec(part);
-    const kind = KIND_NAMES.find((name) => name === m?.[1]);
-    const on = CLASSES.find((name) => name === m?.[3]);
+    const kind = FAULT_KINDS.find((name) => name === m?.[1]);
+    const on = MACHINE_CLASSES.find((name) => name === m?.[3]);
     if (!m || !kind || !on) throw new Error(`not a trouble: '${part.trim()}'`);
     const how = m[4] === '-' ? [] : m[4]!.split('+');
     return { kind, on, how, at: Number(m[2]), count: Number(m[5]), forMs: Number(m[6]), pick: Number(m[7]) };
--- a/packages/trial/src/trouble/shrink.ts
+++ b/packages/trial/src/trouble/shrink.ts
@@ -5,7 +5,7 @@
  * @example
  * await shrink(schedule, async (some) => fails(await playTroubles(seed, deployment, some)));
  */
-export async function shrink<T>(items: readonly T[], fails: (some: T[]) => Promise<boolean>): Promise<T[]> {
+export async function shrinkSchedule<T>(items: readonly T[], fails: (some: T[]) => Promise<boolean>): Promise<T[]> {
   let left = [...items];
   for (let size = Math.ceil(left.length / 2); size >= 1; size = size > 1 ? Math.ceil(size / 2) : 0) {
     for (let at = 0; at < left.length && left.length > 1;) {
