--- a/packages/trial/src/rejoin-times.ts
+++ b/packages/trial/src/rejoin-times.ts
@@ -2,7 +2,7 @@
  * Measures in virtual time how long a restarted or replaced voter takes until it is up to date and votes, by the number of changes that it
  * missed. The optional argument is a comma-separated list of those numbers.
  */
-import { controlFleet, diskOf, type ControlFleet } from './test/control-fleet.js';
+import { startControlFleet, diskIdOf, type ControlFleet } from './test/control-fleet.js';
 import { FAMILIES } from './test/small-fleet.js';
 import type { SimNode } from './sim.js';
 
@@ -24,13 +24,13 @@
 }
 
 async function measure(seed: number, missed: number, replaced: boolean): Promise<string> {
-  const fleet = await controlFleet(seed, { relays: 1 });
+  const fleet = await startControlFleet(seed, { relays: 1 });
   const [first, second, third] = fleet.controls as [SimNode, SimNode, SimNode];
   if (replaced) fleet.sim.loseDisk(third);
   else fleet.sim.kill(third);
-  await fleet.pass(3_000);
+  await fleet.advance(3_000);
   for (let i = 0; i < missed; i++) await submitRevision(fleet, i % 2 ? first : second, i + 2);
-  const rejoining = replaced ? fleet.spare('control', third.config.domain) : third;
+  const rejoining = replaced ? fleet.addMachine('control', third.config.domain) : third;
   void fleet.sim.start(rejoining);
   const register = () => (rejoining.kernel?.has('register') ? rejoining.kernel.use('register') : undefined);
   const revision = first.kernel!.use('register').value!.revision;
@@ -41,7 +41,7 @@
   const expected = fleet.controls.filter((c) => c !== third).concat(rejoining);
   const isSettled = (): boolean => {
     const { voters, previousVoters } = first.kernel!.use('register').value!;
-    return [voters, previousVoters].every((set) => [...set].sort().join() === expected.map(diskOf).sort().join());
+    return [voters, previousVoters].every((set) => [...set].sort().join() === expected.map(diskIdOf).sort().join());
   };
   const voterMs = await runUntil(fleet, () => rejoining.kernel?.has('register') === true && isSettled());
   // The second voter is cut off, so that every change needs the vote of the rejoined one.
--- a/packages/trial/src/test/acknowledged.test.ts
+++ b/packages/trial/src/test/acknowledged.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { controlFleet, copiesAt, diskOf, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, replicaSetsAt, diskIdOf, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 import type { SimNode } from '../sim.js';
 
@@ -13,14 +13,14 @@
 
 test('who acknowledged a configuration loses its disk at once, and all others their power: it is in force again', async (t) => {
   for (const seed of [31, 32, 33, 34, 35, 36]) {
-    const f = await controlFleet(seed);
+    const f = await startControlFleet(seed);
     const who = f.controls[seed % 3]!;
     t.is((await submit(f, who, 5)).status, 200);
     f.sim.loseDisk(who);
     for (const n of f.sim.nodes.values()) f.sim.kill(n);
-    await f.pass(1_200);
+    await f.advance(1_200);
     for (const n of f.sim.nodes.values()) void f.sim.start(n);
-    await f.pass(6_000);
+    await f.advance(6_000);
     for (const n of f.controls) t.is(await revisionAt(f, n), 5, `seed ${seed}, ${n.name}`);
     t.is((await submit(f, who, 6)).status, 200);
     f.sim.close();
@@ -28,7 +28,7 @@
 });
 
 test('a store acknowledged messages and loses its disk at once, one store after another: all are there, each once', async (t) => {
-  const f = await controlFleet(37);
+  const f = await startControlFleet(37);
   const relay = f.relays[0]!;
   let seq = 0;
   for (const store of f.stores) {
@@ -36,10 +36,10 @@
     for (const topic of topics)
       t.deepEqual((await publish(f, relay, topic, seq)).body, { accepted: { offset: seq } }, `${topic} ${seq}`);
     f.sim.loseDisk(store);
-    await f.pass(1_500);
+    await f.advance(1_500);
     void f.sim.start(store);
     // The next loss may come this long after its return.
-    await f.pass(4_000);
+    await f.advance(4_000);
   }
   for (let s = 1; s <= seq; s++)
     for (const topic of topics)
@@ -49,24 +49,24 @@
 
 test('a store is emptied; as soon as it is said to be, it goes and another loses its disk: nothing accepted is gone', async (t) => {
   for (const seed of [38, 39]) {
-    const f = await controlFleet(seed, { stores: 4 });
+    const f = await startControlFleet(seed, { stores: 4 });
     const relay = f.relays[0]!;
     for (const topic of topics) await publish(f, relay, topic, 1);
     const [gone, wiped] = [f.stores[seed % 4]!, f.stores[(seed + 1) % 4]!];
     t.is((await f.ask(f.controls[0]!, 'EmptyDisk', { disk: gone.name })).status, 200);
     let state = '';
     for (let i = 0; i < 80 && state !== 'emptied'; i++) {
-      await f.pass(100);
+      await f.advance(100);
       state = (await f.ask(f.controls[i % 3]!, 'EmptyStatus', { disk: gone.name })).body.state;
     }
     t.is(state, 'emptied', 'within 8 s');
-    const old = diskOf(gone);
-    t.true(copiesAt(f.controls[0]!).every((c) => c.length === 3 && !c.includes(old)));
+    const old = diskIdOf(gone);
+    t.true(replicaSetsAt(f.controls[0]!).every((c) => c.length === 3 && !c.includes(old)));
     f.sim.loseDisk(gone);
     f.sim.loseDisk(wiped);
-    await f.pass(1_500);
+    await f.advance(1_500);
     void f.sim.start(wiped);
-    await f.pass(3_500);
+    await f.advance(3_500);
     for (const topic of topics)
       t.deepEqual((await publish(f, relay, topic, 1)).body, { accepted: { offset: 1 } }, `seed ${seed} ${topic}`);
     // Three stores are left for three copies: the next one may not go.
@@ -82,7 +82,7 @@
 
 test('the core is cut in two: the lone side acknowledges nothing, the other side does, and both have it afterwards', async (t) => {
   for (const seed of [40, 41, 42]) {
-    const f = await controlFleet(seed);
+    const f = await startControlFleet(seed);
     const lone = f.controls[seed % 3]!;
     const others = f.controls.filter((c) => c !== lone);
     for (const c of others) f.sim.cut(lone.name, c.name);
@@ -93,13 +93,13 @@
       3_000,
     );
     t.is((await submit(f, others[0]!, 9)).status, 200);
-    await f.pass(3_500);
+    await f.advance(3_500);
     const r = await vain;
     // It may learn from the other side, through stores, that a higher one is in force: then 8 is settled.
     t.true(r === undefined || r.status !== 200 || r.body.revision === 9, JSON.stringify(r));
     t.is(await revisionAt(f, others[1]!), 9);
     f.sim.healAll();
-    await f.pass(3_000);
+    await f.advance(3_000);
     for (const n of f.controls) t.is(await revisionAt(f, n), 9, `seed ${seed}, ${n.name}`);
     f.sim.close();
   }
--- a/packages/trial/src/test/calls.test.ts
+++ b/packages/trial/src/test/calls.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava';
 import { readFileSync } from 'node:fs';
 import type { SimNode } from '../sim.js';
-import { settled, smallFleet, type Small } from './small-fleet.js';
+import { runUntilSettled, startSmallFleet, type SmallFleet } from './small-fleet.js';
 
 const METHODS = Object.keys(Rpcs) as Method[];
 /** What clients and operators of the platform say, by PROTOCOL.md; its pages decide which of them are sent again. */
@@ -23,20 +23,20 @@
 ];
 
 test('every RPC that a node serves to nodes stands in the table, and every one in the table is served', async (t) => {
-  const s = await smallFleet(5);
+  const s = await startSmallFleet(5);
   const served = new Set([...s.stores, ...s.relays].flatMap((n) => n.kernel!.servedMethods()));
   t.deepEqual([...served].sort(), Object.keys(PEER_RPCS).sort());
 });
 
 test('an RPC without an entry cannot be served, nor served twice', async (t) => {
-  const s = await smallFleet(5);
+  const s = await startSmallFleet(5);
   const k = s.relays[0]!.kernel!;
   t.throws(() => k.on('Unheard' as PeerRpc, () => true), { message: /not declared in PEER_RPCS/ });
   t.throws(() => k.on('Ping', () => true), { message: /already has a handler/ });
 });
 
 test('whoever resends refuses what may not be repeated', async (t) => {
-  const s = await smallFleet(5);
+  const s = await startSmallFleet(5);
   const route = s.relays[0]!.kernel!.use('route');
   for (const m of Object.keys(PEER_RPCS) as PeerRpc[]) {
     t.is(isRepeatable(m), PEER_RPCS[m].repeat !== 'never', m);
@@ -137,7 +137,7 @@
 });
 
 test('an order to empty that comes again after it was taken back changes nothing', async (t) => {
-  const s = await smallFleet(9, { relayDisk: true });
+  const s = await startSmallFleet(9, { relayDisk: true });
   const disk = s.relays[0]!.kernel!.use('register').disk!;
   const at = s.relays[1]!;
   const stateOf = async (): Promise<string> => (await s.ask(at, 'EmptyStatus', { disk })).body.state as string;
@@ -146,7 +146,7 @@
   const again = await s.ask(s.stores[0]!, 'EmptyDisk', { disk, changeId: 'empty-1' });
   t.is(again.status, 200);
   t.is(again.body.state, 'active');
-  await s.pass(1_000);
+  await s.advance(1_000);
   t.is(await stateOf(), 'active');
   t.is((await s.ask(at, 'EmptyDisk', { disk, changeId: 'empty-2' })).status, 200);
   t.is((await s.ask(at, 'CancelEmpty', { disk, changeId: 'cancel-1' })).status, 200);
@@ -160,12 +160,12 @@
     .find((x) => x.shard === topicShard)!.fence;
 
 test('a request to take a shard that comes again, or late, takes nothing', async (t) => {
-  const s: Small = await smallFleet(13);
+  const s: SmallFleet = await startSmallFleet(13);
   const from = s.ownerOf('feed/1');
   const { shard, fence } = from.kernel!.use('owner').ownedShards()[0]!;
   const [to, third] = s.stores.filter((n) => n !== from) as [SimNode, SimNode];
   const ask = (n: SimNode, body: object): Promise<boolean> =>
-    settled(s.sim, from.kernel!.call<boolean>(n.config.peer, 'TakeKey', body, MEMBERSHIP.callTimeoutMs));
+    runUntilSettled(s.sim, from.kernel!.call<boolean>(n.config.peer, 'TakeKey', body, MEMBERSHIP.callTimeoutMs));
   t.true(await ask(to, { shard, fence }));
   const taken = fenceOf(to, shard);
   t.true(await ask(to, { shard, fence }), 'it has the shard');
@@ -177,7 +177,7 @@
 });
 
 test('a helper that is not there on an indirect path says nothing of the connection that was asked for', async (t) => {
-  const s = await smallFleet(17);
+  const s = await startSmallFleet(17);
   const [here, there] = s.relays as [SimNode, SimNode];
   const { conn } = await s.attach(there, 'phone');
   const kernel: Kernel = here.kernel!;
@@ -199,9 +199,9 @@
 });
 
 test("of a client's two connections the later stays, also when news of the earlier comes late", async (t) => {
-  const s = await smallFleet(23);
+  const s = await startSmallFleet(23);
   const [slow, quick] = s.relays as [SimNode, SimNode];
-  await s.pass(2_000);
+  await s.advance(2_000);
   slow.maxExtraDelayMs = 300;
   for (let i = 0; i < 8; i++) {
     const name = `phone${i}`;
@@ -214,12 +214,12 @@
     });
     const byId = Reflect.get(slow.kernel!.use('sessions'), 'byId') as Map<string, { consumer: string }>;
     const taken = (): boolean => [...byId.values()].some((c) => c.consumer === name);
-    while (!taken()) await s.pass(5);
-    await s.pass(50);
+    while (!taken()) await s.advance(5);
+    await s.advance(50);
     attach(quick, () => {
       laterEnded = true;
     });
-    await s.pass(2_000);
+    await s.advance(2_000);
     t.false(laterEnded, name);
     t.true(earlierEnded, name);
   }
--- a/packages/trial/src/test/config.test.ts
+++ b/packages/trial/src/test/config.test.ts
@@ -13,7 +13,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { seededRandom, Sim, type SimNode } from '../sim.js';
-import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
+import { FAMILIES, startSmallFleet, type SmallFleet } from './small-fleet.js';
 
 const SEED = 20_262;
 
@@ -177,7 +177,7 @@
 });
 
 test('by revision: the highest holds, a lower or equal one is answered with it and changes nothing, and all is read back', async (t) => {
-  const s = await smallFleet(101);
+  const s = await startSmallFleet(101);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const submit = (n: SimNode, revision: number, x: object = {}) =>
     s.ask(n, 'SubmitConfig', { revision, config: { families: FAMILIES }, ...x });
@@ -252,7 +252,7 @@
 });
 
 /** Publishes bodies on a topic, with rising seqs of one sender. */
-async function say(s: Small, n: SimNode, topicName: string, ...bodies: string[]): Promise<void> {
+async function say(s: SmallFleet, n: SimNode, topicName: string, ...bodies: string[]): Promise<void> {
   for (const body of bodies) {
     const r = await s.ask(n, 'Publish', { sender: 'desk', topic: topicName, seq: ++seqs, body });
     if (r.status !== 200) throw new Error(JSON.stringify(r));
@@ -262,7 +262,7 @@
 const bodiesOf = (frames: Frame[]): string[] => frames.flatMap((f) => (f.t === 'DELIVER' ? [f.body] : []));
 
 test('a family may be renamed, cut in two, or lie inside another: its topics keep their history, cursors and subscriptions', async (t) => {
-  const s = await smallFleet(102);
+  const s = await startSmallFleet(102);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const live = await s.attach(r1, 'live', 60);
   t.is((await s.ask(r1, 'Subscribe', { conn: live.conn, topic: 'feed/1' })).status, 200);
@@ -279,14 +279,14 @@
   for (const [i, families] of steps.entries()) {
     t.is((await s.ask(r2, 'SubmitConfig', { revision: i + 1, config: { families } })).status, 200);
     await say(s, r2, 'feed/1', `after ${i}`);
-    await s.pass(500);
+    await s.advance(500);
     const late = await s.attach(r2, `late${i}`);
     t.deepEqual(
       (await s.ask(r2, 'Subscribe', { conn: late.conn, topic: 'feed/1', cursor: 0 })).body.next,
       1,
       `step ${i}`,
     );
-    await s.pass(1_000);
+    await s.advance(1_000);
     t.deepEqual(bodiesOf(late.frames), ['first', ...steps.slice(0, i + 1).map((_, j) => `after ${j}`)], `step ${i}`);
   }
   t.deepEqual(bodiesOf(live.frames), ['first', ...steps.map((_, j) => `after ${j}`)]);
@@ -295,18 +295,18 @@
 });
 
 test('a topic that no family held for one version shows nothing older, whatever its family is called then', async (t) => {
-  const s = await smallFleet(103);
+  const s = await startSmallFleet(103);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const live = await s.attach(r1, 'live', 60);
   await s.ask(r1, 'Subscribe', { conn: live.conn, topic: 'feed/1' });
   await say(s, r2, 'feed/1', 'old 1', 'old 2');
-  await s.pass(500);
+  await s.advance(500);
   const all = [family('feeds', ['feed/*'])];
   t.is(
     (await s.ask(r2, 'SubmitConfig', { revision: 1, config: { families: [family('feeds', ['food/*'])] } })).status,
     200,
   );
-  await s.pass(3_000);
+  await s.advance(3_000);
   t.deepEqual(
     live.frames.filter((f) => f.t === 'LEFT').map((f) => f.reason),
     ['topic_removed'],
@@ -317,10 +317,10 @@
   );
   t.is((await s.ask(r1, 'Subscribe', { conn: live.conn, topic: 'feed/1' })).body.error.tag, 'unknown_topic');
   t.is((await s.ask(r2, 'SubmitConfig', { revision: 2, config: { families: all } })).status, 200);
-  await s.pass(500);
+  await s.advance(500);
   t.is((await s.ask(r1, 'Subscribe', { conn: live.conn, topic: 'feed/1', cursor: 0 })).body.next, 3);
   await say(s, r2, 'feed/1', 'new');
-  await s.pass(1_000);
+  await s.advance(1_000);
   t.deepEqual(bodiesOf(live.frames), ['old 1', 'old 2', 'new']);
   s.sim.close();
 });
@@ -342,14 +342,14 @@
 }
 
 test('an owner that is behind does not refuse what is there: it waits for the newer configuration, and says that it cannot tell', async (t) => {
-  const s = await smallFleet(104);
+  const s = await startSmallFleet(104);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const owner = s.ownerOf('new/1');
   const config = { families: [...FAMILIES, family('new', ['new/*'])] };
   const free = holdBack(owner);
   const taken = await s.ask(r2, 'SubmitConfig', { revision: 1, config });
   t.is(taken.status, 200);
-  await s.pass(300);
+  await s.advance(300);
   const value = (n: SimNode) => n.kernel!.use('register').value!;
   t.is(value(r1).version, 2);
   t.is(value(owner).version, 1);
@@ -365,7 +365,7 @@
     ['not_ready', 'not_ready', 'not_ready'],
   );
   free();
-  await s.pass(1_500);
+  await s.advance(1_500);
   t.is((await s.ask(r1, 'Publish', { sender: 'desk', topic: 'new/1', seq: 1, body: 'x' })).status, 200);
   t.is((await s.ask(r1, 'Subscribe', { conn, topic: 'new/1' })).status, 200);
   t.is((await s.ask(r1, 'Listeners', { topic: 'new/1' })).body.count, 1);
@@ -373,14 +373,14 @@
 });
 
 test('an owner that is behind does not take what is gone: it accepts nothing for a node that has the newer configuration', async (t) => {
-  const s = await smallFleet(105);
+  const s = await startSmallFleet(105);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const owner = s.ownerOf('feed/1');
   const free = holdBack(owner);
   // Removed and made anew: at r1 the topic is there in both, and what the owner would accept now nobody would ever see.
   t.is((await s.ask(r2, 'SubmitConfig', { revision: 1, config: { families: [] } })).status, 200);
   t.is((await s.ask(r2, 'SubmitConfig', { revision: 2, config: { families: FAMILIES } })).status, 200);
-  await s.pass(200);
+  await s.advance(200);
   t.true(owner.kernel!.use('register').hasReadLease());
   t.is(owner.kernel!.use('register').value!.version, 1);
   t.is(
@@ -456,7 +456,7 @@
   for (const [i, [os, ts, after]] of fc
     .sample(fc.tuple(orders, troubles, afterAck), { seed: SEED, numRuns: 32 })
     .entries()) {
-    const s = await smallFleet(200 + i);
+    const s = await startSmallFleet(200 + i);
     const { sim } = s;
     const nodes = [...s.stores, ...s.relays];
     const random = seededRandom(i);
@@ -557,7 +557,7 @@
       look();
     }
     t.is(left, 0, what('every call was answered'));
-    await s.pass(3_000);
+    await s.advance(3_000);
     const top = Math.max(...os.filter((o) => o.valid).map((o) => o.revision));
     for (const n of nodes) {
       const { body } = await s.ask(n, 'ReadConfig', {});
@@ -574,7 +574,7 @@
 });
 
 test('one revision sent to every node at once, and then a different one to each: nobody is kept waiting for a second', async (t) => {
-  const s = await smallFleet(106);
+  const s = await startSmallFleet(106);
   const nodes = [...s.stores, ...s.relays];
   const submit = async (n: SimNode, revision: number): Promise<{ ms: number; revision: number }> => {
     const from = s.sim.now;
@@ -591,7 +591,7 @@
     void Promise.all(nodes.map((n, i) => submit(n, of(i)))).then((x) => {
       got = x;
     });
-    while (!got) await s.pass(10);
+    while (!got) await s.advance(10);
     return got;
   };
   const took: number[] = [];
@@ -612,17 +612,17 @@
 });
 
 test('a submission goes on when its sender has left, and is given up in time when no majority comes', async (t) => {
-  const s = await smallFleet(107);
+  const s = await startSmallFleet(107);
   const [r1] = s.relays as [SimNode];
   const [a, b, c] = s.stores as [SimNode, SimNode, SimNode];
   sendOff(s, r1, 5);
   sendOff(s, r1, 4);
   s.sim.kill(a);
   s.sim.kill(b);
-  await s.pass(REGISTER.submitMs / 2);
+  await s.advance(REGISTER.submitMs / 2);
   t.is(r1.kernel!.use('register').value!.revision, undefined);
   void s.sim.start(a);
-  await s.pass(REGISTER.submitMs / 2);
+  await s.advance(REGISTER.submitMs / 2);
   t.is(r1.kernel!.use('register').value!.revision, 5, 'its senders had gone long before');
   s.sim.kill(a);
   // Another configuration under the revision in force never comes into force: this node knows that without the others.
@@ -641,16 +641,16 @@
     t.true(s.sim.now - from < 1_000);
   }
   // Given up by now: it does not come into force when the majority is back.
-  await s.pass(REGISTER.submitMs + 500);
+  await s.advance(REGISTER.submitMs + 500);
   void s.sim.start(a);
-  await s.pass(6_000);
+  await s.advance(6_000);
   t.is((await s.ask(c, 'ReadConfig', {})).body.revision, 5);
   t.is((await s.ask(c, 'SubmitConfig', { revision: 5, config: { families: FAMILIES } })).status, 200);
   s.sim.close();
 });
 
 test('a conn may have as many subscriptions as the configuration says, as soon as it is in force', async (t) => {
-  const s = await smallFleet(110, { config: { families: FAMILIES, limits: { subscriptionsPerConn: 2 } } });
+  const s = await startSmallFleet(110, { config: { families: FAMILIES, limits: { subscriptionsPerConn: 2 } } });
   const [r1] = s.relays as [SimNode];
   const { conn } = await s.attach(r1, 'phone', 60);
   const subscribe = async (topicName: string): Promise<string | number> => {
@@ -676,19 +676,19 @@
 });
 
 test('a step of the fleet that is not a configuration leaves the one in force as it lies there', async (t) => {
-  const s = await smallFleet(111);
+  const s = await startSmallFleet(111);
   const at = (n: SimNode) => n.kernel!.use('register').value!;
   const nodes = [...s.stores, ...s.relays];
   const before = nodes.map((n) => at(n));
   void s.stores[0]!.kernel!.use('register').change((v) => ({ next: { ...v }, out: 0 }));
-  await s.pass(1_000);
+  await s.advance(1_000);
   for (const [i, n] of nodes.entries()) {
     t.is(at(n).rev, before[i]!.rev + 1);
     t.is(at(n).config, before[i]!.config);
     t.is(at(n).incarnations, before[i]!.incarnations);
   }
   t.is((await s.ask(s.relays[0]!, 'SubmitConfig', { revision: 1, config: { families: [] } })).status, 200);
-  await s.pass(1_000);
+  await s.advance(1_000);
   for (const n of nodes) t.deepEqual([at(n).config, [...at(n).incarnations]], [{ families: [] }, []]);
   s.sim.close();
 });
@@ -724,7 +724,7 @@
 });
 
 test('what waits at one node is bounded: one revision sent again and again is one, and beyond the bound others are told to come back', async (t) => {
-  const s = await smallFleet(109);
+  const s = await startSmallFleet(109);
   const [r1] = s.relays as [SimNode];
   for (const n of s.stores) s.sim.kill(n);
   const got: string[] = [];
@@ -735,17 +735,17 @@
   };
   for (let i = 0; i < 100; i++) send(3);
   for (let i = 0; i < REGISTER.submissionLimit + 2; i++) {
-    await s.pass(10);
+    await s.advance(10);
     send(4 + i);
   }
-  await s.pass(20);
+  await s.advance(20);
   t.deepEqual(got, ['503 overloaded', '503 overloaded', '503 overloaded']);
   // Longer than one try, so that the highest is at work; who sent the others was told in time that there is no majority.
-  await s.pass(REGISTER.submitAttemptMs + 500);
+  await s.advance(REGISTER.submitAttemptMs + 500);
   t.deepEqual(new Set(got.slice(3)), new Set(['503 no_majority']));
   t.is(got.length, 100 + REGISTER.submissionLimit + 2);
   for (const n of s.stores) void s.sim.start(n);
-  await s.pass(6_000);
+  await s.advance(6_000);
   const top = 4 + REGISTER.submissionLimit - 2;
   for (const n of [...s.stores, r1]) t.is(n.kernel!.use('register').value!.revision, top);
   t.is((await s.ask(r1, 'SubmitConfig', { revision: 3, config: { families: FAMILIES } })).body.revision, top);
@@ -753,7 +753,7 @@
 });
 
 /** Sends a revision and hangs up after 100 ms. */
-function sendOff(s: Small, n: SimNode, revision: number): void {
+function sendOff(s: SmallFleet, n: SimNode, revision: number): void {
   void s.sim.clientTransport.visit(n.config.client, 'SubmitConfig', { revision, config: { families: FAMILIES } }, 100);
 }
 
--- a/packages/trial/src/test/control-fleet.ts
+++ b/packages/trial/src/test/control-fleet.ts
@@ -1,7 +1,7 @@
 import { sleep, type NodeConfig } from '@harecross/kernel';
 import type { Json } from '../json.js';
 import { Sim, type SimNode } from '../sim.js';
-import { FAMILIES, settled } from './small-fleet.js';
+import { FAMILIES, runUntilSettled } from './small-fleet.js';
 
 /**
  * A fleet in virtual time: control nodes, whose disks are used for votes; stores, whose disks are used for replicas and,
@@ -16,19 +16,19 @@
    * Adds a machine at an unused address, with an empty disk unless it is a relay, and does not start it. Its seeds are
    * the first three of `controls` at the time of the call.
    */
-  spare(role: 'control' | 'store' | 'relay', domain: string): SimNode;
+  addMachine(role: 'control' | 'store' | 'relay', domain: string): SimNode;
   /** Sends a client request to a node and advances virtual time until it is answered. Status 0: no answer. */
   ask(node: SimNode, method: string, body: unknown): Promise<{ status: number; body: Json }>;
   /** Advances virtual time. */
-  pass(ms: number): Promise<void>;
+  advance(ms: number): Promise<void>;
 }
 
-export const seatsOf = (node: SimNode): string[] => node.kernel!.use('register').value!.voters;
-export const diskOf = (node: SimNode): string => node.kernel!.use('register').disk!;
-export const copiesAt = (node: SimNode): string[][] =>
+export const votersAt = (node: SimNode): string[] => node.kernel!.use('register').value!.voters;
+export const diskIdOf = (node: SimNode): string => node.kernel!.use('register').disk!;
+export const replicaSetsAt = (node: SimNode): string[][] =>
   [...node.kernel!.use('register').value!.shards.values()].map((placement) => placement.copies);
 
-export async function controlFleet(
+export async function startControlFleet(
   seed: number,
   options: {
     controls?: number;
@@ -73,18 +73,18 @@
     controls,
     stores,
     relays,
-    spare: (role, domain) => {
+    addMachine: (role, domain) => {
       const machine = add(role, domain);
       machine.config.seeds = controls.slice(0, 3).map((control) => control.config.peer);
       machine.config.firstStart = false;
       return machine;
     },
     ask: async (machine, method, body) =>
-      (await settled(sim, sim.clientTransport.visit(machine.config.client, method, body, 6_000))) ?? {
+      (await runUntilSettled(sim, sim.clientTransport.visit(machine.config.client, method, body, 6_000))) ?? {
         status: 0,
         body: undefined,
       },
-    pass: async (ms) => {
+    advance: async (ms) => {
       const elapsed = sleep(sim.clock, ms);
       await sim.run(sim.now + ms);
       await elapsed;
@@ -96,6 +96,6 @@
     config: { families: FAMILIES },
   });
   if (answer.status !== 200) throw new Error(JSON.stringify(answer.body));
-  await fleet.pass(1_000);
+  await fleet.advance(1_000);
   return fleet;
 }
--- a/packages/trial/src/test/cost.test.ts
+++ b/packages/trial/src/test/cost.test.ts
@@ -1,16 +1,16 @@
 import { lastIdx } from '@harecross/state';
 import test from 'ava';
 import { shardOf } from '@harecross/kernel';
-import { smallFleet } from './small-fleet.js';
+import { startSmallFleet } from './small-fleet.js';
 
 test('a fleet at rest commits nothing, and speaks of all shards in one call to each copy', async (t) => {
-  const s = await smallFleet(41);
-  await s.pass(15_000);
+  const s = await startSmallFleet(41);
+  await s.advance(15_000);
   const commits = (): number => s.sim.get(s.stores[0]!.name).db!.commits;
   const before = s.stores.map((n) => n.db!.commits);
   s.sim.requestTraffic.clear();
   s.sim.measureTraffic = true;
-  await s.pass(10_000);
+  await s.advance(10_000);
   t.deepEqual(
     s.stores.map((n) => n.db!.commits),
     before,
@@ -26,7 +26,7 @@
 });
 
 test('a copy that missed entries while it was cut off is brought up by the beats alone', async (t) => {
-  const s = await smallFleet(42);
+  const s = await startSmallFleet(42);
   const shard = shardOf('feed/1');
   const owner = s.stores.find((n) =>
     n
@@ -39,10 +39,10 @@
   const r = await s.ask(s.relays[0]!, 'Publish', { sender: 'a', topic: 'feed/1', seq: 1, body: 'x' });
   t.is(r.status, 200);
   const last = (n: typeof copy): number => lastIdx(n.kernel!.use('copies').get(shard));
-  await s.pass(600);
+  await s.advance(600);
   t.true(last(copy) < last(owner));
   s.sim.healAll();
-  await s.pass(3_000);
+  await s.advance(3_000);
   t.is(last(copy), last(owner));
   s.sim.close();
 });
--- a/packages/trial/src/test/cut-off.test.ts
+++ b/packages/trial/src/test/cut-off.test.ts
@@ -1,8 +1,8 @@
 import { Acceptor, OperatorAnswers, Proposer, ReadLease, deserializeValue } from '@harecross/control';
 import test, { type ExecutionContext } from 'ava';
 import type { Sim, SimNode } from '../sim.js';
-import { controlFleet, type ControlFleet } from './control-fleet.js';
-import { FAMILIES, settled } from './small-fleet.js';
+import { startControlFleet, type ControlFleet } from './control-fleet.js';
+import { FAMILIES, runUntilSettled } from './small-fleet.js';
 
 /** A client tries another node after this long without an answer. */
 const CLIENT_TIMEOUT_MS = 1_000;
@@ -61,9 +61,9 @@
 
 async function readRevision(fleet: ControlFleet, node: SimNode): Promise<number> {
   for (let tries = 0; tries < 20; tries++) {
-    const result = await settled(fleet.sim, send(fleet, node, 'ReadConfig', {}));
+    const result = await runUntilSettled(fleet.sim, send(fleet, node, 'ReadConfig', {}));
     if (result.status === 200) return result.revision!;
-    await fleet.pass(400);
+    await fleet.advance(400);
   }
   throw new Error('no read answered with 200 in 20 attempts');
 }
@@ -85,7 +85,7 @@
 
 /** Isolates a control machine for twenty seconds, sends submissions and reads to it and to the others, and reconnects it. */
 async function runIsolation(seed: number, direction: Direction, from: 'voters' | 'all'): Promise<IsolationRun> {
-  const fleet = await controlFleet(seed, { stores: 3, relays: 2 });
+  const fleet = await startControlFleet(seed, { stores: 3, relays: 2 });
   const { sim, controls, relays } = fleet;
   const isolated = controls[seed % controls.length]!;
   const other = controls[(seed + 1) % controls.length]!;
@@ -103,8 +103,8 @@
     );
   };
   record(run.answers.orders, send(fleet, isolated, 'SubmitConfig', submission(INTERRUPTED_REVISION)));
-  await fleet.pass(500);
-  const first = await settled(
+  await fleet.advance(500);
+  const first = await runUntilSettled(
     sim,
     send(fleet, other, 'SubmitConfig', submission(ACKNOWLEDGED_REVISION, withoutAlarms)),
   );
@@ -116,12 +116,12 @@
     if (sim.now < startedAt + 5_000)
       record(run.answers.orders, send(fleet, isolated, 'EmptyDisk', { disk: fleet.stores[0]!.name }));
     if (sim.now > startedAt + 8_000) isolated.wallStepMs = seed % 2 ? 3_600_000 : -3_600_000;
-    await fleet.pass(700);
+    await fleet.advance(700);
     const isStale = isolated.kernel!.use('register').value!.revision !== ACKNOWLEDGED_REVISION;
     if (isStale && isolated.kernel!.use('register').hasReadLease()) run.servedOldMs.push(sim.now - acknowledgedAt);
   }
   sim.healAll();
-  await fleet.pass(10_000);
+  await fleet.advance(10_000);
   await Promise.all(pending);
   for (const node of [...controls, ...relays]) run.end.push(await readRevision(fleet, node));
   sim.close();
@@ -190,11 +190,11 @@
 
 /** Submits a revision to one control machine, once, and starts an outage of twenty seconds `afterMs` later. */
 async function runInterruptedSubmission(seed: number, afterMs: number, outage: Outage): Promise<InterruptedRun> {
-  const fleet = await controlFleet(seed, { stores: 3, relays: 1 });
+  const fleet = await startControlFleet(seed, { stores: 3, relays: 1 });
   const { sim, controls, relays } = fleet;
   const [proposer, ...others] = controls as [SimNode, ...SimNode[]];
   void send(fleet, proposer, 'SubmitConfig', submission(INTERRUPTED_REVISION), 60_000);
-  await fleet.pass(afterMs);
+  await fleet.advance(afterMs);
   const accepted = controls.some(hasAccepted);
   const frozen = new Map<Outage, SimNode[]>([
     ['proposer frozen', [proposer]],
@@ -202,11 +202,11 @@
   ]);
   for (const node of frozen.get(outage) ?? []) sim.freeze(node);
   if (outage === 'proposer cut') cutFrom(sim, proposer, [...sim.nodes.values()], 'both');
-  await fleet.pass(OUTAGE_MS);
+  await fleet.advance(OUTAGE_MS);
   const before = relays[0]!.kernel!.use('register').value!.revision === INTERRUPTED_REVISION;
   for (const node of frozen.get(outage) ?? []) sim.thaw(node);
   sim.healAll();
-  await fleet.pass(8_000);
+  await fleet.advance(8_000);
   const after = (await readRevision(fleet, relays[0]!)) === INTERRUPTED_REVISION;
   sim.close();
   return { accepted, before, after };
--- a/packages/trial/src/test/fault-tolerance.test.ts
+++ b/packages/trial/src/test/fault-tolerance.test.ts
@@ -11,7 +11,7 @@
 import { Sim, type SimNode } from '../sim.js';
 import test from 'ava';
 import fc from 'fast-check';
-import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, replicaSetsAt, diskIdOf, votersAt, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
 /** The deployments' `sync_s`: a machine counts as lost until this long after its restart. */
@@ -62,11 +62,11 @@
   for (const losses of [0, 1])
     test(`zone ${lost} of three is lost, which the settings tolerate along with ${losses} machines: nothing acknowledged is lost`, async (t) => {
       const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
-      const fleet = await controlFleet(81 + losses, { losses, spread });
+      const fleet = await startControlFleet(81 + losses, { losses, spread });
       t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 1), []);
       t.is((await submit(fleet, fleet.controls[0]!, 2)).status, 200);
       for (const node of machinesIn(fleet, [lost])) fleet.sim.loseDisk(node);
-      await fleet.pass(RECOVERY_MS);
+      await fleet.advance(RECOVERY_MS);
       t.deepEqual(await findFaults(fleet, [lost], 2, 2), []);
       fleet.sim.close();
     });
@@ -76,12 +76,12 @@
   test(`region ${lost} of three is lost, which the settings tolerate: nothing acknowledged is lost`, async (t) => {
     const spread = { domainLosses: 0, regionLosses: 1, domains: THREE_REGIONS };
     // The seeds, which are the first voters, are in a1, a2 and b1.
-    const fleet = await controlFleet(83, { losses: 0, controls: 6, stores: 6, relays: 6, spread });
+    const fleet = await startControlFleet(83, { losses: 0, controls: 6, stores: 6, relays: 6, spread });
     t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 1), []);
     t.is((await submit(fleet, fleet.controls[0]!, 2)).status, 200);
     const domains = [`${lost}1`, `${lost}2`];
     for (const node of machinesIn(fleet, domains)) fleet.sim.loseDisk(node);
-    await fleet.pass(RECOVERY_MS);
+    await fleet.advance(RECOVERY_MS);
     t.deepEqual(await findFaults(fleet, domains, 2, 2), []);
     fleet.sim.close();
   });
@@ -90,16 +90,16 @@
 test('a zone returns after a long outage: after sync_s another zone may be lost', async (t) => {
   const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
   for (const seed of [84, 85]) {
-    const fleet = await controlFleet(seed, { losses: 0, controls: 6, stores: 6, spread });
+    const fleet = await startControlFleet(seed, { losses: 0, controls: 6, stores: 6, spread });
     t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 1), []);
     const away = machinesIn(fleet, ['c']);
     for (const node of away) fleet.sim.kill(node);
-    await fleet.pass(LONG_OUTAGE_MS);
+    await fleet.advance(LONG_OUTAGE_MS);
     t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 2), [], `seed ${seed}`);
     for (const node of away) void fleet.sim.start(node);
-    await fleet.pass(SYNC_MS);
+    await fleet.advance(SYNC_MS);
     for (const node of machinesIn(fleet, ['a'])) fleet.sim.loseDisk(node);
-    await fleet.pass(RECOVERY_MS);
+    await fleet.advance(RECOVERY_MS);
     t.deepEqual(await findFaults(fleet, ['a'], 3, 1), [], `seed ${seed}`);
     fleet.sim.close();
   }
@@ -114,12 +114,12 @@
   ];
   for (const [{ machines, domains: domainLosses, regions: regionLosses }, domains, count] of cases) {
     const spread = { domainLosses, regionLosses, domains };
-    const fleet = await controlFleet(86, { losses: machines, controls: count, stores: count, spread });
-    await fleet.pass(SYNC_MS);
+    const fleet = await startControlFleet(86, { losses: machines, controls: count, stores: count, spread });
+    await fleet.advance(SYNC_MS);
     const value = fleet.controls[0]!.kernel!.use('register').value!;
     const name = JSON.stringify(spread);
     t.is(value.voters.length, value.votersWanted!, name);
-    for (const set of [seatsOf(fleet.controls[0]!), ...copiesAt(fleet.controls[0]!)]) {
+    for (const set of [votersAt(fleet.controls[0]!), ...replicaSetsAt(fleet.controls[0]!)]) {
       const disks = set.map((disk) => value.disks.get(disk)!);
       t.true(set.length >= value.copies, name);
       t.is(
@@ -172,7 +172,7 @@
   void sim.start(third);
   await sim.run(sim.now + 3_000);
   t.true(isFleetCreated(sim));
-  t.true(copiesAt(sim.get('control0')).every((copies) => copies.length === 3));
+  t.true(replicaSetsAt(sim.get('control0')).every((copies) => copies.length === 3));
   sim.close();
 });
 
@@ -186,13 +186,13 @@
 
 test('a store that the required spread of replicas depends on is not emptied', async (t) => {
   const spread = { domainLosses: 1, regionLosses: 0, domains: THREE_ZONES };
-  const fleet = await controlFleet(88, { losses: 0, stores: 4, spread });
+  const fleet = await startControlFleet(88, { losses: 0, stores: 4, spread });
   const [first, second] = fleet.stores as [SimNode, SimNode];
-  const refused = await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskOf(second) });
+  const refused = await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskIdOf(second) });
   t.is(refused.status, 409);
   t.regex(JSON.stringify(refused.body), /replicas: tolerating the loss of/);
   t.is(
-    (await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskOf(first) })).status,
+    (await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: diskIdOf(first) })).status,
     200,
     'zone a has another store',
   );
@@ -201,25 +201,25 @@
 
 // Guards against a raised fault tolerance that a running fleet ignores in favour of the one it was created with.
 test('the fault tolerance is raised in a running fleet: it applies once there are enough disks, and a shortfall is logged until then', async (t) => {
-  const fleet = await controlFleet(89, { losses: 0 });
+  const fleet = await startControlFleet(89, { losses: 0 });
   const control = fleet.controls[0]!;
-  t.true(copiesAt(control).every((copies) => copies.length === 1));
+  t.true(replicaSetsAt(control).every((copies) => copies.length === 1));
   const change = async (config: Partial<NodeConfig>): Promise<void> => {
     for (const node of fleet.sim.nodes.values()) Object.assign(node.config, config);
-    await fleet.pass(SYNC_MS);
+    await fleet.advance(SYNC_MS);
   };
   await change({ losses: 2 });
-  t.true(copiesAt(control).every((copies) => copies.length === 1));
+  t.true(replicaSetsAt(control).every((copies) => copies.length === 1));
   t.true(
     fleet.sim.lines.some((line) =>
       line.includes('cannot provide the configured fault tolerance: replicas: tolerating'),
     ),
   );
   await change({ losses: 1 });
-  t.true(copiesAt(control).every((copies) => copies.length === 3));
+  t.true(replicaSetsAt(control).every((copies) => copies.length === 3));
   t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 1), []);
   for (const store of fleet.stores.slice(0, 1)) fleet.sim.loseDisk(store);
-  await fleet.pass(SYNC_MS);
+  await fleet.advance(SYNC_MS);
   t.deepEqual(await publishAll(fleet, fleet.relays[0]!, 2), []);
   fleet.sim.close();
 });
--- a/packages/trial/src/test/forget.test.ts
+++ b/packages/trial/src/test/forget.test.ts
@@ -2,7 +2,7 @@
 import { PLACEMENT } from '@harecross/kernel';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
-import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, replicaSetsAt, diskIdOf, votersAt, type ControlFleet } from './control-fleet.js';
 import { withConstants } from './long-life.js';
 import { FAMILIES } from './small-fleet.js';
 
@@ -16,14 +16,14 @@
 
 /** Empties a store on an operator's request and then stops its machine, disk included. */
 async function emptyAndStopStore(fleet: ControlFleet): Promise<{ store: SimNode; disk: string }> {
-  void fleet.sim.start(fleet.spare('store', 'd'));
-  await fleet.pass(2_000);
+  void fleet.sim.start(fleet.addMachine('store', 'd'));
+  await fleet.advance(2_000);
   const store = fleet.stores[1]!;
-  const disk = diskOf(store);
+  const disk = diskIdOf(store);
   await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: store.name });
   for (let i = 0; i < 50; i++) {
     if ((await fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk: store.name })).body.state === 'emptied') break;
-    await fleet.pass(200);
+    await fleet.advance(200);
   }
   fleet.sim.kill(store);
   return { store, disk };
@@ -36,27 +36,27 @@
       : 'the state of an emptied disk can be queried, then its record is removed; when it returns it stays emptied until an operator cancels that',
     async (t) => {
       const restore = withConstants({ forgetDiskMs: FORGET_DISK_MS });
-      const fleet = await controlFleet(31);
+      const fleet = await startControlFleet(31);
       const { store, disk } = await emptyAndStopStore(fleet);
       const status = () => fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk: store.name });
-      await fleet.pass(FORGET_DISK_MS / 2);
+      await fleet.advance(FORGET_DISK_MS / 2);
       t.is((await status()).body.state, 'emptied', 'the outcome can be queried for a time');
-      await fleet.pass(FORGET_DISK_MS);
+      await fleet.advance(FORGET_DISK_MS);
       t.is(stateOf(fleet, disk), undefined, 'the record is removed');
       t.is((await status()).status, 404);
 
       if (planted) store.sql!.prepare("delete from meta where k = 'emptied'").run();
       void fleet.sim.start(store);
-      await fleet.pass(JOIN_MS);
+      await fleet.advance(JOIN_MS);
       t.is(stateOf(fleet, disk), planted ? 'active' : 'emptying');
       if (!planted) {
-        t.false(copiesAt(fleet.controls[0]!).some((c) => c.includes(disk)));
-        t.false(seatsOf(fleet.controls[0]!).includes(disk));
+        t.false(replicaSetsAt(fleet.controls[0]!).some((c) => c.includes(disk)));
+        t.false(votersAt(fleet.controls[0]!).includes(disk));
         t.is((await fleet.ask(fleet.controls[0]!, 'CancelEmpty', { disk: store.name })).status, 200);
         fleet.sim.kill(store);
-        await fleet.pass(1_000);
+        await fleet.advance(1_000);
         void fleet.sim.start(store);
-        await fleet.pass(JOIN_MS);
+        await fleet.advance(JOIN_MS);
         t.is(stateOf(fleet, disk), 'active');
         t.is(store.sql!.prepare("select v from meta where k = 'emptied'").pluck().get(), 'no');
       }
@@ -70,9 +70,9 @@
   'a voter whose record was removed returns with its old disk: it joins without a vote and learns the current configuration',
   async (t) => {
     const restore = withConstants({ forgetDiskMs: FORGET_DISK_MS });
-    const fleet = await controlFleet(32, { controls: 4 });
-    const voter = fleet.controls.find((c) => c !== fleet.controls[0] && seatsOf(c).includes(diskOf(c)))!;
-    const disk = diskOf(voter);
+    const fleet = await startControlFleet(32, { controls: 4 });
+    const voter = fleet.controls.find((c) => c !== fleet.controls[0] && votersAt(c).includes(diskIdOf(c)))!;
+    const disk = diskIdOf(voter);
     fleet.sim.kill(voter);
     for (let revision = 2; revision <= 30; revision++) {
       const answer = await fleet.ask(fleet.controls[0]!, 'SubmitConfig', {
@@ -82,18 +82,18 @@
       });
       t.is(answer.status, 200);
     }
-    await fleet.pass(PLACEMENT.spareAfterMs + 2_000);
+    await fleet.advance(PLACEMENT.spareAfterMs + 2_000);
     t.is(stateOf(fleet, disk), 'lost');
-    await fleet.pass(FORGET_DISK_MS + 5_000);
+    await fleet.advance(FORGET_DISK_MS + 5_000);
     t.is(stateOf(fleet, disk), undefined);
-    const voters = seatsOf(fleet.controls[0]!);
+    const voters = votersAt(fleet.controls[0]!);
     void fleet.sim.start(voter);
-    await fleet.pass(1_000);
+    await fleet.advance(1_000);
     t.is(voter.kernel!.use('register').value?.revision, 30);
     t.true(voter.kernel!.use('register').hasReadLease());
-    await fleet.pass(JOIN_MS);
+    await fleet.advance(JOIN_MS);
     t.is(stateOf(fleet, disk), 'active');
-    t.deepEqual(seatsOf(fleet.controls[0]!), voters, 'the voters do not change');
+    t.deepEqual(votersAt(fleet.controls[0]!), voters, 'the voters do not change');
     t.is(
       (await fleet.ask(voter, 'SubmitConfig', { revision: 31, document: {}, config: { families: FAMILIES } })).status,
       200,
--- a/packages/trial/src/test/full-disk.test.ts
+++ b/packages/trial/src/test/full-disk.test.ts
@@ -7,7 +7,7 @@
 import test, { type ExecutionContext } from 'ava';
 import { seededRandom, type SimNode } from '../sim.js';
 import { freePorts } from '../process-fleet.js';
-import { controlFleet, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
 /** A process that ended is started again after this long. */
@@ -34,7 +34,7 @@
   for (let passed = 0; passed < ms; passed += RESTART_MS) {
     for (const node of [...fleet.controls, ...fleet.stores]) if (!node.up) void fleet.sim.start(node);
     await order();
-    await fleet.pass(RESTART_MS);
+    await fleet.advance(RESTART_MS);
   }
 }
 
@@ -53,7 +53,7 @@
   for (const role of ['control', 'store'] as const)
     test(`the disk of a ${role} is full for 5 s, then another is ${next}: nothing acknowledged is gone`, async (t) => {
       for (const seed of [111, 112]) {
-        const fleet = await controlFleet(seed, { files: true });
+        const fleet = await startControlFleet(seed, { files: true });
         const [first, second] = (role === 'control' ? fleet.controls : fleet.stores) as [SimNode, SimNode];
         t.deepEqual(await publishAll(fleet, 1), []);
         let revision = 10;
@@ -71,7 +71,7 @@
           await passSupervised(fleet, FULL_MS, order);
           fleet.sim.fillDisk(second, false);
           await passSupervised(fleet, RECOVERY_MS, order);
-        } else await fleet.pass(RECOVERY_MS);
+        } else await fleet.advance(RECOVERY_MS);
         t.deepEqual(await publishAll(fleet, 2), [], `seed ${seed}`);
         const read = await fleet.ask(
           fleet.controls.find((node) => node.up)!,
--- a/packages/trial/src/test/fuzz.test.ts
+++ b/packages/trial/src/test/fuzz.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import type { Json } from '../json.js';
 import type { SimNode } from '../sim.js';
-import { FAMILIES, smallFleet } from './small-fleet.js';
+import { FAMILIES, startSmallFleet } from './small-fleet.js';
 
 const SEED = 20_261;
 const METHODS = (Object.keys(Rpcs) as Method[]).filter((m) => m !== 'Attach');
@@ -63,7 +63,7 @@
   'whatever a visit holds, the answer is tagged, with step and peer; never 500, and nothing changes',
   async (t) => {
     t.log(`seed ${SEED}`);
-    const s = await smallFleet(77);
+    const s = await startSmallFleet(77);
     const [a, b] = s.relays as [SimNode, SimNode];
     const inForce = (): string =>
       JSON.stringify(
@@ -122,7 +122,7 @@
 );
 
 test.serial('an Attach of anything is a conn or a tagged answer', async (t) => {
-  const s = await smallFleet(78);
+  const s = await startSmallFleet(78);
   const edge: Edge = s.relays[0]!.edge!;
   const sink = { write: () => true, close: () => undefined };
   for (const raw of fc.sample(near(JSON.parse(JSON.stringify(Rpcs.Attach.visit))), { seed: SEED, numRuns: 150 })) {
@@ -177,7 +177,7 @@
 test.serial(
   'a configuration that is right is never refused; one that was spoilt in one place always is, with the place',
   async (t) => {
-    const s = await smallFleet(79);
+    const s = await startSmallFleet(79);
     const a = s.relays[0]!;
     let n = 0;
     for (const c of fc.sample(rightConfig, { seed: SEED, numRuns: 40 })) {
--- a/packages/trial/src/test/long-life.ts
+++ b/packages/trial/src/test/long-life.ts
@@ -3,7 +3,7 @@
 import type { FleetConfig } from '@harecross/schema';
 import { collectionSizes } from '../collection-sizes.js';
 import type { SimNode } from '../sim.js';
-import { controlFleet, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
 /** Changes of the configuration in one round; in three of them a family is added under another, in three removed. */
@@ -47,7 +47,7 @@
 
 /** A fleet that lives long: see `round`. The first node of each kind is never replaced. */
 export async function longLife(seed: number): Promise<LongLife> {
-  const fleet = await controlFleet(seed, { relays: 2 });
+  const fleet = await startControlFleet(seed, { relays: 2 });
   const counts = { changes: 0, familiesAdded: 0, replaced: 0, emptied: 0 };
   let revision = 1;
   let rounds = 0;
@@ -65,17 +65,17 @@
   const replace = async (machines: SimNode[], role: 'control' | 'relay'): Promise<void> => {
     const gone = machines.splice(1, 1)[0]!;
     fleet.sim.loseDisk(gone);
-    const empty = fleet.spare(role, gone.config.domain);
+    const empty = fleet.addMachine(role, gone.config.domain);
     void fleet.sim.start(empty);
     machines.push(empty);
     counts.replaced++;
   };
   const emptyOne = async (): Promise<void> => {
     const leaving = fleet.stores.splice(1, 1)[0]!;
-    const coming = fleet.spare('store', leaving.config.domain);
+    const coming = fleet.addMachine('store', leaving.config.domain);
     void fleet.sim.start(coming);
     fleet.stores.push(coming);
-    await fleet.pass(1_500);
+    await fleet.advance(1_500);
     const begun = await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk: leaving.name });
     if (begun.status !== 200) throw new Error(`emptying ${leaving.name}: ${JSON.stringify(begun)}`);
     const until = fleet.sim.now + EMPTIED_WITHIN_MS;
@@ -83,7 +83,7 @@
       const status = await fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk: leaving.name });
       if (status.body?.state === 'emptied') break;
       if (fleet.sim.now > until) throw new Error(`${leaving.name} not emptied: ${JSON.stringify(status.body)}`);
-      await fleet.pass(200);
+      await fleet.advance(200);
     }
     fleet.sim.loseDisk(leaving);
     counts.emptied++;
@@ -100,7 +100,7 @@
       else await emptyOne();
       for (let step = 0; step < CHANGES_PER_ROUND; step++) await change(step);
       rounds++;
-      await fleet.pass(Math.max(0, until - fleet.sim.now));
+      await fleet.advance(Math.max(0, until - fleet.sim.now));
     },
     sizes: () => sizesOf(fleet),
   };
--- a/packages/trial/src/test/order-race.ts
+++ b/packages/trial/src/test/order-race.ts
@@ -1,7 +1,7 @@
 import { REGISTER, sleep } from '@harecross/kernel';
 import type { RegisterCall } from '../linearizable.js';
 import { seededRandom, type SimNode } from '../sim.js';
-import { FAMILIES, settled, smallFleet, type Small } from './small-fleet.js';
+import { FAMILIES, runUntilSettled, startSmallFleet, type SmallFleet } from './small-fleet.js';
 
 /** An operator goes elsewhere after a second of silence. */
 const PATIENCE_MS = 1_000;
@@ -38,7 +38,7 @@
  * answers are lost, and machines are killed, cut off, frozen, started anew, and lose their disks, one at a time.
  */
 export async function race(seed: number, operators: number): Promise<Race> {
-  const s = await smallFleet(seed);
+  const s = await startSmallFleet(seed);
   const random = seededRandom(seed + 77_777);
   const nodes = [...s.stores, ...s.relays];
   const any = <T>(list: readonly T[]): T => list[Math.floor(random.next() * list.length)]!;
@@ -103,24 +103,25 @@
   await passUntil(s, racing);
   over = true;
   await passUntil(s, troubled);
-  await s.pass(EXPIRES_MS);
-  for (const node of nodes) if (!(await settled(s.sim, read(node, 9_000)))) seen.wrong.push(`${node.name}: no read`);
+  await s.advance(EXPIRES_MS);
+  for (const node of nodes)
+    if (!(await runUntilSettled(s.sim, read(node, 9_000)))) seen.wrong.push(`${node.name}: no read`);
   seen.wrong.push(...s.sim.errors);
   s.sim.close();
   return seen;
 }
 
-async function passUntil(s: Small, done: Promise<unknown>): Promise<void> {
+async function passUntil(s: SmallFleet, done: Promise<unknown>): Promise<void> {
   let over = false;
   void done.finally(() => {
     over = true;
   });
-  while (!over) await s.pass(200);
+  while (!over) await s.advance(200);
   await done;
 }
 
 /** One trouble of one machine, and its end. */
-async function strike(s: Small, node: SimNode, kind: number, length: number): Promise<void> {
+async function strike(s: SmallFleet, node: SimNode, kind: number, length: number): Promise<void> {
   const { sim } = s;
   const pause = (ms: number): Promise<void> => sleep(sim.clock, ms);
   if (kind < 0.3) {
--- a/packages/trial/src/test/orders.test.ts
+++ b/packages/trial/src/test/orders.test.ts
@@ -2,7 +2,7 @@
 import { REGISTER, type PeerRpc } from '@harecross/kernel';
 import { digestOf, revisionOutcome, withConfig, type FleetValue } from '@harecross/control';
 import type { SimNode } from '../sim.js';
-import { FAMILIES, settled, smallFleet, type Small } from './small-fleet.js';
+import { FAMILIES, runUntilSettled, startSmallFleet, type SmallFleet } from './small-fleet.js';
 
 const family = (name: string) => ({
   name,
@@ -13,9 +13,9 @@
 });
 /** A configuration that is different for each name. */
 const configOf = (name: string) => ({ families: [...FAMILIES, family(name)] });
-const submit = (fleet: Small, node: SimNode, revision: number, name: string) =>
+const submit = (fleet: SmallFleet, node: SimNode, revision: number, name: string) =>
   fleet.ask(node, 'SubmitConfig', { revision, config: configOf(name), document: { of: name } });
-const outcomeOf = (answer: Awaited<ReturnType<Small['ask']>>): string =>
+const outcomeOf = (answer: Awaited<ReturnType<SmallFleet['ask']>>): string =>
   answer.status === 200
     ? `${answer.body.outcome} ${answer.body.revision}`
     : `${answer.status} ${answer.body.error.tag} ${answer.body.error.revision}`;
@@ -23,9 +23,9 @@
 
 test('two configurations with one revision, submitted to two stores at once: one is accepted, the other conflicts, at every node', async (t) => {
   for (const seed of [301, 302, 303, 304]) {
-    const fleet = await smallFleet(seed);
+    const fleet = await startSmallFleet(seed);
     const [a, b] = fleet.stores as [SimNode, SimNode];
-    const answers = await settled(
+    const answers = await runUntilSettled(
       fleet.sim,
       Promise.all([submit(fleet, a, 50, 'left'), submit(fleet, b, 50, 'right')]),
     );
@@ -46,7 +46,7 @@
 });
 
 test('the outcome of a revision is kept after a later revision, a restart of all nodes, and a replaced disk', async (t) => {
-  const fleet = await smallFleet(305);
+  const fleet = await startSmallFleet(305);
   const [a, b, c] = fleet.stores as [SimNode, SimNode, SimNode];
   t.is(outcomeOf(await submit(fleet, a, 50, 'left')), 'accepted 50');
   t.is(outcomeOf(await submit(fleet, b, 60, 'third')), 'accepted 60');
@@ -69,12 +69,12 @@
   await checkOutcomes('a later revision');
   for (const node of fleet.sim.nodes.values()) fleet.sim.kill(node);
   for (const node of fleet.sim.nodes.values()) void fleet.sim.start(node);
-  await fleet.pass(8_000);
+  await fleet.advance(8_000);
   await checkOutcomes('all nodes restarted');
   fleet.sim.loseDisk(c);
-  await fleet.pass(1_000);
+  await fleet.advance(1_000);
   void fleet.sim.start(c);
-  await fleet.pass(8_000);
+  await fleet.advance(8_000);
   await checkOutcomes('a disk replaced');
   fleet.sim.close();
 });
@@ -87,7 +87,7 @@
 });
 
 test('the outcome of a revision is kept for a fixed number of later revisions, and is then unknown, not a rejection', async (t) => {
-  const fleet = await smallFleet(306);
+  const fleet = await startSmallFleet(306);
   const [node] = fleet.relays as [SimNode];
   let value = valueOf(node);
   const submission = (revision: number, name: string) => ({ revision, digest: digestOf(configOf(name), undefined) });
@@ -110,7 +110,7 @@
 });
 
 test('a repeated submission has its first outcome at any node, hundreds of changes later', async (t) => {
-  const fleet = await smallFleet(307);
+  const fleet = await startSmallFleet(307);
   const nodes = [...fleet.stores, ...fleet.relays];
   t.is(outcomeOf(await submit(fleet, nodes[0]!, 1, 'first')), 'accepted 1');
   t.is(outcomeOf(await submit(fleet, nodes[1]!, 1, 'other')), '409 conflict 1');
@@ -128,12 +128,12 @@
 });
 
 test('a value of an older version without outcomes: the current revision is recognized by its content, and an unknown outcome is not a rejection', async (t) => {
-  const fleet = await smallFleet(308);
+  const fleet = await startSmallFleet(308);
   const [a, b] = fleet.stores as [SimNode, SimNode];
   t.is(outcomeOf(await submit(fleet, a, 50, 'left')), 'accepted 50');
   const strip = (value: FleetValue) => ({ next: { ...value, revisionOutcomes: undefined }, out: 0 });
-  await settled(fleet.sim, a.kernel!.use('register').change(strip));
-  await fleet.pass(500);
+  await runUntilSettled(fleet.sim, a.kernel!.use('register').change(strip));
+  await fleet.advance(500);
   t.is(valueOf(b).revisionOutcomes, undefined);
   t.is(outcomeOf(await submit(fleet, b, 50, 'left')), 'accepted 50');
   t.is(outcomeOf(await submit(fleet, b, 50, 'right')), '409 conflict 50');
@@ -148,15 +148,15 @@
     const next = withConfig(value, { changeId: 'revision-60', config: configOf('old') as never });
     return { next: { ...next, revision: 60 }, out: 0 };
   };
-  await settled(fleet.sim, a.kernel!.use('register').change(submitAsOlderVersion));
-  await fleet.pass(500);
+  await runUntilSettled(fleet.sim, a.kernel!.use('register').change(submitAsOlderVersion));
+  await fleet.advance(500);
   t.is(outcomeOf(await fleet.ask(b, 'SubmitConfig', { revision: 60, config: configOf('old') })), 'accepted 60');
   t.is(outcomeOf(await fleet.ask(b, 'SubmitConfig', { revision: 60, config: configOf('new') })), '409 conflict 60');
   fleet.sim.close();
 });
 
 test('a change whose outcome may have been dropped is neither rejected nor executed', async (t) => {
-  const fleet = await smallFleet(309);
+  const fleet = await startSmallFleet(309);
   const [a] = fleet.stores as [SimNode];
   const config = { families: FAMILIES };
   const change = (changeId: string, expect: number) => fleet.ask(a, 'SubmitConfig', { changeId, expect, config });
@@ -167,7 +167,7 @@
     while (changes.size < REGISTER.changeIdLimit) changes.set(`filler ${changes.size}`, { tag: 'taken', version: 2 });
     return { next: { ...value, changes }, out: 0 };
   };
-  await settled(fleet.sim, a.kernel!.use('register').change(fill));
+  await runUntilSettled(fleet.sim, a.kernel!.use('register').change(fill));
   t.is((await change('early', 1)).body.version, 2, 'still recorded at the limit');
   t.is((await change('next', 2)).body.version, 3);
   t.is((await change('next but one', 3)).body.version, 4);
@@ -183,7 +183,7 @@
 
 test('a rejected submission does not take effect later, although one disk had accepted it', async (t) => {
   for (const by of ['revision', 'changeId']) {
-    const fleet = await smallFleet(310);
+    const fleet = await startSmallFleet(310);
     const [a, b, c] = fleet.stores as [SimNode, SimNode, SimNode];
     const [r1, r2] = fleet.relays as [SimNode, SimNode];
     const until = r1.kernel!.host.clock.wall() + 4_000;
@@ -199,10 +199,10 @@
     register.callVoters = (disks, method, body) =>
       callVoters(method === 'RegAccept' ? disks.filter((d) => d === disk) : disks, method, body);
     void fleet.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', submission, 900);
-    await fleet.pass(60);
+    await fleet.advance(60);
     for (const other of [b, c, r2]) fleet.sim.cut(a.name, other.name);
     fleet.sim.kill(r1);
-    await fleet.pass(6_000);
+    await fleet.advance(6_000);
     const repeated = await fleet.ask(r2, 'SubmitConfig', submission);
     t.deepEqual(
       [repeated.status, repeated.body.error.tag],
@@ -210,7 +210,7 @@
       `${by}: the planned move is in the past`,
     );
     fleet.sim.healAll();
-    await fleet.pass(10_000);
+    await fleet.advance(10_000);
     t.is((await fleet.ask(b, 'ReadConfig', {})).body.version, 1, `${by}: it stays rejected`);
     fleet.sim.close();
   }
@@ -221,16 +221,16 @@
     [REGISTER.submitMs - 3_000, true],
     [REGISTER.submitMs + 1_000, false],
   ] as const) {
-    const fleet = await smallFleet(311);
+    const fleet = await startSmallFleet(311);
     const [r1] = fleet.relays as [SimNode];
     for (const node of fleet.sim.nodes.values()) if (node !== r1) fleet.sim.cut(r1.name, node.name);
-    await fleet.pass(1_000);
+    await fleet.advance(1_000);
     const submission = { revision: 50, config: configOf('late') };
     void fleet.sim.clientTransport.visit(r1.config.client, 'SubmitConfig', submission, 900);
-    await fleet.pass(waitMs);
+    await fleet.advance(waitMs);
     t.is(valueOf(fleet.stores[0]!).revision, undefined);
     fleet.sim.healAll();
-    await fleet.pass(30_000);
+    await fleet.advance(30_000);
     for (const node of fleet.sim.nodes.values())
       t.is(valueOf(node).revision, takesEffect ? 50 : undefined, `${waitMs} ms, at ${node.name}`);
     fleet.sim.close();
@@ -238,7 +238,7 @@
 });
 
 test('a node limits the callers that wait for one submission, and the concurrent changes', async (t) => {
-  const fleet = await smallFleet(312);
+  const fleet = await startSmallFleet(312);
   const [r1] = fleet.relays as [SimNode];
   for (const node of fleet.stores) fleet.sim.kill(node);
   const received = new Map<string, number>();
@@ -250,12 +250,12 @@
   };
   for (let i = 0; i < REGISTER.submissionWaiterLimit + 5; i++) send({ revision: 3, config: configOf('same') });
   // Shorter than REGISTER.operatorAnswerMs, after which waiting callers are answered that there is no majority.
-  await fleet.pass(200);
+  await fleet.advance(200);
   t.deepEqual([...received], [['503 overloaded', 5]]);
   for (let i = 0; i < REGISTER.concurrentChangeLimit + 7; i++) send({ changeId: `c${i}`, config: configOf('same') });
-  await fleet.pass(200);
+  await fleet.advance(200);
   t.deepEqual([...received], [['503 overloaded', 12]]);
-  await fleet.pass(REGISTER.submitMs + REGISTER.submitAttemptMs);
+  await fleet.advance(REGISTER.submitMs + REGISTER.submitAttemptMs);
   t.is(
     received.get('503 no_majority'),
     REGISTER.submissionWaiterLimit + REGISTER.concurrentChangeLimit,
@@ -267,7 +267,7 @@
 test('eight concurrent submissions of 500 families each are answered within two seconds and a few ballots', async (t) => {
   const families = Array.from({ length: 500 }, (_, i) => family(`space-${i}`));
   for (const seed of [321, 322, 323]) {
-    const fleet = await smallFleet(seed, { config: { families } });
+    const fleet = await startSmallFleet(seed, { config: { families } });
     const nodes = [...fleet.stores, ...fleet.relays];
     const callCounts = new Map<string, number>();
     for (const node of nodes) {
@@ -292,7 +292,7 @@
       durations.push(fleet.sim.now - from);
       return answer;
     });
-    const answers = await settled(fleet.sim, Promise.all(submissions));
+    const answers = await runUntilSettled(fleet.sim, Promise.all(submissions));
     for (const [i, answer] of answers.entries()) {
       t.is(answer?.status, 200, `seed ${seed} submission ${i}`);
       t.true(answer!.body.revision >= 10 + i);
@@ -307,21 +307,21 @@
 });
 
 test('a repeated request to empty a disk is never rejected after it was accepted', async (t) => {
-  const fleet = await smallFleet(313);
+  const fleet = await startSmallFleet(313);
   const [a, , c] = fleet.stores as [SimNode, SimNode, SimNode];
   const addedStore = fleet.sim.add('store4', { role: 'store', domain: 'a', disk: true });
   addedStore.config.seeds = fleet.stores.map((node) => node.config.peer);
   void fleet.sim.start(addedStore);
-  await fleet.pass(20_000);
+  await fleet.advance(20_000);
   const disk = c.kernel!.use('register').disk!;
   const empty = (node: SimNode, name: string) => fleet.ask(node, 'EmptyDisk', { disk: name });
   t.is((await empty(a, disk)).status, 200);
   t.is((await empty(fleet.relays[0]!, disk)).status, 200, 'at another node');
   // The machine restarts with an empty disk: the old disk is lost.
   fleet.sim.loseDisk(c);
-  await fleet.pass(1_000);
+  await fleet.advance(1_000);
   void fleet.sim.start(c);
-  await fleet.pass(10_000);
+  await fleet.advance(10_000);
   t.is(valueOf(a).disks.get(disk)!.state, 'lost');
   t.is((await empty(a, disk)).status, 200, 'after the disk was lost');
   // The same by the machine's name, when the remaining disks can't hold the replicas.
@@ -331,9 +331,9 @@
     const disks = new Map([...value.disks].map(([id, d]) => [id, d.peer === c.config.peer ? { ...d, name } : d]));
     return { next: { ...value, disks }, out: 0 };
   };
-  await settled(sim, a.kernel!.use('register').change(named));
+  await runUntilSettled(sim, a.kernel!.use('register').change(named));
   sim.kill(addedStore);
-  await fleet.pass(3_000);
+  await fleet.advance(3_000);
   const repeated = await empty(a, name);
   t.true(repeated.status === 200 || repeated.status >= 500, `${repeated.status} ${JSON.stringify(repeated.body)}`);
   t.is((await empty(a, a.kernel!.use('register').disk!)).body.error.tag, 'wont_hold', 'a new request is rejected');
--- a/packages/trial/src/test/overlapping-losses.test.ts
+++ b/packages/trial/src/test/overlapping-losses.test.ts
@@ -1,7 +1,7 @@
 import { Replication } from '@harecross/data';
 import test from 'ava';
 import type { Json } from '../json.js';
-import { controlFleet, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 import type { SimNode } from '../sim.js';
 
@@ -62,7 +62,7 @@
 
 /** A network partition divides the control machines and stores into two halves for some seconds; relays reach both. */
 async function partitionedHalves(seed: number): Promise<string[]> {
-  const fleet = await controlFleet(seed, { controls: 4, stores: 4, relays: 3 });
+  const fleet = await startControlFleet(seed, { controls: 4, stores: 4, relays: 3 });
   const relay = fleet.relays[seed % 3]!;
   const faults = await wrongOffsets(fleet, relay, 1, 1);
   const diskNodes = [...fleet.controls, ...fleet.stores];
@@ -77,11 +77,11 @@
     if (answer.status === 200 && answer.body.revision === revision)
       newest = { revision, acknowledgedAt: fleet.sim.now };
     acknowledged.push(...(await publishAll(fleet, relay, 2 + round)));
-    await fleet.pass(1_500);
+    await fleet.advance(1_500);
     faults.push(...(await staleReads(fleet, newest)));
   }
   fleet.sim.healAll();
-  await fleet.pass(8_000);
+  await fleet.advance(8_000);
   faults.push(...(await staleReads(fleet, newest)));
   for (const { topic, seq, offset } of acknowledged) {
     const { body } = await publish(fleet, relay, topic, seq);
@@ -93,7 +93,7 @@
 
 /** Two of three controls and two of three stores lose power in turn, so that their outages overlap; their disks are kept. */
 async function overlappingLosses(seed: number): Promise<string[]> {
-  const fleet = await controlFleet(seed, { controls: 3, stores: 3, relays: 2 });
+  const fleet = await startControlFleet(seed, { controls: 3, stores: 3, relays: 2 });
   const relay = fleet.relays[0]!;
   const faults = await wrongOffsets(fleet, relay, 1, 1);
   const { status } = await submit(fleet, fleet.controls[0]!, 20);
@@ -102,17 +102,17 @@
   const stopped = [0, 1].flatMap((i) => [fleet.controls[(seed + i) % 3]!, fleet.stores[(seed + i) % 3]!]);
   for (const node of stopped) {
     fleet.sim.kill(node);
-    await fleet.pass(400);
+    await fleet.advance(400);
   }
   // One replica of three is left: anything accepted now could be lost with the next machine.
   for (const { topic, seq } of await publishAll(fleet, relay, 2)) faults.push(`${topic} number ${seq} has no majority`);
-  await fleet.pass(APPLY_MS);
+  await fleet.advance(APPLY_MS);
   faults.push(...(await staleReads(fleet, newest)));
   for (const node of stopped) {
     void fleet.sim.start(node);
-    await fleet.pass(700);
+    await fleet.advance(700);
   }
-  await fleet.pass(8_000);
+  await fleet.advance(8_000);
   faults.push(...(await staleReads(fleet, newest)));
   for (const node of fleet.controls) {
     const { body } = await fleet.ask(node, 'ReadConfig', {});
--- a/packages/trial/src/test/planned-replacement.test.ts
+++ b/packages/trial/src/test/planned-replacement.test.ts
@@ -1,7 +1,7 @@
 /** Planned replacement: the successor starts, the old machine is removed, and another one loses its disk at about that time. */
 import test from 'ava';
 import type { SimNode } from '../sim.js';
-import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, replicaSetsAt, diskIdOf, votersAt, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
 /** The deployments' `sync_s`: a new machine counts as lost until this long after its start. */
@@ -52,7 +52,7 @@
 
 async function loseDiskAndReturn(fleet: ControlFleet, node: SimNode): Promise<void> {
   fleet.sim.loseDisk(node);
-  await fleet.pass(RESTART_DELAY_MS);
+  await fleet.advance(RESTART_DELAY_MS);
   void fleet.sim.start(node);
 }
 
@@ -62,20 +62,20 @@
   let lost: Promise<void> | undefined;
   if (fromStopMs !== undefined && fromStopMs < 0) {
     lost = loseDiskAndReturn(fleet, second);
-    await fleet.pass(-fromStopMs);
+    await fleet.advance(-fromStopMs);
   }
   let hasExited = false;
   void fleet.sim.stop(old).then(() => {
     hasExited = true;
   });
   if (fromStopMs !== undefined && fromStopMs >= 0) {
-    await fleet.pass(fromStopMs);
+    await fleet.advance(fromStopMs);
     lost = loseDiskAndReturn(fleet, second);
   }
-  while (!hasExited) await fleet.pass(10);
+  while (!hasExited) await fleet.advance(10);
   fleet.sim.loseDisk(old);
   if (fromExitMs !== undefined) {
-    await fleet.pass(fromExitMs);
+    await fleet.advance(fromExitMs);
     lost = loseDiskAndReturn(fleet, second);
   }
   await lost;
@@ -88,19 +88,19 @@
   at: { old: number; second: number },
   lossTime: LossTime,
 ): Promise<string[]> {
-  const fleet = await controlFleet(seed);
+  const fleet = await startControlFleet(seed);
   const machines = machinesOf(fleet, role);
   const [old, second] = [machines[at.old]!, machines[at.second]!];
-  const successor = fleet.spare(role, old.config.domain);
+  const successor = fleet.addMachine(role, old.config.domain);
   void fleet.sim.start(successor);
-  await fleet.pass(2 * SYNC_MS);
+  await fleet.advance(2 * SYNC_MS);
   const faults = await publishAll(fleet, 1);
   const submission = await submit(fleet, fleet.relays[0]!, 8);
   if (submission.status !== 200) faults.push(`revision 8: ${submission.status}`);
-  await fleet.pass(SYNC_MS);
+  await fleet.advance(SYNC_MS);
   await stopAndLoseDisk(fleet, old, second, lossTime);
   machines.splice(machines.indexOf(old), 1, successor);
-  await fleet.pass(RECOVERY_MS);
+  await fleet.advance(RECOVERY_MS);
   faults.push(...(await publishAll(fleet, 2)));
   const read = await fleet.ask(fleet.controls[0]!, 'ReadConfig', {});
   if (read.body?.revision !== 8) faults.push(`read back: ${JSON.stringify(read.body)}`);
@@ -124,34 +124,34 @@
 for (const role of ['control', 'store'] as const)
   test(`planned replacement of a ${role} while another restarts, and a third loses its disk later: nothing acknowledged is lost`, async (t) => {
     for (const seed of [65, 66, 67]) {
-      const fleet = await controlFleet(seed);
+      const fleet = await startControlFleet(seed);
       const [old, restarting, third] = machinesOf(fleet, role) as [SimNode, SimNode, SimNode];
-      const successor = fleet.spare(role, old.config.domain);
+      const successor = fleet.addMachine(role, old.config.domain);
       void fleet.sim.start(successor);
-      await fleet.pass(2 * SYNC_MS);
+      await fleet.advance(2 * SYNC_MS);
       t.deepEqual(await publishAll(fleet, 1), []);
       t.is((await submit(fleet, fleet.relays[0]!, 8)).status, 200);
-      const oldDisk = diskOf(old);
+      const oldDisk = diskIdOf(old);
       void fleet.sim.stop(restarting);
-      await fleet.pass(500);
+      await fleet.advance(500);
       let hasExited = false;
       void fleet.sim.stop(old).then(() => {
         hasExited = true;
       });
-      while (!hasExited) await fleet.pass(10);
+      while (!hasExited) await fleet.advance(10);
       const { voters } = fleet.sim.get(third.name).kernel!.use('register').value!;
       t.false(voters.includes(oldDisk), `seed ${seed}`);
       t.true(
-        copiesAt(third).every((copies) => !copies.includes(oldDisk)),
+        replicaSetsAt(third).every((copies) => !copies.includes(oldDisk)),
         `seed ${seed}`,
       );
       fleet.sim.loseDisk(old);
       void fleet.sim.start(restarting);
-      await fleet.pass(SYNC_MS);
+      await fleet.advance(SYNC_MS);
       fleet.sim.loseDisk(third);
       const machines = machinesOf(fleet, role);
       machines.splice(0, machines.length, successor, restarting);
-      await fleet.pass(RECOVERY_MS);
+      await fleet.advance(RECOVERY_MS);
       t.deepEqual(await publishAll(fleet, 2), [], `seed ${seed}`);
       t.is((await fleet.ask(fleet.controls[0]!, 'ReadConfig', {})).body.revision, 8, `seed ${seed}`);
       fleet.sim.close();
@@ -161,16 +161,16 @@
 // Guards against a vote that stays with a machine whose successor runs: without SIGTERM nothing announces its removal.
 test('a control machine with a successor is removed without SIGTERM as another loses its disk: the configuration is kept', async (t) => {
   for (const seed of [71, 72, 73]) {
-    const fleet = await controlFleet(seed);
+    const fleet = await startControlFleet(seed);
     const [old, second, third] = fleet.controls as [SimNode, SimNode, SimNode];
-    const successor = fleet.spare('control', old.config.domain);
+    const successor = fleet.addMachine('control', old.config.domain);
     void fleet.sim.start(successor);
-    await fleet.pass(SYNC_MS);
-    t.false(seatsOf(third).includes(diskOf(old)), `seed ${seed}: the successor has the vote`);
+    await fleet.advance(SYNC_MS);
+    t.false(votersAt(third).includes(diskIdOf(old)), `seed ${seed}: the successor has the vote`);
     t.is((await submit(fleet, third, 8)).status, 200);
     fleet.sim.loseDisk(old);
     fleet.sim.loseDisk(second);
-    await fleet.pass(1_000);
+    await fleet.advance(1_000);
     t.is((await fleet.ask(third, 'ReadConfig', {})).body.revision, 8, `seed ${seed}`);
     fleet.sim.close();
   }
@@ -179,19 +179,19 @@
 // Guards against a restart that costs a machine its vote and replicas: only a successor may take them over.
 test('a machine without a successor stops at once, and has its vote and replicas after the restart', async (t) => {
   for (const role of ['control', 'store'] as const) {
-    const fleet = await controlFleet(74);
+    const fleet = await startControlFleet(74);
     const [node, other] = machinesOf(fleet, role) as [SimNode, SimNode];
-    const disk = diskOf(node);
+    const disk = diskIdOf(node);
     const stoppedAt = fleet.sim.now;
     let tookMs = Infinity;
     void fleet.sim.stop(node).then(() => {
       tookMs = fleet.sim.now - stoppedAt;
     });
-    await fleet.pass(2_000);
+    await fleet.advance(2_000);
     t.true(tookMs < 1_000, `${role}: ${tookMs} ms`);
     void fleet.sim.start(node);
-    await fleet.pass(2_000);
-    const holders = role === 'control' ? [seatsOf(other)] : copiesAt(other);
+    await fleet.advance(2_000);
+    const holders = role === 'control' ? [votersAt(other)] : replicaSetsAt(other);
     t.true(
       holders.every((set) => set.includes(disk)),
       role,
--- a/packages/trial/src/test/platform-management.test.ts
+++ b/packages/trial/src/test/platform-management.test.ts
@@ -16,7 +16,7 @@
 import { freePorts } from '../process-fleet.js';
 import type { SimNode } from '../sim.js';
 import { LineClient } from './platform-client.js';
-import { smallFleet, type Small } from './small-fleet.js';
+import { startSmallFleet, type SmallFleet } from './small-fleet.js';
 
 const SEED = 20_261;
 
@@ -41,7 +41,7 @@
   body: Json;
 }
 /** A fleet in virtual time with real sockets before it. */
-interface Stage extends Small {
+interface Stage extends SmallFleet {
   /** Lets virtual time pass until something real has come. */
   when<T>(p: Promise<T>): Promise<T>;
   /** Serves a node to the outside. */
@@ -49,8 +49,8 @@
   http(method: 'GET' | 'POST', url: string, body?: unknown, type?: string): Promise<Answer>;
 }
 
-async function stage(t: ExecutionContext, seed: number, x: Parameters<typeof smallFleet>[1] = {}): Promise<Stage> {
-  const s = await smallFleet(seed, x);
+async function stage(t: ExecutionContext, seed: number, x: Parameters<typeof startSmallFleet>[1] = {}): Promise<Stage> {
+  const s = await startSmallFleet(seed, x);
   t.teardown(() => s.sim.close());
   const when = async <T>(p: Promise<T>): Promise<T> => {
     let done = false;
@@ -101,7 +101,7 @@
     c.limits.patience = 3;
   });
   t.deepEqual(await s.http('POST', a.management + REPLACE, odd), { status: 200, body: {} });
-  await s.pass(1_000);
+  await s.advance(1_000);
   for (const x of [a, b]) t.deepEqual(await s.http('GET', x.management + RETRIEVE), { status: 200, body: odd });
   t.is((await s.http('POST', b.management + REPLACE, odd)).status, 200, 'the same once more');
   t.is((await s.http('POST', b.management + REPLACE, shown(3))).status, 200, 'an old one is acknowledged');
@@ -111,14 +111,14 @@
     t.is(other.status, 409, 'another of the same number is not told that it is in force');
     t.regex(other.body.error_text, /"tag":"conflict".*"revision":7/);
   }
-  await s.pass(1_000);
+  await s.advance(1_000);
   for (const x of [a, b]) t.deepEqual((await s.http('GET', x.management + RETRIEVE)).body, odd, 'and changes nothing');
   const next = shown(19, (c) => {
     c.routes.pop();
     c.routes[0].expiry_ms = 700;
   });
   t.is((await s.http('POST', b.management + REPLACE, next)).status, 200);
-  await s.pass(1_000);
+  await s.advance(1_000);
   for (const x of [a, b]) t.deepEqual((await s.http('GET', x.management + RETRIEVE)).body, next);
   for (const x of [a, b]) {
     t.is((await s.http('POST', x.management + REPLACE, odd)).status, 200, 'one that was in force, again');
@@ -303,7 +303,7 @@
         return [v.version, v.revision, v.config];
       }),
     );
-  await s.pass(1_000);
+  await s.advance(1_000);
   const before = inForce();
   for (const [what, spoil, said] of BAD) {
     const r = await s.http('POST', a.management + REPLACE, shown(50, spoil));
@@ -354,7 +354,7 @@
     ),
   );
   t.regex(answered, /^HTTP\/1\.1 400/);
-  await s.pass(1_000);
+  await s.advance(1_000);
   t.is(inForce(), before);
   t.deepEqual((await s.http('GET', a.management + RETRIEVE)).body, SHOWN);
   t.is((await s.http('POST', a.management + REPLACE, shown(51))).status, 200, 'and a valid one is taken afterwards');
@@ -441,7 +441,7 @@
     const v = s.relays[0]!.kernel!.use('register').value!;
     return [...v.shards.values()].filter((p) => p.copies.some((d) => v.disks.get(d)?.peer === n.config.peer)).length;
   };
-  while (copies(more) === 0) await s.pass(500);
+  while (copies(more) === 0) await s.advance(500);
   const a = await s.front(s.relays[0]!);
   const node = encodeURIComponent(s.stores[2]!.config.peer);
   for (const call of [
@@ -467,7 +467,7 @@
     seen.add(r.body.condition);
     return r.body.condition;
   };
-  while ((await condition()) !== 'completed') await s.pass(500);
+  while ((await condition()) !== 'completed') await s.advance(500);
   t.deepEqual([...seen], ['in_progress', 'completed']);
   t.is(copies(s.stores[2]!), 0, 'nothing is left on it');
   t.is(
@@ -504,10 +504,10 @@
   t.is((await s.http('POST', `${a.readiness}/api/readiness`, {})).status, 404);
   // Cut off from the others it cannot say what is in force.
   for (const n of s.sim.nodes.values()) if (n !== relay) s.sim.cut(relay.name, n.name);
-  await s.pass(REGISTER.applyMs);
+  await s.advance(REGISTER.applyMs);
   t.is(await ready(a), '503 draining', 'cut off');
   s.sim.healAll();
-  await s.pass(3_000);
+  await s.advance(3_000);
   t.is(await ready(a), '200 in_service', 'and back');
   const stopped = s.sim.stop(relay);
   t.is(await ready(a), '503 draining', 'at once when it is told to leave');
@@ -518,7 +518,7 @@
   const s = await stage(t, 506);
   const [a, b] = [await s.front(s.relays[0]!), await s.front(s.relays[1]!)];
   await s.http('POST', a.management + REPLACE, shown(8));
-  await s.pass(1_000);
+  await s.advance(1_000);
   const [u1, u2] = [await LineClient.to(a.access), await LineClient.to(b.access)];
   const lines: string[] = [];
   const say = async (name: string, c: LineClient, x: string): Promise<string> => {
@@ -562,7 +562,7 @@
     a.management + REPLACE,
     shown(9, (c) => c.routes.shift()),
   );
-  await s.pass(1_000);
+  await s.advance(1_000);
   await say('u2', u2, 'PUBLISH kafi810.2f 11 4\r\ngone');
   await say('u1 again', u1b, 'SUBSCRIBE kafi810.2f');
   await say('u1 again', u1b, 'PROBE');
--- a/packages/trial/src/test/recovery.test.ts
+++ b/packages/trial/src/test/recovery.test.ts
@@ -1,15 +1,15 @@
 import { SHARD } from '@harecross/kernel';
 import test from 'ava';
 import type { Json } from '../json.js';
-import { smallFleet } from './small-fleet.js';
+import { startSmallFleet } from './small-fleet.js';
 
 /** Power is lost everywhere and comes back; machines start a little apart. */
 async function outage(seed: number, apartMs: number) {
-  const s = await smallFleet(seed);
+  const s = await startSmallFleet(seed);
   for (let i = 1; i <= 3; i++)
     t200(await s.ask(s.relays[0]!, 'Publish', { sender: 'desk', topic: `feed/${i}`, seq: 1, body: `m${i}` }));
   for (const n of s.sim.nodes.values()) s.sim.kill(n);
-  await s.pass(1_000);
+  await s.advance(1_000);
   let i = 0;
   const from = s.sim.now;
   for (const n of s.sim.nodes.values()) void s.sim.clock.after(apartMs * i++, () => void s.sim.start(n));
@@ -38,7 +38,7 @@
       s.stores.some((n) => (n.kernel!.counters.get('register.recalled') ?? 0) > 0),
       'the value was recalled without a ballot',
     );
-    await s.pass(300);
+    await s.advance(300);
     const { conn } = await s.attach(s.relays[1]!, 'phone');
     t.is(
       (await s.ask(s.relays[1]!, 'Subscribe', { conn, topic: 'feed/1', cursor: 0 })).body.next,
--- a/packages/trial/src/test/rejoin.test.ts
+++ b/packages/trial/src/test/rejoin.test.ts
@@ -1,7 +1,7 @@
 import { deserializeValue, ConsensusRegister, serializeValue, type FleetValue } from '@harecross/control';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
-import { controlFleet, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, diskIdOf, votersAt, type ControlFleet } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
 /** A member that reaches a majority is current, and votes, within this. */
@@ -23,7 +23,7 @@
 const registerOf = (n: SimNode): ConsensusRegister => n.kernel!.use('register');
 
 async function life(seed: number): Promise<Life> {
-  return { fleet: await controlFleet(seed, { relays: 1 }), revision: 1, version: 1, wrong: [] };
+  return { fleet: await startControlFleet(seed, { relays: 1 }), revision: 1, version: 1, wrong: [] };
 }
 
 /** One change, at a node; it must be acknowledged, as the version after the last. */
@@ -67,13 +67,13 @@
 /** With another voter cut off, a change needs this one's vote. */
 async function votes(l: Life, n: SimNode): Promise<void> {
   const [silent, asked] = others(l, n) as [SimNode, SimNode];
-  if (!seatsOf(asked).includes(diskOf(n))) l.wrong.push(`${n.name} is no voter`);
+  if (!votersAt(asked).includes(diskIdOf(n))) l.wrong.push(`${n.name} is no voter`);
   isolate(l, silent);
   const from = l.fleet.sim.now;
   await change(l, asked);
   if (l.fleet.sim.now - from > CURRENT_MS) l.wrong.push(`a change with its vote took ${l.fleet.sim.now - from} ms`);
   l.fleet.sim.healAll();
-  await l.fleet.pass(2_000);
+  await l.fleet.advance(2_000);
 }
 
 async function missChanges(l: Life, away: SimNode, count: number): Promise<void> {
@@ -167,11 +167,11 @@
   for (const n of [l.fleet.controls[2]!, l.fleet.stores[2]!, l.fleet.relays[0]!])
     for (let i = 0; i < 6; i++) {
       isolate(l, n);
-      await l.fleet.pass(4_000 + i * 437);
+      await l.fleet.advance(4_000 + i * 437);
       await change(l, l.fleet.controls[0]!);
       l.fleet.sim.healAll();
       await untilCurrent(l, n);
-      await l.fleet.pass(3_000);
+      await l.fleet.advance(3_000);
     }
   l.fleet.sim.close();
   return l;
@@ -188,9 +188,9 @@
   l.revision++;
   const body = { revision: l.revision, document: {}, config: { families: FAMILIES } };
   const sent = l.fleet.sim.clientTransport.visit(first.config.client, 'SubmitConfig', body, 6_000);
-  await l.fleet.pass(1 + round * 2);
+  await l.fleet.advance(1 + round * 2);
   l.fleet.sim.kill(victim);
-  await l.fleet.pass(round % 3 ? 2_000 : 50);
+  await l.fleet.advance(round % 3 ? 2_000 : 50);
   const again = await l.fleet.ask(second, 'SubmitConfig', body);
   const answer = await sent;
   if (again.status !== 200) l.wrong.push(`round ${round}: sent again, ${JSON.stringify(again)}`);
@@ -217,7 +217,7 @@
   void l.fleet.sim.start(n);
   let everFresh = false;
   for (let passed = 0; passed < 5_000; passed += STEP_MS) {
-    await l.fleet.pass(STEP_MS);
+    await l.fleet.advance(STEP_MS);
     everFresh ||= n.kernel?.has('register') === true && registerOf(n).hasReadLease();
   }
   const read = await l.fleet.ask(n, 'ReadConfig', {});
@@ -308,7 +308,7 @@
   const proposer = Object.getPrototypeOf(Reflect.get(registerOf(l.fleet.controls[0]!), 'proposer')) as object;
   await withFault(proposer, 'round', fault, async () => {
     void l.fleet.sim.start(n);
-    await l.fleet.pass(20);
+    await l.fleet.advance(20);
     await change(l, n);
   });
   l.fleet.sim.close();
--- a/packages/trial/src/test/repair-priority.test.ts
+++ b/packages/trial/src/test/repair-priority.test.ts
@@ -2,7 +2,7 @@
 import { sleep } from '@harecross/kernel';
 import test from 'ava';
 import type { Sim, SimNode } from '../sim.js';
-import { controlFleet, diskOf, seatsOf } from './control-fleet.js';
+import { startControlFleet, diskIdOf, votersAt } from './control-fleet.js';
 import { FAMILIES } from './small-fleet.js';
 
 /** The documented maximum of concurrent submissions. */
@@ -61,19 +61,23 @@
 // Guards against submissions that preempt the ballots of a repair until the next lost disk leaves no majority.
 for (const seed of [102, 104])
   test(`eight operators submit continuously and control disks are lost in turn: each is repaired within sync_s (seed ${seed})`, async (t) => {
-    const fleet = await controlFleet(seed);
+    const fleet = await startControlFleet(seed);
     const operators = new Operators(fleet.sim, fleet.controls);
-    await fleet.pass(2_000);
+    await fleet.advance(2_000);
     for (let i = 0; i < LOSS_COUNT; i++) {
       const node = fleet.controls[i % fleet.controls.length]!;
       fleet.sim.loseDisk(node);
-      await fleet.pass(DOWNTIME_MS);
+      await fleet.advance(DOWNTIME_MS);
       void fleet.sim.start(node);
-      await fleet.pass(SYNC_MS);
-      t.deepEqual([...seatsOf(node)].sort(), fleet.controls.map(diskOf).sort(), `loss ${i + 1}: all three are voters`);
+      await fleet.advance(SYNC_MS);
+      t.deepEqual(
+        [...votersAt(node)].sort(),
+        fleet.controls.map(diskIdOf).sort(),
+        `loss ${i + 1}: all three are voters`,
+      );
     }
     operators.stop();
-    await fleet.pass(5_000);
+    await fleet.advance(5_000);
     const read = await fleet.ask(fleet.controls[0]!, 'ReadConfig', {});
     t.true(read.body.revision >= operators.acknowledged);
     t.log(`${operators.acknowledged} revisions`);
--- a/packages/trial/src/test/repair.test.ts
+++ b/packages/trial/src/test/repair.test.ts
@@ -3,7 +3,7 @@
 import { lastIdx } from '@harecross/state';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
-import { controlFleet, copiesAt, diskOf, seatsOf, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, replicaSetsAt, diskIdOf, votersAt, type ControlFleet } from './control-fleet.js';
 
 /** The deployments' `sync_s`: a loss counts until this long after the start of the replacement. */
 const SYNC_MS = 4_000;
@@ -47,7 +47,7 @@
   return nodes.filter(isUp).flatMap((node) =>
     [...node.kernel!.use('copies').all.values()].map((copy) => ({
       shard: copy.shard,
-      disk: diskOf(node),
+      disk: diskIdOf(node),
       last: lastIdx(copy),
       messages: copy.entries.filter((entry) => entry.topic !== '').length,
     })),
@@ -94,7 +94,7 @@
 
 /** Whether all voters and replicas are on live disks, every shard is served by its owner, and no replica lacks entries of another. */
 function toleratesNextLoss(fleet: ControlFleet): boolean {
-  const live = new Set([...fleet.controls, ...fleet.stores].filter(isUp).map(diskOf));
+  const live = new Set([...fleet.controls, ...fleet.stores].filter(isUp).map(diskIdOf));
   const value = fleet.controls.find(isUp)!.kernel!.use('register').value!;
   if (![...value.voters, ...value.previousVoters].every((disk) => live.has(disk))) return false;
   if (![...value.shards.values()].every((placement) => placement.copies.every((disk) => live.has(disk)))) return false;
@@ -113,7 +113,7 @@
 async function timeUntilTolerant(fleet: ControlFleet): Promise<number> {
   for (let ms = 0; ms < 3 * SYNC_MS; ms += POLL_MS) {
     if (toleratesNextLoss(fleet)) return ms;
-    await fleet.pass(POLL_MS);
+    await fleet.advance(POLL_MS);
   }
   return Infinity;
 }
@@ -123,15 +123,15 @@
   const machines = role === 'control' ? fleet.controls : fleet.stores;
   const [lost] = machines.splice(at, 1) as [SimNode];
   fleet.sim.loseDisk(lost);
-  const replacement = fleet.spare(role, lost.config.domain);
-  await fleet.pass(REPLACEMENT_DELAY_MS);
+  const replacement = fleet.addMachine(role, lost.config.domain);
+  await fleet.advance(REPLACEMENT_DELAY_MS);
   void fleet.sim.start(replacement);
   machines.push(replacement);
 }
 
 for (const seed of [21, 22, 23]) {
   test(`a store is replaced within a second: the next loss is tolerated before half of sync_s has passed (seed ${seed})`, async (t) => {
-    const fleet = await controlFleet(seed);
+    const fleet = await startControlFleet(seed);
     const sender = new Sender(fleet);
     t.deepEqual(await sender.publishAll(2), []);
     const durations: number[] = [];
@@ -140,11 +140,11 @@
       await replaceMachine(fleet, 'store', 0);
       const from = fleet.sim.now;
       durations.push(await timeUntilTolerant(fleet));
-      await fleet.pass(Math.max(0, from + laterMs - fleet.sim.now));
+      await fleet.advance(Math.max(0, from + laterMs - fleet.sim.now));
     }
     // The next one is lost permanently and not replaced.
     fleet.sim.loseDisk(fleet.stores.shift()!);
-    await fleet.pass(3_000);
+    await fleet.advance(3_000);
     t.deepEqual(await sender.publishAll(), []);
     t.true(
       durations.every((ms) => ms < SYNC_MS / 2),
@@ -155,14 +155,14 @@
   });
 
   test(`a control machine is replaced within a second: the next loss is tolerated before half of sync_s has passed (seed ${seed})`, async (t) => {
-    const fleet = await controlFleet(seed);
+    const fleet = await startControlFleet(seed);
     const durations: number[] = [];
     for (let round = 0; round < 3; round++) {
       await replaceMachine(fleet, 'control', 0);
       const from = fleet.sim.now;
       durations.push(await timeUntilTolerant(fleet));
-      await fleet.pass(Math.max(0, from + SYNC_MS - fleet.sim.now));
-      t.deepEqual([...seatsOf(fleet.controls[0]!)].sort(), fleet.controls.map(diskOf).sort());
+      await fleet.advance(Math.max(0, from + SYNC_MS - fleet.sim.now));
+      t.deepEqual([...votersAt(fleet.controls[0]!)].sort(), fleet.controls.map(diskIdOf).sort());
     }
     t.true(
       durations.every((ms) => ms < SYNC_MS / 2),
@@ -175,14 +175,14 @@
 
 test('a second loss as soon as the first is repaired: nothing accepted is lost, and the remaining stores serve', async (t) => {
   for (const seed of [31, 32, 33, 34]) {
-    const fleet = await controlFleet(seed);
+    const fleet = await startControlFleet(seed);
     const sender = new Sender(fleet);
     t.deepEqual(await sender.publishAll(), []);
     await replaceMachine(fleet, 'store', seed % 3);
     t.true((await timeUntilTolerant(fleet)) < SYNC_MS / 2, `seed ${seed}`);
     // A store that held replicas before is lost: the replacement and one other must form the majority.
     fleet.sim.loseDisk(fleet.stores.shift()!);
-    await fleet.pass(3_000);
+    await fleet.advance(3_000);
     t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.sim.close();
   }
@@ -190,22 +190,22 @@
 
 test('planned replacement of a store: its successor starts first, it is removed, and the next loss is tolerated', async (t) => {
   for (const seed of [51, 52]) {
-    const fleet = await controlFleet(seed);
+    const fleet = await startControlFleet(seed);
     const sender = new Sender(fleet);
     t.deepEqual(await sender.publishAll(), []);
     const old = fleet.stores[0]!;
-    const successor = fleet.spare('store', old.config.domain);
+    const successor = fleet.addMachine('store', old.config.domain);
     void fleet.sim.start(successor);
     fleet.stores.push(successor);
-    await fleet.pass(8_000);
+    await fleet.advance(8_000);
     t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.stores.shift();
     void fleet.sim.stop(old);
-    await fleet.pass(1_000);
+    await fleet.advance(1_000);
     fleet.sim.loseDisk(old);
     t.true((await timeUntilTolerant(fleet)) < 1.2 * SYNC_MS, `seed ${seed}`);
     fleet.sim.loseDisk(fleet.stores.shift()!);
-    await fleet.pass(3_000);
+    await fleet.advance(3_000);
     t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.sim.close();
   }
@@ -219,15 +219,15 @@
  * `emptied`.
  */
 async function emptyOneStore(seed: number): Promise<{ fleet: ControlFleet; sender: Sender; incomplete: string[] }> {
-  const fleet = await controlFleet(seed);
+  const fleet = await startControlFleet(seed);
   const sender = new Sender(fleet);
-  const added = fleet.spare('store', 'd');
+  const added = fleet.addMachine('store', 'd');
   void fleet.sim.start(added);
   fleet.stores.push(added);
-  await fleet.pass(8_000);
+  await fleet.advance(8_000);
   await sender.publishAll(2);
   const [leaving] = fleet.stores as [SimNode];
-  const disk = diskOf(leaving);
+  const disk = diskIdOf(leaving);
   const before = replicasOn(fleet.stores);
   const synced = new SyncedReplicas();
   const quickMs = added.diskMs;
@@ -235,13 +235,13 @@
   const answer = await fleet.ask(fleet.controls[0]!, 'EmptyDisk', { disk });
   if (answer.status !== 200) throw new Error(JSON.stringify(answer.body));
   for (let ms = 0; ms < 30_000; ms += POLL_MS) {
-    await fleet.pass(POLL_MS);
+    await fleet.advance(POLL_MS);
     synced.record(fleet);
     if ((await fleet.ask(fleet.controls[0]!, 'EmptyStatus', { disk })).body.state === 'emptied') break;
   }
   const incomplete = incompleteReplicas(fleet, before, synced.replicas());
   added.diskMs = quickMs;
-  if (copiesAt(fleet.controls[0]!).some((copies) => copies.includes(disk))) incomplete.push('not emptied');
+  if (replicaSetsAt(fleet.controls[0]!).some((copies) => copies.includes(disk))) incomplete.push('not emptied');
   fleet.stores.shift();
   fleet.sim.loseDisk(leaving);
   return { fleet, sender, incomplete };
@@ -252,7 +252,7 @@
     const { fleet, sender, incomplete } = await emptyOneStore(seed);
     t.deepEqual(incomplete, [], `seed ${seed}`);
     fleet.sim.loseDisk(fleet.stores[0]!);
-    await fleet.pass(3_000);
+    await fleet.advance(3_000);
     t.deepEqual(await sender.publishAll(), [], `seed ${seed}`);
     fleet.sim.close();
   }
--- a/packages/trial/src/test/resume.test.ts
+++ b/packages/trial/src/test/resume.test.ts
@@ -2,7 +2,7 @@
 import type { Frame } from '@harecross/schema';
 import test from 'ava';
 import type { SimNode } from '../sim.js';
-import { controlFleet, type ControlFleet } from './control-fleet.js';
+import { startControlFleet, type ControlFleet } from './control-fleet.js';
 
 const topics = Array.from({ length: 60 }, (_, i) => `feed/${i}`);
 
@@ -49,7 +49,7 @@
 
 test('every process is killed; places saved before are taken up at once, and all that was accepted arrives within 4 s', async (t) => {
   for (const seed of [102, 104, 105, 110]) {
-    const f = await controlFleet(seed, { stores: 4, relays: 8, controls: 4 });
+    const f = await startControlFleet(seed, { stores: 4, relays: 8, controls: 4 });
     const { sim } = f;
     const { random } = sim;
     const accepted = new Map(topics.map((x) => [x, [] as number[]]));
@@ -64,19 +64,19 @@
     };
     for (let i = 0; i < 300; i++) {
       say(topics[i % 60]!);
-      await f.pass(20);
+      await f.advance(20);
     }
     const one = f.stores[seed % 4]!;
     sim.kill(one);
-    await f.pass(500);
+    await f.advance(500);
     void sim.start(one);
     for (let i = 0; i < 300; i++) {
       say(topics[i % 60]!);
-      await f.pass(20);
+      await f.advance(20);
     }
     const all = [...sim.nodes.values()];
     for (const x of all) sim.kill(x);
-    await f.pass(500);
+    await f.advance(500);
     const back = (x: SimNode): void => void sleep(sim.clock, 200 + 700 * random.next()).then(() => sim.start(x));
     all.forEach(back);
     const from = sim.lines.length;
@@ -85,7 +85,7 @@
       const cursor = offsets[Math.floor(offsets.length / 2) - 1] ?? 0;
       return { topic, owed: offsets.filter((o) => o > cursor), got: resume(f, `late${i}`, topic, cursor) };
     });
-    await f.pass(4_000);
+    await f.advance(4_000);
     t.deepEqual(
       late.filter((x) => x.owed.some((o) => !x.got.has(o))).map((x) => x.topic),
       [],
--- a/packages/trial/src/test/retries.test.ts
+++ b/packages/trial/src/test/retries.test.ts
@@ -1,6 +1,6 @@
 import { RetryBudget, type Clock } from '@harecross/kernel';
 import test from 'ava';
-import { controlFleet } from './control-fleet.js';
+import { startControlFleet } from './control-fleet.js';
 
 test('a budget of tries: so many by time, a share of the first ones, urgent ones to the end', (t) => {
   let now = 0;
@@ -23,7 +23,7 @@
 });
 
 test('while every store is cut off from the core calls between nodes do not pile up, and there is no second wave when it is healed', async (t) => {
-  const f = await controlFleet(21, { relays: 1 });
+  const f = await startControlFleet(21, { relays: 1 });
   const relay = f.relays[0]!;
   const { sim } = f;
   let seq = 0;
@@ -48,7 +48,7 @@
     answered.clear();
     for (let i = 0; i < s * 200; i++) {
       say();
-      await f.pass(5);
+      await f.advance(5);
     }
     return { calls: (out() - from) / (seq - n), answers: new Map(answered) };
   };
@@ -71,21 +71,21 @@
 });
 
 test('nodes that begin while the core is away ask for it often at first, then seldom, and are there at once when it is', async (t) => {
-  const f = await controlFleet(22, { relays: 6 });
+  const f = await startControlFleet(22, { relays: 6 });
   const others = [...f.relays, ...f.stores];
   for (const n of [...f.controls, ...others]) f.sim.kill(n);
   for (const n of others) void f.sim.start(n);
   f.sim.measureTraffic = true;
   const asked = async (s: number): Promise<number> => {
     f.sim.requestTraffic.clear();
-    await f.pass(s * 1_000);
+    await f.advance(s * 1_000);
     return (f.sim.requestTraffic.get('RegGet')?.n ?? 0) / s / others.length;
   };
   const first = await asked(3);
-  await f.pass(500);
+  await f.advance(500);
   const later = await asked(5);
   for (const n of f.controls) void f.sim.start(n);
-  await f.pass(2_500);
+  await f.advance(2_500);
   t.log(`asked for the configuration a node and second: ${first.toFixed(1)} at first, ${later.toFixed(1)} later`);
   t.true(later < 5 && later < first / 2);
   for (const n of others) t.true(n.kernel!.use('register').hasReadLease(), n.name);
--- a/packages/trial/src/test/schema.test.ts
+++ b/packages/trial/src/test/schema.test.ts
@@ -6,7 +6,7 @@
 import test from 'ava';
 import { Errors } from 'typebox/value';
 import type { SimNode } from '../sim.js';
-import { smallFleet } from './small-fleet.js';
+import { startSmallFleet } from './small-fleet.js';
 
 const fam = (name: string, topics: string[], x: object = {}) => ({
   name,
@@ -41,7 +41,7 @@
 });
 
 test('what nodes answer is what the schema says', async (t) => {
-  const s = await smallFleet(31);
+  const s = await startSmallFleet(31);
   const [a, b] = s.relays as [SimNode, SimNode];
   const { conn } = await s.attach(a, 'phone');
   const store = s.stores[0]!;
--- a/packages/trial/src/test/senders.test.ts
+++ b/packages/trial/src/test/senders.test.ts
@@ -1,16 +1,16 @@
 import { SHARD, shardOf } from '@harecross/kernel';
 import test from 'ava';
 import type { Json } from '../json.js';
-import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
+import { FAMILIES, startSmallFleet, type SmallFleet } from './small-fleet.js';
 import { createMachines, fleetConfigOf, SMALL } from '../scenario.js';
 import { Sim, type SimNode } from '../sim.js';
 
 const TOPIC = 'feed/7';
-const publish = (s: Small, n: SimNode, seq: number, topic = TOPIC): Promise<{ status: number; body: Json }> =>
+const publish = (s: SmallFleet, n: SimNode, seq: number, topic = TOPIC): Promise<{ status: number; body: Json }> =>
   s.ask(n, 'Publish', { sender: 'desk', topic, seq, body: `message ${seq}` });
 
 test('every accepted number has its first outcome when it is repeated, not only the last', async (t) => {
-  const s = await smallFleet(101);
+  const s = await startSmallFleet(101);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const seqs = [2, 3, 5, 8, 9, 14, 20, 21];
   for (const [i, seq] of seqs.entries()) t.deepEqual((await publish(s, r1, seq)).body, { accepted: { offset: i + 1 } });
@@ -26,18 +26,18 @@
   await all('at another relay');
   const owner = s.ownerOf(TOPIC);
   s.sim.kill(owner);
-  await s.pass(3_000);
+  await s.advance(3_000);
   await all('at another owner');
   await s.sim.start(owner);
-  await s.pass(3_000);
+  await s.advance(3_000);
   for (const n of s.sim.nodes.values()) s.sim.kill(n);
-  await s.pass(500);
+  await s.advance(500);
   for (const n of s.sim.nodes.values()) await s.sim.start(n);
-  await s.pass(6_000);
+  await s.advance(6_000);
   await all('after the power was lost everywhere');
   const c = await s.attach(r1, 'phone');
   await s.ask(r1, 'Subscribe', { conn: c.conn, topic: TOPIC, cursor: 0 });
-  await s.pass(1_000);
+  await s.advance(1_000);
   t.deepEqual(
     c.frames.flatMap((f) => (f.t === 'DELIVER' ? [f.seq] : [])),
     seqs,
@@ -48,23 +48,23 @@
 
 test('a repeat has its first outcome though its family remembers a second, was removed and made anew', async (t) => {
   const short = { families: [{ ...FAMILIES[0]!, memoryS: 1 }, FAMILIES[1]!] };
-  const s = await smallFleet(102, { config: short });
+  const s = await startSmallFleet(102, { config: short });
   const [r1, r2] = s.relays as [SimNode, SimNode];
   for (const seq of [1, 2, 3]) await publish(s, r1, seq);
   await s.ask(r1, 'SubmitConfig', { changeId: 'away', config: { families: [FAMILIES[1]!] } });
-  await s.pass(6_000);
+  await s.advance(6_000);
   await s.ask(r1, 'SubmitConfig', { changeId: 'back', config: short });
-  await s.pass(4_000);
+  await s.advance(4_000);
   for (const seq of [1, 2, 3]) t.deepEqual((await publish(s, r2, seq)).body, { accepted: { offset: seq } });
   t.deepEqual((await publish(s, r2, 4)).body, { accepted: { offset: 4 } });
   s.sim.close();
 });
 
 test('the final no is for numbers that surely were never accepted; of those below what was trimmed nobody knows', async (t) => {
-  const s = await smallFleet(103);
+  const s = await startSmallFleet(103);
   const r = s.relays[0]!;
   for (const seq of [10, 20]) await publish(s, r, seq);
-  await s.pass(70_000);
+  await s.advance(70_000);
   for (const seq of [30, 40]) await publish(s, r, seq);
   const answer = async (seq: number): Promise<string> => {
     const { body } = await publish(s, r, seq);
@@ -80,7 +80,7 @@
 });
 
 test('no final no stands on a number that is not committed: it waits, and a new owner may take the lower one', async (t) => {
-  const s = await smallFleet(104);
+  const s = await startSmallFleet(104);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   await publish(s, r1, 1);
   const owner = s.ownerOf(TOPIC);
@@ -92,7 +92,7 @@
     { sender: 'desk', topic: TOPIC, seq: 9, body: 'nine' },
     6_000,
   );
-  await s.pass(50);
+  await s.advance(50);
   const low = s.sim.clientTransport.visit(
     r1.config.client,
     'Publish',
@@ -103,13 +103,13 @@
   void low.then((x) => {
     early = x;
   });
-  await s.pass(200);
+  await s.advance(200);
   t.is(early, 'none', 'no answer while nine is not committed');
-  await s.pass(5_000);
+  await s.advance(5_000);
   const told = [await low, await high].map((x) => x?.body);
   for (const b of told) t.not(b?.rejected?.reason, 'stale_seq');
   s.sim.healAll();
-  await s.pass(4_000);
+  await s.advance(4_000);
   // Whatever became of them: each number has one outcome, and a final no only under a higher one that was accepted.
   const five = (await publish(s, r2, 5)).body;
   const nine = (await publish(s, r2, 9)).body;
@@ -120,7 +120,7 @@
 });
 
 test('only the final no says that it is one', async (t) => {
-  const s = await smallFleet(105);
+  const s = await startSmallFleet(105);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   for (const seq of [1, 5]) await publish(s, r1, seq);
   const stale = await publish(s, r2, 3);
@@ -146,10 +146,10 @@
  */
 async function pipelined(
   seed: number,
-  happen: (s: Small, owner: SimNode) => void,
+  happen: (s: SmallFleet, owner: SimNode) => void,
   forMs = 2_500,
 ): Promise<{ sent: Sent[]; delivered: number[]; most: number }> {
-  const s = await smallFleet(seed);
+  const s = await startSmallFleet(seed);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const c = await s.attach(r2, 'phone');
   await s.ask(r2, 'Subscribe', { conn: c.conn, topic: TOPIC });
@@ -177,13 +177,13 @@
   };
   one();
   s.sim.clock.after(300, () => happen(s, owner));
-  await s.pass(forMs + 3_000);
+  await s.advance(forMs + 3_000);
   const delivered = c.frames.flatMap((f) => (f.t === 'DELIVER' ? [f.seq] : []));
   s.sim.close();
   return { sent, delivered, most: Math.max(...sent.map((x) => x.told - x.asked)) };
 }
 
-const happenings: [what: string, mostMs: number, happen: (s: Small, owner: SimNode) => void][] = [
+const happenings: [what: string, mostMs: number, happen: (s: SmallFleet, owner: SimNode) => void][] = [
   ['is killed', 200, (s, o) => s.sim.kill(o)],
   [
     'falls silent',
@@ -260,7 +260,7 @@
 });
 
 test('a subscription does not begin at the beginning because its owner lost the key while it was asked', async (t) => {
-  const s = await smallFleet(131);
+  const s = await startSmallFleet(131);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   for (const seq of [1, 2, 3]) await publish(s, r1, seq);
   // The majority's answer and another's fence come in one moment.
@@ -277,7 +277,7 @@
   const r = await s.ask(r2, 'Subscribe', { conn: c.conn, topic: TOPIC });
   t.true(lost > 0);
   t.is(r.body.next, 4);
-  await s.pass(1_500);
+  await s.advance(1_500);
   t.deepEqual(
     c.frames.map((f) => f.t),
     ['ATTACHED'],
--- a/packages/trial/src/test/small-fleet.ts
+++ b/packages/trial/src/test/small-fleet.ts
@@ -4,7 +4,7 @@
 import { Sim, type SimNode } from '../sim.js';
 
 /** Three stores and two relays in virtual time, with a first configuration in force. */
-export interface Small {
+export interface SmallFleet {
   sim: Sim;
   stores: SimNode[];
   relays: SimNode[];
@@ -16,7 +16,7 @@
     pingS?: number,
   ): Promise<{ conn: string; frames: Frame[]; close: () => void; ended: () => boolean }>;
   /** Advances virtual time. */
-  pass(ms: number): Promise<void>;
+  advance(ms: number): Promise<void>;
   /** The node that owns a topic. */
   ownerOf(topic: string): SimNode;
 }
@@ -27,7 +27,7 @@
 ];
 
 /** Advances virtual time until the promise is settled, by 40 s at most, and returns the promise. */
-export async function settled<T>(sim: Sim, promise: Promise<T>): Promise<T> {
+export async function runUntilSettled<T>(sim: Sim, promise: Promise<T>): Promise<T> {
   let isSettled = false;
   const tracked = promise.finally(() => {
     isSettled = true;
@@ -37,10 +37,10 @@
   return tracked;
 }
 
-export async function smallFleet(
+export async function startSmallFleet(
   seed: number,
   options: { skews?: number[]; config?: unknown; log?: boolean; relayDisk?: boolean } = {},
-): Promise<Small> {
+): Promise<SmallFleet> {
   const sim = new Sim(seed, { log: options.log });
   const stores = [0, 1, 2].map((i) =>
     sim.add(`store${i + 1}`, { role: 'store', domain: 'abc'[i]!, disk: true, skewMs: options.skews?.[i] ?? 0 }),
@@ -58,8 +58,8 @@
     void sim.start(node);
   }
   await sim.run(8_000);
-  const awaitAnswer = <T>(promise: Promise<T>): Promise<T> => settled(sim, promise);
-  const fleet: Small = {
+  const awaitAnswer = <T>(promise: Promise<T>): Promise<T> => runUntilSettled(sim, promise);
+  const fleet: SmallFleet = {
     sim,
     stores,
     relays,
@@ -83,7 +83,7 @@
       if (first?.t !== 'ATTACHED') throw new Error('not attached');
       return { conn: first.conn, frames, close, ended: () => hasEnded };
     },
-    pass: async (ms) => {
+    advance: async (ms) => {
       const elapsed = sleep(sim.clock, ms);
       await sim.run(sim.now + ms);
       await elapsed;
@@ -99,6 +99,6 @@
     config: options.config ?? { families: FAMILIES },
   });
   if (answer.status !== 200) throw new Error(JSON.stringify(answer.body));
-  await fleet.pass(500);
+  await fleet.advance(500);
   return fleet;
 }
--- a/packages/trial/src/test/transcripts.test.ts
+++ b/packages/trial/src/test/transcripts.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { SHARD } from '@harecross/kernel';
 import type { Json } from '../json.js';
-import { FAMILIES, smallFleet, type Small } from './small-fleet.js';
+import { FAMILIES, startSmallFleet, type SmallFleet } from './small-fleet.js';
 import type { SimNode } from '../sim.js';
 
 /** What differs from run to run in an approved transcript. */
@@ -19,7 +19,7 @@
 
 class Script {
   readonly lines: unknown[] = [];
-  constructor(private s: Small) {}
+  constructor(private s: SmallFleet) {}
   async say(n: SimNode, method: string, body: object): Promise<{ status: number; body: Json }> {
     const r = await this.s.ask(n, method, body);
     this.lines.push(masked({ visit: method, ...body }), masked({ status: r.status, ...r.body }));
@@ -28,7 +28,7 @@
 }
 
 test('a consumer and a sender, from attach to unsubscribe, through different relays', async (t) => {
-  const s = await smallFleet(41);
+  const s = await startSmallFleet(41);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const x = new Script(s);
   const c = await s.attach(r1, 'phone-7');
@@ -40,21 +40,21 @@
   await x.say(r1, 'Publish', { sender: 'desk', topic: 'alarm/1', seq: 1, body: 'not subscribed' });
   await x.say(r1, 'Listeners', { topic: 'feed/7' });
   await x.say(r2, 'Probe', { conn: c.conn });
-  await s.pass(600);
+  await s.advance(600);
   await x.say(r2, 'Unsubscribe', { conn: c.conn, topic: 'feed/7' });
   await x.say(r2, 'Unsubscribe', { conn: c.conn, topic: 'feed/7' });
   await x.say(r2, 'Publish', { sender: 'desk', topic: 'feed/7', seq: 5, body: 'after' });
-  await s.pass(600);
+  await s.advance(600);
   await x.say(r1, 'Subscribe', { conn: c.conn, topic: 'feed/7', cursor: 2 });
-  await s.pass(600);
+  await s.advance(600);
   await x.say(r1, 'Detach', { conn: c.conn });
-  await s.pass(100);
+  await s.advance(100);
   t.snapshot({ visits: x.lines, stream: c.frames.map(masked) });
   s.sim.close();
 });
 
 test('bad visits: each has its own tagged error, and nothing changes', async (t) => {
-  const s = await smallFleet(42);
+  const s = await startSmallFleet(42);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const x = new Script(s);
   const c = await s.attach(r1, 'phone-7');
@@ -90,7 +90,7 @@
 });
 
 test('operators: the same change again, a conflict, and reading back at any node', async (t) => {
-  const s = await smallFleet(43);
+  const s = await startSmallFleet(43);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const x = new Script(s);
   const two = { families: FAMILIES.slice(0, 1) };
@@ -106,13 +106,13 @@
 });
 
 test('a stop: GOAWAY with where to go, keys handed over, and the conn closed', async (t) => {
-  const s = await smallFleet(44);
+  const s = await startSmallFleet(44);
   const [r1, r2] = s.relays as [SimNode, SimNode];
   const c = await s.attach(r1, 'phone-7');
   await s.ask(r1, 'Subscribe', { conn: c.conn, topic: 'feed/7' });
   await s.ask(r2, 'Publish', { sender: 'desk', topic: 'feed/7', seq: 1, body: 'one' });
   const leave = s.sim.stop(r1);
-  await s.pass(3_000);
+  await s.advance(3_000);
   t.true(await leave, 'it left by itself');
   t.deepEqual(
     c.frames.map((f) => f.t),
@@ -120,7 +120,7 @@
   );
   const owner = s.ownerOf('feed/7');
   const gone = s.sim.stop(owner);
-  await s.pass(3_000);
+  await s.advance(3_000);
   t.true(await gone);
   t.not(s.ownerOf('feed/7'), owner);
   const r = await s.ask(r2, 'Publish', { sender: 'desk', topic: 'feed/7', seq: 1, body: 'one' });
@@ -130,11 +130,11 @@
 });
 
 test('a publish that nobody can take is rejected at once, with a time to come back', async (t) => {
-  const s = await smallFleet(45);
+  const s = await startSmallFleet(45);
   const r = s.relays[0]!;
   s.sim.kill(s.stores[0]!);
   s.sim.kill(s.stores[1]!);
-  await s.pass(1_000);
+  await s.advance(1_000);
   const t0 = s.sim.now;
   const got = await s.ask(r, 'Publish', { sender: 'desk', topic: 'feed/7', seq: 1, body: 'one' });
   t.is(got.status, 503);
@@ -145,11 +145,11 @@
 });
 
 test('a relay that owns the key itself and is cut off from the copies answers within the patience, and says unknown', async (t) => {
-  const s = await smallFleet(46, { relayDisk: true });
+  const s = await startSmallFleet(46, { relayDisk: true });
   const r = s.relays[0]!;
   const owner = r.kernel!.use('owner');
   // Its keys come to it once they have been matched to it for a while.
-  await s.pass(SHARD.steadyAssignmentMs * 2);
+  await s.advance(SHARD.steadyAssignmentMs * 2);
   const topic = Array.from({ length: 200 }, (_, i) => `feed/${i}`).find((x) => owner.owns(x))!;
   t.truthy(topic, 'it owns a key');
   for (const o of s.sim.nodes.values()) if (o !== r) s.sim.cut(r.name, o.name);
@@ -159,11 +159,11 @@
   t.is(got.body.error.tag, 'outcome_unknown');
   t.true(got.body.error.retryAfterMs > 0);
   t.true(s.sim.now - t0 <= 2_100, `virtual time; the family waits 2 s, it took ${s.sim.now - t0}`);
-  await s.pass(1_000);
+  await s.advance(1_000);
   t.is(owner.queues()[0]!.length, 0, 'nothing waits on in the holding of an owner that lost its majority');
   // Once healed, the same seq gets one outcome, and only one message is there.
   s.sim.healAll();
-  await s.pass(4_000);
+  await s.advance(4_000);
   const again = await s.ask(s.relays[1]!, 'Publish', { sender: 'desk', topic, seq: 1, body: 'one' });
   t.deepEqual(again.body, { accepted: { offset: 1 } });
   s.sim.close();
