--- a/packages/trial/src/process-fleet.ts
+++ b/packages/trial/src/process-fleet.ts
@@ -91,7 +91,15 @@
         seeds: [],
         ...(disk ? { data: join(folder, name) } : {}),
       };
-      fleet.procs.push({ name, role, config, file: join(folder, `${name}.json`), healthy: false, up: false, exits: [] });
+      fleet.procs.push({
+        name,
+        role,
+        config,
+        file: join(folder, `${name}.json`),
+        healthy: false,
+        up: false,
+        exits: [],
+      });
     };
     for (let i = 0; i < site.stores; i++) make('store', i, true);
     for (let i = 0; i < site.relays; i++) make('relay', i, i < site.relayDisks);
@@ -118,7 +126,15 @@
       seeds: this.procs[0]!.config.seeds,
       ...(role === 'store' ? { data: join(folder, name) } : {}),
     };
-    const p: NodeProcess = { name, role, config, file: join(folder, `${name}.json`), healthy: false, up: false, exits: [] };
+    const p: NodeProcess = {
+      name,
+      role,
+      config,
+      file: join(folder, `${name}.json`),
+      healthy: false,
+      up: false,
+      exits: [],
+    };
     this.procs.push(p);
     this.writeConfig(p);
     return p;
--- a/packages/trial/src/test/ci.test.ts
+++ b/packages/trial/src/test/ci.test.ts
@@ -122,7 +122,9 @@
   t.deepEqual(parseKnownRed('# x\na › b | npm test | c | 1\n\na › b | npm test | d | 2').wrong, [
     "line 4: 'a › b' is listed twice",
   ]);
-  t.deepEqual(parseKnownRed('a | npm test | c | 1\na | review/1/run.sh | d | 2').wrong, ["line 2: 'a' is listed twice"]);
+  t.deepEqual(parseKnownRed('a | npm test | c | 1\na | review/1/run.sh | d | 2').wrong, [
+    "line 2: 'a' is listed twice",
+  ]);
 });
 
 // Guards against faults that are known, but whose check is not a test of the run, going unseen.
@@ -138,7 +140,11 @@
     'fails\nknown red, outside npm test: sim › three (npm run hunt, seed 7: lost; issue 12)\nfailed: sim › three\n' +
       'listed in KNOWN-RED.txt with another command, but is a test of npm test: sim › three\n2 passed, 2 failed',
   );
-  t.deepEqual(parseKnownRed('a | npm testing | c | 1').outside.get('a'), { command: 'npm testing', seen: 'c', issue: '1' });
+  t.deepEqual(parseKnownRed('a | npm testing | c | 1').outside.get('a'), {
+    command: 'npm testing',
+    seen: 'c',
+    issue: '1',
+  });
 });
 
 test('the list of this checkout can be read', (t) => {
