--- a/packages/trial/src/test/day.test.ts
+++ b/packages/trial/src/test/day.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 
 test.serial('a short day on real processes: a kill, poor links, two operators at once, all power lost', async (t) => {
-  const day = fileURLToPath(new URL('../fault-run.js', import.meta.url));
+  const day = fileURLToPath(new URL('../day.js', import.meta.url));
   const args = [
     '--site',
     'small',
